--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -19,9 +19,9 @@
 
 use crate::call::Call;
 use crate::call::CallError;
-use crate::call::call;
-use crate::dialect::Answer;
-use crate::dialect::Sending;
+use crate::call::send_request;
+use crate::dialect::ForwardContext;
+use crate::dialect::ResponseHead;
 use crate::dialect::Verdict;
 use crate::dispatch::Booking;
 use crate::refusal::Refusal;
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub(crate) struct Answered {
     pub(crate) call: Call,
-    pub(crate) answer: Answer,
+    pub(crate) answer: ResponseHead,
     pub(crate) flight: InFlight,
     pub(crate) sent: Time,
 }
@@ -163,19 +163,22 @@
         if !ticket.begun {
             ticket.timeline.sent = Some(sent);
         }
-        let with = Sending {
+        let with = ForwardContext {
             account: ticket.account(),
             endpoint: &choice.entry.id,
-            left: ticket.left(),
+            remaining: ticket.left(),
             inputs,
             last_event,
             urgency: ticket.route.kind.is_stream().then(|| ticket.urgency()),
         };
         let body = ticket.body.clone();
-        let request = ticket.shared.dialect.request(&ticket.head, body, with);
+        let request = ticket
+            .shared
+            .dialect
+            .forward_request(&ticket.head, body, with);
         let exec = Arc::clone(&ticket.shared.traffic);
         let handed = flight.handed.clone();
-        let called = call(&exec, choice.entry.address, request, &handed);
+        let called = send_request(&exec, choice.entry.address, request, &handed);
         let may_have_run = std::mem::replace(&mut ticket.may_have_run, true);
         match ticket.within(called).await {
             None if !handed.is_set() => {
@@ -291,7 +294,11 @@
 fn log_choice(ticket: &Ticket, choice: &Choice) {
     let endpoint = choice.entry.id.to_string();
     let now = ticket.shared.now();
-    let known = ticket.shared.upkeep().of(Kept::Endpoints).age(now);
+    let known = ticket
+        .shared
+        .registry_polling()
+        .of(Kept::Endpoints)
+        .age(now);
     log::info!(
         event = "endpoint-chosen",
         request = ticket.ask.id.as_str(),
@@ -322,7 +329,7 @@
     may_have_run: bool,
 ) -> Tried {
     let shared = Arc::clone(&ticket.shared);
-    let answer = shared.dialect.answer(&call.head);
+    let answer = shared.dialect.parse_response(&call.head);
     let now = shared.now();
     let endpoint = flight.endpoint.clone();
     if let Some(load) = answer.load {
@@ -336,7 +343,7 @@
     }
     // An endpoint may send a second answer to another request; taken for this
     // one's, the caller would get a stranger's bytes.
-    if answer.id.as_deref() != Some(ticket.ask.id.as_str()) || answer.coded {
+    if answer.id.as_deref() != Some(ticket.ask.id.as_str()) || answer.encoded {
         log::warn!(event = "answer-of-another", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), found = answer.id.as_deref().unwrap_or("-"); "");
         if let Some(health) = shared.directory().health_mut(&endpoint) {
             health.failed(now);
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -50,7 +50,7 @@
     NotSent(io::Error),
     /// The connection took no request: it was not sent.
     #[display("the connection closed before the request was sent: {_0}")]
-    NotTaken(hyper::Error),
+    NotAccepted(hyper::Error),
     /// The connection failed after the request may have been read.
     #[display("the connection failed: {_0}; the request may have run")]
     Broken(hyper::Error),
@@ -94,7 +94,7 @@
 /// Sends a request and waits for the head of the answer.
 ///
 /// `handed` is set before the first byte of it may leave.
-pub(crate) async fn call(
+pub(crate) async fn send_request(
     exec: &Exec,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -105,7 +105,7 @@
     watch(&stream).map_err(CallError::NotSent)?;
     let (mut sender, conn) = http1::handshake(FuturesIo::new(stream))
         .await
-        .map_err(CallError::NotTaken)?;
+        .map_err(CallError::NotAccepted)?;
     let conn = exec.spawn(async move {
         // How the connection ends is told by the answer or its body.
         let _ended = conn.await;
@@ -121,7 +121,7 @@
             })
         }
         Err(mut error) => match error.take_message() {
-            Some(_unsent) => Err(CallError::NotTaken(error.into_error())),
+            Some(_unsent) => Err(CallError::NotAccepted(error.into_error())),
             None => Err(CallError::Broken(error.into_error())),
         },
     }
--- a/gateway/src/changes.rs
+++ b/gateway/src/changes.rs
@@ -36,8 +36,8 @@
 async fn wait_for_changes(shared: &Shared, backoff: &mut Backoff, waits: &mut Waits) {
     let mut failing = false;
     loop {
-        while !shared.is_first() {
-            let pause = shared.upkeep().look_pause();
+        while !shared.is_reader() {
+            let pause = shared.registry_polling().look_pause();
             Timer::after(pause).await;
         }
         let sent = shared.now();
@@ -86,7 +86,7 @@
     match update {
         Some(Update::Records { records, .. }) if records.is_empty() => "nothing-new",
         Some(Update::Records { .. }) => "records",
-        Some(Update::Gone) => "gone",
+        Some(Update::Truncated) => "gone",
         Some(Update::Failed(_)) => "failed",
         None => "given-up",
     }
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -27,27 +27,27 @@
     /// The hash of those parts, in order; 0 if there are none.
     pub prefix: u64,
     /// The most tokens of the answer; `None` if the request does not say.
-    pub answer: Option<u32>,
+    pub max_output: Option<u32>,
     /// The tokens that the caller expects of the answer, if it says.
-    pub expected: Option<u32>,
+    pub expected_output: Option<u32>,
 }
 
 impl Prompt {
     /// Returns the tokens to expect of the answer, where the caller says.
     #[must_use]
-    pub fn length(&self) -> Option<u32> {
-        let most = self.answer.unwrap_or(u32::MAX);
-        self.expected.map(|tokens| tokens.min(most))
+    pub fn output_length(&self) -> Option<u32> {
+        let most = self.max_output.unwrap_or(u32::MAX);
+        self.expected_output.map(|tokens| tokens.min(most))
     }
 }
 
 /// What a caller asks, beside the method, path and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// The client attempt's own id.
     pub id: String,
     /// How long the caller waits.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
     /// The last event that the caller has already.
@@ -55,15 +55,15 @@
     /// The prompt, for a model.
     pub prompt: Option<Prompt>,
     /// The pieces of each stage.
-    pub pieces: Vec<u32>,
+    pub item_counts: Vec<u32>,
     /// What the first stages start from.
-    pub piece_key: String,
+    pub item_key: String,
 }
 
 /// Why a request can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
-pub enum AskError {
+pub enum RequestHeadError {
     /// The host is missing.
     #[display("the request names no host: send one Host header")]
     NoHost,
@@ -83,13 +83,13 @@
 
 /// What the node adds to a request that it passes on.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending<'a> {
+pub struct ForwardContext<'a> {
     /// The account of the caller's key.
     pub account: Option<&'a ClientAccount>,
     /// The endpoint that is meant.
     pub endpoint: &'a EndpointId,
     /// The time left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The results of the stages before.
     pub inputs: &'a [String],
     /// The event after which to go on.
@@ -111,7 +111,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct ResponseHead {
     /// The client attempt that it answers.
     pub id: Option<String>,
     /// Whether the endpoint signed it.
@@ -119,7 +119,7 @@
     /// What it says of the request.
     pub verdict: Verdict,
     /// Whether the body is coded, which no caller asks for.
-    pub coded: bool,
+    pub encoded: bool,
     /// The endpoint's load.
     pub load: Option<Load>,
     /// The headers that go to the caller.
@@ -132,28 +132,28 @@
     ///
     /// # Errors
     ///
-    /// Returns [`AskError`] for a head that can't be read.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, AskError>;
+    /// Returns [`RequestHeadError`] for a head that can't be read.
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, RequestHeadError>;
 
     /// Writes a request for an endpoint.
-    fn request(
+    fn forward_request(
         &self,
         head: &request::Parts,
         body: Bytes,
-        with: Sending<'_>,
+        with: ForwardContext<'_>,
     ) -> Request<Full<Bytes>>;
 
     /// Reads the head of an endpoint's answer.
-    fn answer(&self, head: &response::Parts) -> Answer;
+    fn parse_response(&self, head: &response::Parts) -> ResponseHead;
 
     /// Writes a call for stage pieces.
-    fn run_pieces(&self, endpoint: &EndpointId, items: &[Item]) -> Request<Full<Bytes>>;
+    fn batch_request(&self, endpoint: &EndpointId, items: &[Item]) -> Request<Full<Bytes>>;
 
     /// Reads the answer to a call for stage pieces; `None` if it can't be read.
-    fn piece_outcomes(&self, body: &[u8]) -> Option<Vec<Outcome>>;
+    fn parse_outcomes(&self, body: &[u8]) -> Option<Vec<Outcome>>;
 
     /// Writes a call that gives results back.
-    fn give_back(&self, handles: &[String]) -> Request<Full<Bytes>>;
+    fn release_request(&self, handles: &[String]) -> Request<Full<Bytes>>;
 
     /// Returns the path on which a balancer asks whether the node is ready.
     fn ready_path(&self) -> &'static str;
--- a/gateway/src/dispatch/asked.rs
+++ b/gateway/src/dispatch/asked.rs
@@ -213,13 +213,13 @@
             learn(&mut self.shared.owners(), now, &known);
             self.departed.remove(&address);
             let next = Offset(look.config_next);
-            self.shared.told_config(address, next, 0);
+            self.shared.on_peer_config(address, next, 0);
             if let Some(caller) = self.callers.get_mut(&link) {
                 caller.node = Some(address);
             }
         }
         if look.brief {
-            self.shared.upkeep().looked_at(now);
+            self.shared.registry_polling().looked_at(now);
         }
         let mut seen = self.seen(Some(look));
         let Some(caller) = self.callers.get_mut(&link) else {
@@ -250,9 +250,9 @@
     fn seen(&self, look: Option<&SyncRequest>) -> SyncReply {
         let now = self.shared.now();
         let micros = |age: Duration| age.as_micros() as u64;
-        let upkeep = *self.shared.upkeep();
+        let upkeep = *self.shared.registry_polling();
         let mut seen = SyncReply {
-            leaving: self.shared.aside.is_set(),
+            leaving: self.shared.out_of_rotation.is_set(),
             unread: upkeep.is_unread(now),
             config_age_us: upkeep.of(Kept::Config).age(now).map(micros),
             stamp: look.map_or(0, |l| l.stamp),
--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -14,7 +14,7 @@
 
 use crate::call::Call;
 use crate::call::CallError;
-use crate::call::call;
+use crate::call::send_request;
 use crate::dialect::Verdict;
 use crate::shared::Shared;
 
@@ -29,10 +29,10 @@
 
 /// Makes a call for pieces.
 pub(super) async fn run_pieces(shared: Arc<Shared>, send: PieceCall) -> CallResult {
-    let request = shared.dialect.run_pieces(&send.entry.id, &send.items);
+    let request = shared.dialect.batch_request(&send.entry.id, &send.items);
     let answered = async {
         let handed = Flag::default();
-        match call(&shared.traffic, send.entry.address, request, &handed).await {
+        match send_request(&shared.traffic, send.entry.address, request, &handed).await {
             Ok(call) => read(&shared, &send, call).await,
             Err(error) => {
                 if !error.is_not_sent() {
@@ -69,7 +69,7 @@
 }
 
 async fn read(shared: &Shared, send: &PieceCall, mut call: Call) -> CallResult {
-    let answer = shared.dialect.answer(&call.head);
+    let answer = shared.dialect.parse_response(&call.head);
     match answer.verdict {
         Verdict::WrongEndpoint => return CallResult::WrongEndpoint,
         Verdict::NotRun => return CallResult::Refused,
@@ -92,7 +92,7 @@
     if !call.head.status.is_success() {
         return CallResult::Broken;
     }
-    let outcomes = shared.dialect.piece_outcomes(&body);
+    let outcomes = shared.dialect.parse_outcomes(&body);
     outcomes.map_or_else(
         || {
             log::warn!(event = "pieces-unreadable", endpoint = send.entry.id.to_string().as_str(); "");
@@ -106,9 +106,10 @@
 ///
 /// It is told once: a result that is not dropped lapses by itself.
 pub(super) async fn give_back(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
-    let request = shared.dialect.give_back(handles);
+    let request = shared.dialect.release_request(handles);
     let told = async {
-        let Ok(mut call) = call(&shared.traffic, entry.address, request, &Flag::default()).await
+        let Ok(mut call) =
+            send_request(&shared.traffic, entry.address, request, &Flag::default()).await
         else {
             return false;
         };
--- a/gateway/src/dispatch/copies.rs
+++ b/gateway/src/dispatch/copies.rs
@@ -76,7 +76,7 @@
     /// Takes in a slice and asks for the next one.
     pub(super) fn take_slice(&mut self, peer: SocketAddr, frame: RecordSlice) {
         let now = self.shared.now();
-        self.shared.told_config(peer, Offset(frame.next), 0);
+        self.shared.on_peer_config(peer, Offset(frame.next), 0);
         // A slice that was asked of a neighbour given up since.
         if !self.shared.catch_up().moved(now, peer) {
             return;
--- a/gateway/src/dispatch/neighbours.rs
+++ b/gateway/src/dispatch/neighbours.rs
@@ -71,7 +71,7 @@
         }
         self.shared.budget().share(count);
         let next = Offset(seen.config_next);
-        self.shared.told_config(peer, next, seen.config_bytes);
+        self.shared.on_peer_config(peer, next, seen.config_bytes);
         if self.endpoints_asked.is_some_and(|(node, _)| node == peer) {
             self.endpoints_asked = None;
         }
@@ -87,7 +87,7 @@
             endpoints: age(seen.endpoints_age_us).filter(|_| has_endpoints),
         };
         let sent = Time::from_micros(seen.stamp);
-        let mut upkeep = self.shared.upkeep();
+        let mut upkeep = self.shared.registry_polling();
         upkeep.take(now, &mut self.shared.owners(), (peer, sent), told);
     }
 
@@ -112,7 +112,7 @@
         // they don't, the registry knows which one is wrong.
         if same && sum != seen.endpoints_sum {
             log::warn!(event = "endpoints-differ", node = peer.to_string().as_str(), next = next.0; "");
-            self.shared.differs();
+            self.shared.on_endpoints_differ();
             return false;
         }
         true
@@ -120,7 +120,7 @@
 
     /// Looks at the node that reads the registry for all, if it is time.
     pub(super) fn look_at_reader(&mut self, now: Time) {
-        let mut upkeep = self.shared.upkeep();
+        let mut upkeep = self.shared.registry_polling();
         let reader = upkeep.look(now, &mut self.shared.owners());
         drop(upkeep);
         if let Some(reader) = reader {
@@ -130,7 +130,7 @@
 
     /// Returns when to look at the node that reads for all.
     pub(super) fn look_at(&self) -> Time {
-        self.shared.upkeep().look_at(self.shared.now())
+        self.shared.registry_polling().look_at(self.shared.now())
     }
 
     /// Looks at the nodes that hold jobs, and at some other one.
@@ -238,7 +238,7 @@
             sender.close();
         }
         self.shared.owners().silent(now, peer);
-        self.shared.upkeep().lost(peer);
+        self.shared.registry_polling().lost(peer);
         self.lost_booker(peer);
         self.shared.catch_up().forget(peer);
         if self.endpoints_asked.is_some_and(|(node, _)| node == peer) {
--- a/gateway/src/door.rs
+++ b/gateway/src/door.rs
@@ -21,7 +21,7 @@
 use snipeyoke_runtime::http::Request;
 use snipeyoke_runtime::http::collect;
 
-use crate::dialect::Ask;
+use crate::dialect::RequestHead;
 use crate::plain::plain;
 use crate::plain::refuse;
 use crate::refusal::Refusal;
@@ -49,7 +49,7 @@
             // passed it on; read as a request, nobody would have sent it.
             let chunked = request.headers().contains_key(TRANSFER_ENCODING);
             let mut reply = self.serve(request).await;
-            if chunked || self.0.aside.is_set() {
+            if chunked || self.0.out_of_rotation.is_set() {
                 let close = HeaderValue::from_static("close");
                 reply.headers_mut().insert(CONNECTION, close);
             }
@@ -62,7 +62,7 @@
     async fn serve(&self, request: Request) -> Reply {
         let began = self.0.now();
         let (head, body) = request.into_parts();
-        let ask = match self.0.dialect.ask(&head) {
+        let ask = match self.0.dialect.parse_request(&head) {
             Ok(ask) => ask,
             Err(error) => {
                 log::info!(event = "request-malformed", error = error.to_string().as_str(); "");
@@ -118,7 +118,12 @@
         known.or(over).await;
     }
 
-    fn admit(&self, ask: Ask, head: request::Parts, began: Time) -> Result<Ticket, Refused> {
+    fn admit(
+        &self,
+        ask: RequestHead,
+        head: request::Parts,
+        began: Time,
+    ) -> Result<Ticket, Refused> {
         let catalog = self.0.catalog.get();
         let Some(catalog) = catalog.as_ref() else {
             return Err(Refused::new(&ask, Refusal::NoConfig, None));
@@ -148,7 +153,7 @@
 }
 
 impl Refused {
-    fn new(ask: &Ask, refusal: Refusal, catalog: Option<&Arc<Catalog>>) -> Self {
+    fn new(ask: &RequestHead, refusal: Refusal, catalog: Option<&Arc<Catalog>>) -> Self {
         Self {
             request: ask.id.clone(),
             refusal,
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -11,9 +11,9 @@
 use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
 
-use crate::registry::Failure;
 use crate::registry::NodeEntry;
 use crate::registry::Page;
+use crate::registry::RegistryError;
 use crate::registry::Topic;
 use crate::registry::Update;
 use crate::shared::Shared;
@@ -58,13 +58,13 @@
         match pages {
             Ok((records, end)) => {
                 backoff.succeeded();
-                shared.upkeep().read(shared.now(), true);
+                shared.registry_polling().read(shared.now(), true);
                 shared.replace(topic, records, end);
                 note_read(shared, topic, sent);
                 return;
             }
             Err(failure) => {
-                shared.upkeep().read(shared.now(), false);
+                shared.registry_polling().read(shared.now(), false);
                 shared.catch_up().registry_fails(true);
                 log::warn!(event = "registry-failed", topic = topic.to_string().as_str(), call = "list", why = failure.to_string().as_str(); "");
             }
@@ -76,19 +76,23 @@
     }
 }
 
-async fn pages(shared: &Shared, topic: Topic) -> Result<(Vec<Record>, Offset), Failure> {
+async fn pages(shared: &Shared, topic: Topic) -> Result<(Vec<Record>, Offset), RegistryError> {
     let mut all = Vec::new();
     // Pages are no snapshot: reading goes on from where the first one ended.
     let mut first_end = None;
     let mut after = None;
     loop {
-        let Page { records, more, end } = shared
+        let Page {
+            records,
+            next_key,
+            end,
+        } = shared
             .registry
-            .newest(topic, after, &|| note_came(shared, topic))
+            .list_page(topic, after, &|| note_came(shared, topic))
             .await?;
         all.extend(records);
         let end = *first_end.get_or_insert(end);
-        match more {
+        match next_key {
             Some(key) => after = Some(key),
             None => return Ok((all, end)),
         }
@@ -107,7 +111,7 @@
 ) -> bool {
     match update {
         Update::Records { records, next, end } => {
-            shared.upkeep().read(shared.now(), true);
+            shared.registry_polling().read(shared.now(), true);
             shared.catch_up().registry_fails(false);
             if std::mem::take(failing) {
                 log::info!(event = "registry-regained", topic = topic.to_string().as_str(); "");
@@ -119,13 +123,13 @@
             }
             !is_far(topic, next, end)
         }
-        Update::Gone => {
+        Update::Truncated => {
             let from = shared.next_of(topic).0;
             log::info!(event = "registry-history-gone", topic = topic.to_string().as_str(), from; "");
             false
         }
         Update::Failed(failure) => {
-            shared.upkeep().read(shared.now(), false);
+            shared.registry_polling().read(shared.now(), false);
             shared.catch_up().registry_fails(true);
             if !std::mem::replace(failing, true) {
                 let from = shared.next_of(topic).0;
@@ -162,7 +166,7 @@
         Topic::Endpoints => Kept::Endpoints,
         Topic::Nodes => return,
     };
-    shared.upkeep().confirm(kept, sent);
+    shared.registry_polling().confirm(kept, sent);
 }
 
 /// Registers this node and looks for others.
@@ -173,7 +177,7 @@
         address: shared.settings.listen.peers,
         power: Some(shared.settings.power),
     };
-    while !shared.registry.announce(&node, own).await {
+    while !shared.registry.register(&node, own).await {
         Timer::after(backoff.failed()).await;
     }
     let later = std::iter::repeat(NODES_PAUSE);
@@ -181,7 +185,7 @@
     for pause in NODES_PAUSES.into_iter().chain(later) {
         Timer::after(pause).await;
         // Who has a list of others leaves later ones to one node.
-        if listed && !shared.is_first() {
+        if listed && !shared.is_reader() {
             continue;
         }
         match pages(&shared, Topic::Nodes).await {
--- a/gateway/src/leaving.rs
+++ b/gateway/src/leaving.rs
@@ -42,7 +42,7 @@
     }
 
     fn candidate(&self, ahead: Ahead) -> Candidate {
-        let tokens = self.ask.prompt.and_then(|p| p.length());
+        let tokens = self.ask.prompt.and_then(|p| p.output_length());
         let durations = self.shared.durations();
         Candidate {
             stream: self.route.kind.is_stream(),
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -31,4 +31,4 @@
 pub use node::Gateway;
 pub use node::StartError;
 pub use program::Adapter;
-pub use program::Front;
+pub use program::GatewayProgram;
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -216,7 +216,7 @@
             given_up,
             cut,
         });
-        self.shared.aside.set();
+        self.shared.out_of_rotation.set();
         self.shared.owners().leave();
         self.shared.dispatcher.leaving();
         Timer::after(ASIDE).await;
--- a/gateway/src/program.rs
+++ b/gateway/src/program.rs
@@ -26,12 +26,12 @@
 
 /// A gateway on the platform that `A` adapts.
 #[derive(Debug)]
-pub struct Front<A> {
+pub struct GatewayProgram<A> {
     gateway: Gateway,
     adapter: PhantomData<A>,
 }
 
-impl<A: Adapter> Program for Front<A> {
+impl<A: Adapter> Program for GatewayProgram<A> {
     const NAME: &'static str = "snipeyoke-front";
     const LOG: Output = Output::Stdout;
 
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -17,7 +17,7 @@
         self.apply_config(news, source);
         self.grown.notify(usize::MAX);
         // The others look at this node in a moment; told now, they have it at once.
-        if !news.is_empty() && self.is_first() {
+        if !news.is_empty() && self.is_reader() {
             self.dispatcher.config_grew();
         }
     }
@@ -28,7 +28,7 @@
                 continue;
             };
             let begun = self.now();
-            match self.registry.catalog(&record.key, value) {
+            match self.registry.parse_catalog(&record.key, value) {
                 Some(Ok(catalog)) => {
                     let took = self.now().since(begun).as_millis() as u64;
                     let version = catalog.version();
@@ -69,7 +69,7 @@
         let Some(value) = &record.value else {
             return self.forget(&record.key, record, source, "left");
         };
-        match self.registry.entry(&record.key, value) {
+        match self.registry.parse_endpoint(&record.key, value) {
             Ok(entry) => {
                 let id = entry.id.clone();
                 let mut directory = self.directory();
@@ -144,7 +144,7 @@
 
     fn learn_nodes(&self, records: &[Record]) {
         let values = records.iter().filter_map(|r| r.value.as_ref());
-        let nodes = values.filter_map(|v| self.registry.node(v));
+        let nodes = values.filter_map(|v| self.registry.parse_node(v));
         let mut owners = self.owners();
         for node in nodes {
             owners.learn(self.now(), node.address);
--- a/gateway/src/registry.rs
+++ b/gateway/src/registry.rs
@@ -45,7 +45,7 @@
     /// The newest record of each key.
     pub records: Vec<Record>,
     /// The key after which the list goes on, if it does.
-    pub more: Option<String>,
+    pub next_key: Option<String>,
     /// The offset after the newest record.
     pub end: Offset,
 }
@@ -63,15 +63,15 @@
         end: Offset,
     },
     /// The records asked for are no longer kept: the list has to be read.
-    Gone,
+    Truncated,
     /// No answer, or a failure.
-    Failed(Failure),
+    Failed(RegistryError),
 }
 
 /// Why a call to the registry brought nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
-pub enum Failure {
+pub enum RegistryError {
     /// No connection, or one that failed.
     #[display("the connection failed: {what}; look at the way to the registry")]
     Connection {
@@ -80,10 +80,10 @@
     },
     /// No answer began in time.
     #[display("no answer began in time; look whether the registry is overloaded")]
-    Silent,
+    Timeout,
     /// An answer began and came no further.
     #[display("the answer came no further after {read} bytes; look at the link's load")]
-    Slow {
+    Stalled {
         /// The bytes that came.
         read: usize,
     },
@@ -95,7 +95,7 @@
     },
     /// The answer can't be read.
     #[display("the answer is no list of records; look whether the registry's release is known")]
-    Unreadable,
+    Malformed,
 }
 
 /// Why a record can't be used.
@@ -123,7 +123,7 @@
 ///
 /// A large answer takes seconds over a slow or full link. Who waits for it can
 /// tell by this that it is on its way, and need not ask again.
-pub type Came<'a> = &'a (dyn Fn() + Send + Sync);
+pub type OnProgress<'a> = &'a (dyn Fn() + Send + Sync);
 
 /// Where routes, endpoints and nodes are registered.
 ///
@@ -131,12 +131,12 @@
 /// answer begins in time, or when one that began comes no further.
 pub trait Registry: Debug + Send + Sync + 'static {
     /// Reads a page of the newest records of a topic, after a key.
-    fn newest<'a>(
+    fn list_page<'a>(
         &'a self,
         topic: Topic,
         after: Option<String>,
-        came: Came<'a>,
-    ) -> LogCall<'a, Result<Page, Failure>>;
+        on_progress: OnProgress<'a>,
+    ) -> LogCall<'a, Result<Page, RegistryError>>;
 
     /// Reads the records from an offset on, or waits for one.
     fn read<'a>(
@@ -144,26 +144,26 @@
         topic: Topic,
         from: Offset,
         wait: Duration,
-        came: Came<'a>,
+        on_progress: OnProgress<'a>,
     ) -> LogCall<'a, Update>;
 
     /// Registers this node; tells whether it is registered for sure.
-    fn announce(&self, node: &NodeId, entry: NodeEntry) -> LogCall<'_, bool>;
+    fn register(&self, node: &NodeId, entry: NodeEntry) -> LogCall<'_, bool>;
 
     /// Reads a record of the configuration; `None` if its key is another one.
     ///
     /// # Errors
     ///
     /// Returns [`RecordError`] if it can't be used.
-    fn catalog(&self, key: &str, value: &[u8]) -> Option<Result<Catalog, RecordError>>;
+    fn parse_catalog(&self, key: &str, value: &[u8]) -> Option<Result<Catalog, RecordError>>;
 
     /// Reads an endpoint's record.
     ///
     /// # Errors
     ///
     /// Returns [`RecordError`] if it can't be used.
-    fn entry(&self, key: &str, value: &[u8]) -> Result<Entry, RecordError>;
+    fn parse_endpoint(&self, key: &str, value: &[u8]) -> Result<Entry, RecordError>;
 
     /// Reads a node's record.
-    fn node(&self, value: &[u8]) -> Option<NodeEntry>;
+    fn parse_node(&self, value: &[u8]) -> Option<NodeEntry>;
 }
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -70,7 +70,7 @@
     /// Set once the other nodes are known from a list.
     pub(crate) listed: Flag,
     /// Set once the balancer is asked to pass this node over.
-    pub(crate) aside: Flag,
+    pub(crate) out_of_rotation: Flag,
     /// Set once callers' idle connections are closed.
     pub(crate) drain: Flag,
     /// Set once nothing new is answered.
@@ -123,7 +123,7 @@
             grown: Event::new(),
             behind: Event::new(),
             listed: Flag::default(),
-            aside: Flag::default(),
+            out_of_rotation: Flag::default(),
             drain: Flag::default(),
             end: Flag::default(),
             overtime: Flag::default(),
@@ -172,21 +172,21 @@
         lock(&self.crashes)
     }
 
-    pub(crate) fn upkeep(&self) -> MutexGuard<'_, Upkeep> {
+    pub(crate) fn registry_polling(&self) -> MutexGuard<'_, Upkeep> {
         lock(&self.upkeep)
     }
 
     /// Tells whether this node reads the registry for others now.
-    pub(crate) fn is_first(&self) -> bool {
+    pub(crate) fn is_reader(&self) -> bool {
         let now = self.now();
         // The order of these two locks is the same everywhere.
-        let mut upkeep = self.upkeep();
+        let mut upkeep = self.registry_polling();
         upkeep.is_first(now, &mut self.owners())
     }
 
     /// Takes in that copies of the endpoints differ from another node's.
-    pub(crate) fn differs(&self) {
-        if self.upkeep().differs(self.now()) {
+    pub(crate) fn on_endpoints_differ(&self) {
+        if self.registry_polling().differs(self.now()) {
             self.differs.store(true, Ordering::Relaxed);
             self.regained.notify(usize::MAX);
         }
@@ -195,7 +195,7 @@
     /// Takes in up to where a neighbour has the configuration.
     ///
     /// `size` are the bytes of its configuration.
-    pub(crate) fn told_config(&self, node: SocketAddr, next: Offset, size: u64) {
+    pub(crate) fn on_peer_config(&self, node: SocketAddr, next: Offset, size: u64) {
         if self.catch_up().told(self.now(), node, next, size) {
             log::info!(event = "config-behind", node = node.to_string().as_str(), next = next.0; "");
             self.behind.notify(usize::MAX);
@@ -212,13 +212,14 @@
 
     /// Tells whether the endpoints are to be asked of a neighbour, all of them.
     pub(crate) fn lacks_endpoints(&self) -> bool {
-        self.upkeep().is_cut_off(self.now(), Kept::Endpoints)
+        self.registry_polling()
+            .is_cut_off(self.now(), Kept::Endpoints)
     }
 
     /// Tells whether the node can serve callers.
     pub(crate) fn is_ready(&self) -> bool {
         let knows = self.catalog.get().is_some() && self.has_met();
-        knows && self.directory().iter().next().is_some() && !self.aside.is_set()
+        knows && self.directory().iter().next().is_some() && !self.out_of_rotation.is_set()
     }
 
     /// Tells whether this node can tell which node owns a service.
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -57,7 +57,7 @@
         if ticket.route.stages.is_empty() {
             return Ok(None);
         }
-        let plan = Plan::new(&ticket.route.stages, &ticket.ask.pieces)?;
+        let plan = Plan::new(&ticket.route.stages, &ticket.ask.item_counts)?;
         Ok(Some(Self {
             dispatcher: ticket.shared.dispatcher.clone(),
             plan,
@@ -130,7 +130,7 @@
             stage: order.stage,
             pieces: order.pieces.clone(),
             work: order.work,
-            key: ticket.ask.piece_key.clone(),
+            key: ticket.ask.item_key.clone(),
             each: stage.bytes,
             goal: later(now, times.goal(order.stage, ticket.goal)),
             due: later(now, times.due(order.stage, ticket.due)),
--- a/gateway/src/ticket.rs
+++ b/gateway/src/ticket.rs
@@ -22,7 +22,7 @@
 use snipeyoke_lib::serving::durations::Took;
 use snipeyoke_lib::time::Time;
 
-use crate::dialect::Ask;
+use crate::dialect::RequestHead;
 use crate::fingerprint::fingerprint;
 use crate::refusal::Refusal;
 use crate::shared::Shared;
@@ -32,7 +32,7 @@
 pub(crate) struct Ticket {
     pub(crate) shared: Arc<Shared>,
     pub(crate) catalog: Arc<Catalog>,
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestHead,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     fingerprint: OnceLock<Fingerprint>,
@@ -79,14 +79,14 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         catalog: Arc<Catalog>,
-        ask: Ask,
+        ask: RequestHead,
         head: request::Parts,
         (route, holder): (Arc<Route>, Option<Holder>),
         began: Time,
     ) -> Option<Self> {
         let draw = rapidhash_v3(ask.id.as_bytes());
         let service = route.target(draw)?.clone();
-        let left = ask.left.unwrap_or(route.timeout).min(route.timeout);
+        let left = ask.remaining.unwrap_or(route.timeout).min(route.timeout);
         Some(Self {
             goal: began + route.goal,
             due: began + left,
@@ -172,7 +172,7 @@
     /// before the node leaves.
     pub(crate) async fn in_time_to_send<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         let late = async {
-            self.shared.aside.wait().await;
+            self.shared.out_of_rotation.wait().await;
             let latest = self.latest_send();
             Timer::after(latest.since(self.shared.now())).await;
             None
@@ -245,7 +245,7 @@
                 let took = Took {
                     wait: sent.since(self.began),
                     answer: now.since(sent),
-                    tokens: self.ask.prompt.and_then(|p| p.length()),
+                    tokens: self.ask.prompt.and_then(|p| p.output_length()),
                 };
                 self.shared.durations().observe(&self.route.name, took);
             }
@@ -268,8 +268,8 @@
             staged_ms = since(self.timeline.staged),
             first_ms = since(self.timeline.first),
             events = self.timeline.events,
-            answer_tokens = self.ask.prompt.and_then(|p| p.answer).unwrap_or_default(),
-            expected_tokens = self.ask.prompt.and_then(|p| p.expected).unwrap_or_default(),
+            answer_tokens = self.ask.prompt.and_then(|p| p.max_output).unwrap_or_default(),
+            expected_tokens = self.ask.prompt.and_then(|p| p.expected_output).unwrap_or_default(),
             tries = self.tried.len(),
             endpoint = endpoint.as_deref().unwrap_or("-"),
             fingerprint = fingerprint.as_deref().unwrap_or("-"),
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -90,7 +90,7 @@
             return;
         }
         // Another node may have to read for all from any moment on.
-        let most = shared.upkeep().look_pause();
+        let most = shared.registry_polling().look_pause();
         let timer = async {
             Timer::after(at.since(now).min(most)).await;
         };
@@ -99,8 +99,8 @@
 }
 
 fn read_at(shared: &Shared, kept: Kept) -> Time {
-    let first = shared.is_first();
-    let fresh = shared.upkeep().read_at(kept, first);
+    let first = shared.is_reader();
+    let fresh = shared.registry_polling().read_at(kept, first);
     if kept == Kept::Endpoints {
         return fresh;
     }
@@ -118,7 +118,7 @@
 impl Sight {
     fn note(&mut self, shared: &Shared, kept: Kept) {
         let now = shared.now();
-        let freshness = *shared.upkeep().of(kept);
+        let freshness = *shared.registry_polling().of(kept);
         let age = freshness.age(now).unwrap_or_default();
         let gauge = match kept {
             Kept::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
