--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -128,7 +128,9 @@
     fn drop(&mut self) {
         self.shared.directory().ended(&self.endpoint);
         if !self.settled && self.handed.is_set() {
-            self.shared.dispatcher.given_up(self.run(), self.request);
+            self.shared
+                .dispatcher
+                .request_abandoned(self.run(), self.request);
         }
     }
 }
@@ -194,7 +196,7 @@
                 note_error(ticket, &choice.entry.id, &error);
                 flight.settle();
                 if let Some(booking) = &mut flight.booking {
-                    booking.failed();
+                    booking.mark_failed();
                 }
                 if !error.is_not_sent() {
                     note_break(ticket, &mut flight);
@@ -205,7 +207,7 @@
                     ticket
                         .shared
                         .dispatcher
-                        .refused(flight.run(), flight.address);
+                        .connection_refused(flight.run(), flight.address);
                 }
                 ticket.may_have_run = may_have_run;
                 failed.push(choice.entry.id);
@@ -237,7 +239,9 @@
         afar: ticket.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
         avoid,
     };
-    let (booking, endpoint) = shared.dispatcher.place(ticket.service.clone(), wish);
+    let (booking, endpoint) = shared
+        .dispatcher
+        .request_placement(ticket.service.clone(), wish);
     let told = async { endpoint.recv().await.ok().flatten() };
     let over = async {
         async_io::Timer::after(PLACE_WAIT).await;
@@ -390,7 +394,7 @@
         health.answered(now, ratio);
     }
     if let Some(booking) = &flight.booking {
-        booking.begun(ratio);
+        booking.first_event(ratio);
     }
 }
 
@@ -401,7 +405,7 @@
         health.failed(now);
     }
     if let Some(booking) = &mut flight.booking {
-        booking.failed();
+        booking.mark_failed();
     }
 }
 
@@ -409,7 +413,7 @@
 pub(crate) fn note_break(ticket: &Ticket, flight: &mut InFlight) {
     flight.settle();
     let dispatcher = &ticket.shared.dispatcher;
-    dispatcher.broke(flight.run(), flight.address, flight.request);
+    dispatcher.connection_broke(flight.run(), flight.address, flight.request);
 }
 
 /// Tells whether a status says that the request did not run.
--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -64,7 +64,7 @@
     let requests = send.items.iter().filter_map(|i| i.fingerprint);
     for request in requests.collect::<BTreeSet<_>>() {
         let dispatcher = &shared.dispatcher;
-        dispatcher.broke(run.clone(), send.entry.address, request);
+        dispatcher.connection_broke(run.clone(), send.entry.address, request);
     }
 }
 
--- a/gateway/src/dispatch/convert.rs
+++ b/gateway/src/dispatch/convert.rs
@@ -18,9 +18,9 @@
 use snipeyoke_wire::PieceJobEnd;
 use snipeyoke_wire::Quarantine;
 
-use super::Done;
 use super::JobNumber;
-use super::Made;
+use super::JobResult;
+use super::StageResult;
 
 /// Writes a job for another node.
 pub(super) fn job_frame(now: Time, number: JobNumber, service: &str, job: &Job) -> PieceJob {
@@ -79,36 +79,36 @@
 }
 
 /// Writes the end of a job for the node that handed it in.
-pub(super) fn end_frame(done: &Done) -> PieceJobEnd {
-    let made = done.made.iter().map(|m| snipeyoke_wire::PieceResult {
-        piece: m.piece,
-        handle: m.handle.clone(),
-        endpoint: m.endpoint.to_string(),
+pub(super) fn end_frame(done: &JobResult) -> PieceJobEnd {
+    let results = done.results.iter().map(|r| snipeyoke_wire::PieceResult {
+        piece: r.item,
+        handle: r.handle.clone(),
+        endpoint: r.endpoint.to_string(),
     });
     PieceJobEnd {
         job: done.number.0,
-        made: made.collect(),
+        made: results.collect(),
         failure: done.failure.map(|f| f.to_string()).unwrap_or_default(),
         backlog_ms: done.backlog.as_millis() as u64,
     }
 }
 
 /// Reads the end of a job; results of unreadable endpoints are left out.
-pub(super) fn done_of(frame: PieceJobEnd) -> Done {
-    let made = frame.made.into_iter().filter_map(|m| {
-        Some(Made {
-            piece: m.piece,
-            handle: m.handle,
-            endpoint: m.endpoint.parse().ok()?,
+pub(super) fn done_of(frame: PieceJobEnd) -> JobResult {
+    let results = frame.made.into_iter().filter_map(|r| {
+        Some(StageResult {
+            item: r.piece,
+            handle: r.handle,
+            endpoint: r.endpoint.parse().ok()?,
         })
     });
     let failure = match frame.failure.as_str() {
         "" => None,
-        text => Some(text.parse().unwrap_or(super::Failure::Failed)),
+        text => Some(text.parse().unwrap_or(super::JobFailure::Failed)),
     };
-    Done {
+    JobResult {
         number: JobNumber(frame.job),
-        made: made.collect(),
+        results: results.collect(),
         failure,
         backlog: Duration::from_millis(frame.backlog_ms),
     }
--- a/gateway/src/dispatch/asked.rs
+++ b/gateway/src/dispatch/inbound.rs
@@ -18,12 +18,12 @@
 use snipeyoke_wire::SyncRequest;
 use snipeyoke_wire::frame::Body;
 
-use super::Done;
-use super::Failure;
+use super::JobFailure;
 use super::JobNumber;
+use super::JobResult;
 use super::convert;
 use super::messages::LinkNumber;
-use super::neighbours::learn;
+use super::peers::learn;
 use super::run::Delivered;
 use super::run::EarlyAsked;
 use super::run::Origin;
@@ -123,10 +123,10 @@
         let Some(caller) = self.callers.get(&link) else {
             return;
         };
-        let refused = Done {
+        let refused = JobResult {
             number: JobNumber(number),
-            made: Vec::new(),
-            failure: Some(Failure::Failed),
+            results: Vec::new(),
+            failure: Some(JobFailure::Failed),
             backlog: Duration::ZERO,
         };
         let _full = caller
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -14,8 +14,8 @@
 use snipeyoke_runtime::link::LinkSender;
 use snipeyoke_wire::frame::Body;
 
-use super::Done;
 use super::JobNumber;
+use super::JobResult;
 use super::places::Note;
 
 /// Numbers the links that other nodes opened.
@@ -30,7 +30,7 @@
         number: JobNumber,
         service: PoolName,
         job: Job,
-        reply: Sender<Done>,
+        reply: Sender<JobResult>,
     },
     /// A request of this node no longer waits for a job.
     Cancel { number: JobNumber },
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -3,14 +3,14 @@
 //! One task of the traffic thread holds the queues of the services that this
 //! node owns, the jobs that others own, and the links to other nodes.
 
-mod asked;
 mod calls;
 mod convert;
 mod copies;
 mod crashes;
+mod inbound;
 mod links;
 mod messages;
-mod neighbours;
+mod peers;
 mod places;
 mod queues;
 mod run;
@@ -42,8 +42,8 @@
 
 /// A result and the endpoint that holds it.
 #[derive(Debug, Clone)]
-pub(crate) struct Made {
-    pub(crate) piece: u32,
+pub(crate) struct StageResult {
+    pub(crate) item: u32,
     pub(crate) handle: String,
     pub(crate) endpoint: EndpointId,
 }
@@ -51,7 +51,7 @@
 /// Why a job did not get all its results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::FromStr)]
-pub(crate) enum Failure {
+pub(crate) enum JobFailure {
     /// It could not be done in time.
     #[display("late")]
     Late,
@@ -65,10 +65,10 @@
 
 /// The end of a job.
 #[derive(Debug, Clone)]
-pub(crate) struct Done {
+pub(crate) struct JobResult {
     pub(crate) number: JobNumber,
-    pub(crate) made: Vec<Made>,
-    pub(crate) failure: Option<Failure>,
+    pub(crate) results: Vec<StageResult>,
+    pub(crate) failure: Option<JobFailure>,
     /// How long what waits at the owner takes, if that is why.
     pub(crate) backlog: Duration,
 }
@@ -89,7 +89,12 @@
     }
 
     /// Hands in a job; its end comes over `reply`.
-    pub(crate) fn submit(&self, service: PoolName, job: Job, reply: Sender<Done>) -> JobNumber {
+    pub(crate) fn submit(
+        &self,
+        service: PoolName,
+        job: Job,
+        reply: Sender<JobResult>,
+    ) -> JobNumber {
         let number = JobNumber(self.next.fetch_add(1, Ordering::Relaxed));
         self.tell(Message::Submit {
             number,
@@ -103,7 +108,7 @@
     /// Asks for the endpoint that a request is best sent to.
     ///
     /// Over the receiver comes `None` if this node has to choose by itself.
-    pub(crate) fn place(
+    pub(crate) fn request_placement(
         &self,
         service: PoolName,
         wish: Wish,
@@ -125,12 +130,17 @@
     }
 
     /// Says that nobody needs these results any more.
-    pub(crate) fn give_back(&self, service: PoolName, results: Vec<(EndpointId, String)>) {
+    pub(crate) fn release_results(&self, service: PoolName, results: Vec<(EndpointId, String)>) {
         self.tell(Message::GiveBack { service, results });
     }
 
     /// Says that the connection of a request to an endpoint broke.
-    pub(crate) fn broke(&self, run: Incarnation, address: SocketAddr, request: Fingerprint) {
+    pub(crate) fn connection_broke(
+        &self,
+        run: Incarnation,
+        address: SocketAddr,
+        request: Fingerprint,
+    ) {
         self.tell(Message::Broke {
             run,
             address,
@@ -139,17 +149,17 @@
     }
 
     /// Says that a request was given up while an endpoint had it.
-    pub(crate) fn given_up(&self, run: Incarnation, request: Fingerprint) {
+    pub(crate) fn request_abandoned(&self, run: Incarnation, request: Fingerprint) {
         self.tell(Message::GivenUp { run, request });
     }
 
     /// Says that an endpoint refused a connection.
-    pub(crate) fn refused(&self, run: Incarnation, address: SocketAddr) {
+    pub(crate) fn connection_refused(&self, run: Incarnation, address: SocketAddr) {
         self.tell(Message::Refused { run, address });
     }
 
     /// Says what all other nodes are to know of a request.
-    pub(crate) fn tell_verdict(&self, verdict: Verdict) {
+    pub(crate) fn announce_verdict(&self, verdict: Verdict) {
         self.tell(Message::Verdict(verdict));
     }
 
@@ -159,12 +169,12 @@
     }
 
     /// Says that this node has a newer configuration.
-    pub(crate) fn config_grew(&self) {
+    pub(crate) fn config_changed(&self) {
         self.tell(Message::ConfigGrew);
     }
 
     /// Says that this node leaves.
-    pub(crate) fn leaving(&self) {
+    pub(crate) fn announce_leaving(&self) {
         self.tell(Message::Leaving);
     }
 
--- a/gateway/src/dispatch/places.rs
+++ b/gateway/src/dispatch/places.rs
@@ -64,12 +64,12 @@
     }
 
     /// Notes that the first event came, after `pace` times the expected time.
-    pub(crate) fn begun(&self, pace: f32) {
+    pub(crate) fn first_event(&self, pace: f32) {
         self.tell(Note::Begun { pace });
     }
 
     /// Notes that the endpoint failed.
-    pub(crate) const fn failed(&mut self) {
+    pub(crate) const fn mark_failed(&mut self) {
         self.failed = true;
     }
 
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -19,10 +19,10 @@
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_wire::frame::Body;
 
-use super::Done;
-use super::Failure;
+use super::JobFailure;
 use super::JobNumber;
-use super::Made;
+use super::JobResult;
+use super::StageResult;
 use super::calls;
 use super::convert;
 use super::messages::Message;
@@ -148,9 +148,9 @@
     }
 
     pub(super) fn ended(&mut self, origin: Origin, end: JobEnd) {
-        let made = end.made.into_iter();
-        let made = made.map(|(piece, handle, endpoint)| Made {
-            piece,
+        let results = end.made.into_iter();
+        let results = results.map(|(item, handle, endpoint)| StageResult {
+            item,
             handle,
             endpoint,
         });
@@ -158,9 +158,9 @@
             Origin::Own(number) => number,
             Origin::Peer { job, .. } => JobNumber(job),
         };
-        let done = Done {
+        let done = JobResult {
             number,
-            made: made.collect(),
+            results: results.collect(),
             failure: end.failure.as_ref().map(failure),
             backlog: end.backlog,
         };
@@ -271,10 +271,10 @@
     queue.set_endpoints(entries.filter(|e| e.service == *service));
 }
 
-const fn failure(outcome: &Outcome) -> Failure {
+const fn failure(outcome: &Outcome) -> JobFailure {
     match outcome {
-        Outcome::Late => Failure::Late,
-        Outcome::Gone => Failure::Gone,
-        Outcome::Made(_) | Outcome::Full | Outcome::Failed => Failure::Failed,
+        Outcome::Late => JobFailure::Late,
+        Outcome::Gone => JobFailure::Gone,
+        Outcome::Made(_) | Outcome::Full | Outcome::Failed => JobFailure::Failed,
     }
 }
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -29,9 +29,9 @@
 use snipeyoke_wire::PieceUnneeded;
 use snipeyoke_wire::frame::Body;
 
-use super::Done;
-use super::Failure;
+use super::JobFailure;
 use super::JobNumber;
+use super::JobResult;
 use super::convert;
 use super::crashes::Report;
 use super::links;
@@ -70,7 +70,7 @@
 pub(super) struct PendingJob {
     pub(super) service: PoolName,
     pub(super) job: Job,
-    pub(super) reply: Sender<Done>,
+    pub(super) reply: Sender<JobResult>,
     pub(super) place: Place,
 }
 
@@ -173,7 +173,7 @@
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
     pub(super) callers: BTreeMap<LinkNumber, Caller>,
     /// Jobs from before this node could tell who owns their service.
-    pub(super) early: Vec<(JobNumber, PoolName, Job, Sender<Done>)>,
+    pub(super) early: Vec<(JobNumber, PoolName, Job, Sender<JobResult>)>,
     /// Other nodes' jobs from before this node had a configuration.
     pub(super) early_asked: Vec<EarlyAsked>,
     /// Nodes whose last link ended, and when.
@@ -282,7 +282,7 @@
         number: JobNumber,
         service: PoolName,
         job: Job,
-        reply: Sender<Done>,
+        reply: Sender<JobResult>,
     ) {
         if !self.shared.knows_owners() {
             self.early.push((number, service, job, reply));
@@ -291,11 +291,11 @@
         let owner = self.shared.owners().owner(self.shared.now(), &service);
         let place = if owner == self.shared.settings.listen.peers {
             let Some(id) = self.queue(&service, job.clone(), Origin::Own(number)) else {
-                let failure = Some(Failure::Failed);
-                let made = Vec::new();
-                let _gone = reply.try_send(Done {
+                let failure = Some(JobFailure::Failed);
+                let results = Vec::new();
+                let _gone = reply.try_send(JobResult {
                     number,
-                    made,
+                    results,
                     failure,
                     backlog: Duration::ZERO,
                 });
@@ -445,7 +445,7 @@
         }
     }
 
-    pub(super) fn done(&mut self, done: Done) {
+    pub(super) fn done(&mut self, done: JobResult) {
         if let Some(ticket) = self.pending.remove(&done.number) {
             let _gone = ticket.reply.try_send(done);
         }
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -218,7 +218,7 @@
         });
         self.shared.aside.set();
         self.shared.owners().leave();
-        self.shared.dispatcher.leaving();
+        self.shared.dispatcher.announce_leaving();
         Timer::after(ASIDE).await;
         self.shared.drain.set();
         self.shared.end.set();
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -18,7 +18,7 @@
         self.grown.notify(usize::MAX);
         // The others look at this node in a moment; told now, they have it at once.
         if !news.is_empty() && self.is_first() {
-            self.dispatcher.config_grew();
+            self.dispatcher.config_changed();
         }
     }
 
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -17,9 +17,9 @@
 use snipeyoke_lib::units::Bytes;
 
 use crate::dispatch::Dispatcher;
-use crate::dispatch::Done;
-use crate::dispatch::Failure;
+use crate::dispatch::JobFailure;
 use crate::dispatch::JobNumber;
+use crate::dispatch::JobResult;
 use crate::refusal::Refusal;
 use crate::ticket::Ticket;
 
@@ -48,7 +48,7 @@
     plan: Plan,
     makers: BTreeMap<String, Made>,
     open: BTreeMap<JobNumber, (usize, Vec<u32>)>,
-    ends: (Sender<Done>, Receiver<Done>),
+    ends: (Sender<JobResult>, Receiver<JobResult>),
 }
 
 impl StageWork {
@@ -153,19 +153,19 @@
         StageTimes::new(&ticket.route.stages, &self.plan.counts(), model, limits)
     }
 
-    fn take(&mut self, ticket: &mut Ticket, done: Done) -> Result<(), Refusal> {
+    fn take(&mut self, ticket: &mut Ticket, done: JobResult) -> Result<(), Refusal> {
         let Some((stage, pieces)) = self.open.remove(&done.number) else {
             return Ok(());
         };
         let service = &ticket.route.stages[stage].service;
-        for made in done.made {
+        for made in done.results {
             let result = Made {
                 service: service.clone(),
                 endpoint: made.endpoint,
                 size: ticket.route.stages[stage].bytes,
             };
             self.makers.insert(made.handle.clone(), result);
-            self.plan.done(stage, made.piece, made.handle);
+            self.plan.done(stage, made.item, made.handle);
         }
         if let Some(failure) = done.failure {
             log::info!(event = "stage-failed", request = ticket.ask.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ticket.left().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
@@ -173,9 +173,9 @@
         }
         let again = match done.failure {
             None => return Ok(()),
-            Some(Failure::Late) => return Err(Refusal::StagesLate),
-            Some(Failure::Gone) => self.inputs_gone(stage, &pieces),
-            Some(Failure::Failed) => self.failed(stage, &pieces),
+            Some(JobFailure::Late) => return Err(Refusal::StagesLate),
+            Some(JobFailure::Gone) => self.inputs_gone(stage, &pieces),
+            Some(JobFailure::Failed) => self.failed(stage, &pieces),
         };
         again.map_err(|error| {
             log::warn!(event = "stage-given-up", request = ticket.ask.id.as_str(), stage, error = error.to_string().as_str(); "");
@@ -216,7 +216,7 @@
             }
         }
         for (service, results) in by_service {
-            self.dispatcher.give_back(service, results);
+            self.dispatcher.release_results(service, results);
         }
     }
 
--- a/gateway/src/ticket.rs
+++ b/gateway/src/ticket.rs
@@ -251,7 +251,7 @@
             }
             let lifted = self.shared.crashes().answered(now, self.fingerprint());
             if let Some(lifted) = lifted {
-                self.shared.dispatcher.tell_verdict(lifted);
+                self.shared.dispatcher.announce_verdict(lifted);
             }
         }
         let since = |at: Option<Time>| at.map_or(0, |at| at.since(self.began).as_millis() as u64);
