--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use snipeyoke_lib::serving::directory::Choice;
 use snipeyoke_lib::serving::directory::Entry;
 use snipeyoke_lib::serving::directory::Wanted;
-use snipeyoke_lib::serving::durations::Ahead;
+use snipeyoke_lib::serving::durations::Remaining;
 use snipeyoke_lib::serving::ends::Incarnation;
 use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
@@ -154,7 +154,7 @@
             return Tried::NotRun(Refusal::Quarantined);
         }
         // What has begun can't be refused any more.
-        if !ticket.begun && ticket.refused_by_leaving(Ahead::Answer) {
+        if !ticket.begun && ticket.refused_by_leaving(Remaining::Answer) {
             return Tried::Leaving;
         }
         log_choice(ticket, &choice);
@@ -223,7 +223,7 @@
 async fn book(ticket: &Ticket, failed: &[EndpointId]) -> Option<(Choice, Booking)> {
     let shared = &ticket.shared;
     let prompt = ticket.ask.prompt?;
-    if !ticket.catalog.service(&ticket.service)?.engine {
+    if !ticket.catalog.service(&ticket.service)?.is_engine {
         return None;
     }
     let keeps = prompt.shared >= SHARED_MIN;
@@ -308,7 +308,7 @@
 fn note_error(ticket: &Ticket, endpoint: &EndpointId, error: &CallError) {
     let now = ticket.shared.now();
     if let Some(health) = ticket.shared.directory().health_mut(endpoint) {
-        health.broke(now);
+        health.record_broken(now);
     }
     log::warn!(event = "call-failed", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
 }
@@ -339,7 +339,7 @@
     if answer.id.as_deref() != Some(ticket.ask.id.as_str()) || answer.coded {
         log::warn!(event = "answer-of-another", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), found = answer.id.as_deref().unwrap_or("-"); "");
         if let Some(health) = shared.directory().health_mut(&endpoint) {
-            health.failed(now);
+            health.record_failure(now);
         }
         return Tried::Unknown(Refusal::AnswerLost);
     }
@@ -372,7 +372,7 @@
         return Tried::InputsGone;
     }
     if let Some(health) = directory.health_mut(endpoint) {
-        health.failed(now);
+        health.record_failure(now);
     }
     Tried::NotRun(Refusal::Full)
 }
@@ -387,7 +387,7 @@
         .paces()
         .observe(&ticket.service, tokens, now.since(sent));
     if let Some(health) = shared.directory().health_mut(endpoint) {
-        health.answered(now, ratio);
+        health.record_response(now, ratio);
     }
     if let Some(booking) = &flight.booking {
         booking.begun(ratio);
@@ -398,7 +398,7 @@
 pub(crate) fn note_failure(ticket: &Ticket, flight: &mut InFlight) {
     let now = ticket.shared.now();
     if let Some(health) = ticket.shared.directory().health_mut(&flight.endpoint) {
-        health.failed(now);
+        health.record_failure(now);
     }
     if let Some(booking) = &mut flight.booking {
         booking.failed();
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -13,9 +13,9 @@
 use hyper::http::response;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::EndpointId;
+use snipeyoke_lib::serving::batching::BatchItem;
+use snipeyoke_lib::serving::batching::ItemOutcome;
 use snipeyoke_lib::serving::directory::Load;
-use snipeyoke_lib::serving::pieces::Item;
-use snipeyoke_lib::serving::pieces::Outcome;
 
 /// What a request says of its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -147,10 +147,10 @@
     fn answer(&self, head: &response::Parts) -> Answer;
 
     /// Writes a call for stage pieces.
-    fn run_pieces(&self, endpoint: &EndpointId, items: &[Item]) -> Request<Full<Bytes>>;
+    fn run_pieces(&self, endpoint: &EndpointId, items: &[BatchItem]) -> Request<Full<Bytes>>;
 
     /// Reads the answer to a call for stage pieces; `None` if it can't be read.
-    fn piece_outcomes(&self, body: &[u8]) -> Option<Vec<Outcome>>;
+    fn piece_outcomes(&self, body: &[u8]) -> Option<Vec<ItemOutcome>>;
 
     /// Writes a call that gives results back.
     fn give_back(&self, handles: &[String]) -> Request<Full<Bytes>>;
--- a/gateway/src/dispatch/asked.rs
+++ b/gateway/src/dispatch/asked.rs
@@ -5,9 +5,9 @@
 
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::JobId;
 use snipeyoke_lib::serving::owners::Owners;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::JobId;
 use snipeyoke_lib::serving::replica::Record;
 use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
@@ -171,7 +171,7 @@
             let theirs = |_: &String, d: &mut Delivered| departed.contains(&d.node);
             let found: Vec<_> = owned.delivered.extract_if(.., theirs).collect();
             for (handle, delivered) in found {
-                owned.queue.give_back(now, &delivered.endpoint, handle);
+                owned.queue.release(now, &delivered.endpoint, handle);
             }
         }
     }
@@ -197,7 +197,7 @@
             for result in frame.results {
                 owned.delivered.remove(&result.handle);
                 if let Ok(endpoint) = result.endpoint.parse() {
-                    owned.queue.give_back(now, &endpoint, result.handle);
+                    owned.queue.release(now, &endpoint, result.handle);
                 }
             }
         }
--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -6,10 +6,10 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
+use snipeyoke_lib::serving::batching::BatchCall;
+use snipeyoke_lib::serving::batching::CallResult;
 use snipeyoke_lib::serving::directory::Entry;
 use snipeyoke_lib::serving::ends::Incarnation;
-use snipeyoke_lib::serving::pieces::CallResult;
-use snipeyoke_lib::serving::pieces::PieceCall;
 use snipeyoke_runtime::flag::Flag;
 
 use crate::call::Call;
@@ -28,7 +28,7 @@
 const WAY: Duration = Duration::from_millis(200);
 
 /// Makes a call for pieces.
-pub(super) async fn run_pieces(shared: Arc<Shared>, send: PieceCall) -> CallResult {
+pub(super) async fn run_pieces(shared: Arc<Shared>, send: BatchCall) -> CallResult {
     let request = shared.dialect.run_pieces(&send.entry.id, &send.items);
     let answered = async {
         let handed = Flag::default();
@@ -43,7 +43,7 @@
         }
     };
     let over = async {
-        Timer::after(send.limit + WAY).await;
+        Timer::after(send.timeout + WAY).await;
         log::warn!(event = "pieces-silent", endpoint = send.entry.id.to_string().as_str(), pieces = send.items.len(); "");
         CallResult::Broken
     };
@@ -56,7 +56,7 @@
 }
 
 /// Notes that the connection of a call broke before its whole answer.
-fn note_break(shared: &Shared, send: &PieceCall) {
+fn note_break(shared: &Shared, send: &BatchCall) {
     let run = Incarnation {
         endpoint: send.entry.id.clone(),
         born: send.entry.born,
@@ -68,7 +68,7 @@
     }
 }
 
-async fn read(shared: &Shared, send: &PieceCall, mut call: Call) -> CallResult {
+async fn read(shared: &Shared, send: &BatchCall, mut call: Call) -> CallResult {
     let answer = shared.dialect.answer(&call.head);
     match answer.verdict {
         Verdict::WrongEndpoint => return CallResult::WrongEndpoint,
--- a/gateway/src/dispatch/convert.rs
+++ b/gateway/src/dispatch/convert.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use snipeyoke_lib::ids::Offset;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::StageInput;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
 use snipeyoke_lib::serving::ends::Incarnation;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::Work;
 use snipeyoke_lib::serving::replica::Record;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
@@ -25,31 +25,31 @@
 /// Writes a job for another node.
 pub(super) fn job_frame(now: Time, number: JobNumber, service: &str, job: &Job) -> PieceJob {
     let micros = |at: Time| at.since(now).as_micros() as u64;
-    let inputs = match &job.work {
-        Work::Key => Vec::new(),
-        Work::Inputs(inputs) => inputs.clone(),
+    let inputs = match &job.input {
+        StageInput::Key => Vec::new(),
+        StageInput::Results(inputs) => inputs.clone(),
     };
-    let near = job.inputs.as_ref().map(|(domain, _)| domain);
+    let near = job.input_source.as_ref().map(|(domain, _)| domain);
     PieceJob {
         job: number.0,
         service: service.to_owned(),
         request: job.request.clone(),
         fingerprint: job.fingerprint.map(bytes_of).unwrap_or_default(),
         stage: job.stage as u32,
-        pieces: job.pieces.clone(),
+        pieces: job.items.clone(),
         key: job.key.clone(),
         inputs,
-        each: job.each.0,
-        goal_us: micros(job.goal),
-        due_us: micros(job.due),
+        each: job.result_bytes.0,
+        goal_us: micros(job.target),
+        due_us: micros(job.deadline),
         domain: job
-            .domain
+            .result_domain
             .as_ref()
             .map(ToString::to_string)
             .unwrap_or_default(),
         priority: u32::from(job.priority),
         inputs_domain: near.map(ToString::to_string).unwrap_or_default(),
-        inputs_bytes: job.inputs.as_ref().map_or(0, |(_, bytes)| bytes.0),
+        inputs_bytes: job.input_source.as_ref().map_or(0, |(_, bytes)| bytes.0),
     }
 }
 
@@ -57,24 +57,24 @@
 pub(super) fn job_of(now: Time, frame: PieceJob) -> Job {
     let later = |micros: u64| now + Duration::from_micros(micros);
     let work = if frame.inputs.is_empty() {
-        Work::Key
+        StageInput::Key
     } else {
-        Work::Inputs(frame.inputs)
+        StageInput::Results(frame.inputs)
     };
     let near = frame.inputs_domain.parse().ok();
     Job {
         request: frame.request,
         fingerprint: fingerprint(&frame.fingerprint),
         stage: frame.stage as usize,
-        pieces: frame.pieces,
-        work,
+        items: frame.pieces,
+        input: work,
         key: frame.key,
-        each: Bytes(frame.each),
-        goal: later(frame.goal_us),
-        due: later(frame.due_us),
-        domain: frame.domain.parse().ok(),
+        result_bytes: Bytes(frame.each),
+        target: later(frame.goal_us),
+        deadline: later(frame.due_us),
+        result_domain: frame.domain.parse().ok(),
         priority: u8::try_from(frame.priority).unwrap_or(u8::MAX),
-        inputs: near.map(|domain| (domain, Bytes(frame.inputs_bytes))),
+        input_source: near.map(|domain| (domain, Bytes(frame.inputs_bytes))),
     }
 }
 
--- a/gateway/src/dispatch/crashes.rs
+++ b/gateway/src/dispatch/crashes.rs
@@ -172,7 +172,7 @@
 
     fn end_jobs(&mut self, request: Fingerprint) {
         for owned in self.queues.values_mut() {
-            owned.queue.refuse(request);
+            owned.queue.fail_request(request);
         }
     }
 
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -5,12 +5,12 @@
 use async_channel::Sender;
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::batching::CallResult;
+use snipeyoke_lib::serving::batching::Job;
 use snipeyoke_lib::serving::bookings::Wish;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
 use snipeyoke_lib::serving::ends::Incarnation;
-use snipeyoke_lib::serving::pieces::CallResult;
-use snipeyoke_lib::serving::pieces::Job;
 use snipeyoke_runtime::link::LinkSender;
 use snipeyoke_wire::frame::Body;
 
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -25,11 +25,11 @@
 use async_channel::Sender;
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::batching::Job;
 use snipeyoke_lib::serving::bookings::Wish;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
 use snipeyoke_lib::serving::ends::Incarnation;
-use snipeyoke_lib::serving::pieces::Job;
 
 pub(crate) use self::links::accept;
 pub(crate) use self::messages::Message;
--- a/gateway/src/dispatch/neighbours.rs
+++ b/gateway/src/dispatch/neighbours.rs
@@ -69,7 +69,7 @@
         for frame in &seen.quarantines {
             self.told_verdict(frame);
         }
-        self.shared.budget().share(count);
+        self.shared.budget().set_nodes(count);
         let next = Offset(seen.config_next);
         self.shared.told_config(peer, next, seen.config_bytes);
         if self.endpoints_asked.is_some_and(|(node, _)| node == peer) {
--- a/gateway/src/dispatch/places.rs
+++ b/gateway/src/dispatch/places.rs
@@ -228,10 +228,10 @@
             };
             if let Some(health) = self.shared.directory().health_mut(&endpoint) {
                 if let Some(pace) = note.pace {
-                    health.answered(now, pace as f32 / 100.0);
+                    health.record_response(now, pace as f32 / 100.0);
                 }
                 if note.failed {
-                    health.failed(now);
+                    health.record_failure(now);
                 }
             }
             return;
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -7,14 +7,14 @@
 
 use async_channel::Sender;
 use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::batching::BatchCall;
+use snipeyoke_lib::serving::batching::BatchQueue;
+use snipeyoke_lib::serving::batching::CallResult;
+use snipeyoke_lib::serving::batching::ItemOutcome;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::JobId;
+use snipeyoke_lib::serving::batching::JobResult;
 use snipeyoke_lib::serving::directory::Endpoint;
-use snipeyoke_lib::serving::pieces::CallResult;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::JobEnd;
-use snipeyoke_lib::serving::pieces::JobId;
-use snipeyoke_lib::serving::pieces::Outcome;
-use snipeyoke_lib::serving::pieces::PieceCall;
-use snipeyoke_lib::serving::pieces::PieceQueue;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_wire::frame::Body;
@@ -34,10 +34,10 @@
 use crate::shared::Shared;
 
 impl ServiceQueue {
-    fn note_delivered(&mut self, now: Time, node: SocketAddr, end: &JobEnd) {
+    fn note_delivered(&mut self, now: Time, node: SocketAddr, end: &JobResult) {
         self.delivered.retain(|_, d| d.until > now);
-        let until = now + self.queue.keep();
-        for (_, handle, endpoint) in &end.made {
+        let until = now + self.queue.result_ttl();
+        for (_, handle, endpoint) in &end.produced {
             let delivered = Delivered {
                 node,
                 endpoint: endpoint.clone(),
@@ -65,8 +65,13 @@
     pub(super) fn open(&mut self, service: &PoolName) -> Option<&mut ServiceQueue> {
         if !self.queues.contains_key(service) {
             let catalog = self.shared.catalog.get();
-            let found = catalog.as_ref().as_ref()?.service(service)?.pieces.clone();
-            let mut queue = PieceQueue::new(found?);
+            let found = catalog
+                .as_ref()
+                .as_ref()?
+                .service(service)?
+                .batching
+                .clone();
+            let mut queue = BatchQueue::new(found?);
             set_endpoints(&self.shared, service, &mut queue);
             log::info!(event = "service-owned", service = service.as_str(); "");
             let owned = ServiceQueue {
@@ -83,7 +88,7 @@
         let catalog = self.shared.catalog.get();
         for (service, owned) in &mut self.queues {
             let found = catalog.as_ref().as_ref().and_then(|c| c.service(service));
-            if let Some(limits) = found.and_then(|s| s.pieces.clone()) {
+            if let Some(limits) = found.and_then(|s| s.batching.clone()) {
                 owned.queue.set_limits(limits);
             }
             set_endpoints(&self.shared, service, &mut owned.queue);
@@ -100,7 +105,7 @@
         let mut ends = Vec::new();
         for (service, owned) in &mut self.queues {
             let sends = owned.queue.poll(now);
-            let waiting = owned.queue.waiting();
+            let waiting = owned.queue.waiting_items();
             for send in sends {
                 start(
                     &self.shared,
@@ -111,7 +116,7 @@
                     waiting,
                 );
             }
-            for (entry, handles) in owned.queue.take_unneeded(now) {
+            for (entry, handles) in owned.queue.take_releases(now) {
                 let shared = Arc::clone(&self.shared);
                 let inbox = self.inbox.clone();
                 let service = service.clone();
@@ -126,7 +131,7 @@
                     let _closed = inbox.try_send(dropped);
                 });
             }
-            for end in owned.queue.take_ends() {
+            for end in owned.queue.take_results() {
                 if let Some(origin) = owned.origins.remove(&end.job) {
                     if let Origin::Peer { link, .. } = origin
                         && let Some(node) = self.callers.get(&link).and_then(|c| c.node)
@@ -147,8 +152,8 @@
         }
     }
 
-    pub(super) fn ended(&mut self, origin: Origin, end: JobEnd) {
-        let made = end.made.into_iter();
+    pub(super) fn ended(&mut self, origin: Origin, end: JobResult) {
+        let made = end.produced.into_iter();
         let made = made.map(|(piece, handle, endpoint)| Made {
             piece,
             handle,
@@ -182,13 +187,13 @@
     inbox: &Sender<Message>,
     scope: &Scope,
     service: &PoolName,
-    send: PieceCall,
+    send: BatchCall,
     waiting: usize,
 ) {
     log::info!(
         event = "pieces-sent",
         service = service.as_str(),
-        call = send.call,
+        call = send.id,
         endpoint = send.entry.id.to_string().as_str(),
         pieces = send.items.len(),
         expected_ms = send.expected.as_millis() as u64,
@@ -200,7 +205,7 @@
     let inbox = inbox.clone();
     let service = service.clone();
     scope.spawn(async move {
-        let call = send.call;
+        let call = send.id;
         let began = shared.now();
         let endpoint = send.entry.id.to_string();
         let result = calls::run_pieces(Arc::clone(&shared), send).await;
@@ -224,9 +229,9 @@
     let (made, full, other) = match result {
         CallResult::Answered(outcomes) => {
             let count =
-                |wanted: fn(&Outcome) -> bool| outcomes.iter().filter(|o| wanted(o)).count();
-            let made = count(|o| matches!(o, Outcome::Made(_)));
-            let full = count(|o| matches!(o, Outcome::Full));
+                |wanted: fn(&ItemOutcome) -> bool| outcomes.iter().filter(|o| wanted(o)).count();
+            let made = count(|o| matches!(o, ItemOutcome::Produced(_)));
+            let full = count(|o| matches!(o, ItemOutcome::Full));
             (made, full, outcomes.len() - made - full)
         }
         CallResult::Refused | CallResult::WrongEndpoint | CallResult::Broken => (0, 0, 0),
@@ -256,13 +261,13 @@
 }
 
 /// Returns the requests of a call, each once.
-fn requests(send: &PieceCall) -> String {
+fn requests(send: &BatchCall) -> String {
     let mut names: Vec<&str> = send.items.iter().map(|i| i.request.as_str()).collect();
     names.dedup();
     names.join(",")
 }
 
-fn set_endpoints(shared: &Shared, service: &PoolName, queue: &mut PieceQueue) {
+fn set_endpoints(shared: &Shared, service: &PoolName, queue: &mut BatchQueue) {
     let directory = shared.directory();
     let entries = directory
         .iter()
@@ -271,10 +276,10 @@
     queue.set_endpoints(entries.filter(|e| e.service == *service));
 }
 
-const fn failure(outcome: &Outcome) -> Failure {
+const fn failure(outcome: &ItemOutcome) -> Failure {
     match outcome {
-        Outcome::Late => Failure::Late,
-        Outcome::Gone => Failure::Gone,
-        Outcome::Made(_) | Outcome::Full | Outcome::Failed => Failure::Failed,
+        ItemOutcome::Late => Failure::Late,
+        ItemOutcome::Gone => Failure::Gone,
+        ItemOutcome::Produced(_) | ItemOutcome::Full | ItemOutcome::Failed => Failure::Failed,
     }
 }
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -12,12 +12,12 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::batching::BatchQueue;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::JobId;
 use snipeyoke_lib::serving::bookings::Bookings;
 use snipeyoke_lib::serving::bookings::Shard;
 use snipeyoke_lib::serving::ends::Ends;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::JobId;
-use snipeyoke_lib::serving::pieces::PieceQueue;
 use snipeyoke_lib::serving::returned::Results;
 use snipeyoke_lib::serving::returned::Returned;
 use snipeyoke_lib::serving::slices::Assembly;
@@ -59,7 +59,7 @@
 /// The queue of a service whose pieces meet here.
 #[derive(Debug)]
 pub(super) struct ServiceQueue {
-    pub(super) queue: PieceQueue,
+    pub(super) queue: BatchQueue,
     pub(super) origins: BTreeMap<JobId, Origin>,
     /// Results that other nodes have not given back, by handle.
     pub(super) delivered: BTreeMap<String, Delivered>,
@@ -248,7 +248,7 @@
                 result,
             } => {
                 if let Some(owned) = self.queues.get_mut(&service) {
-                    owned.queue.ended(self.shared.now(), call, result);
+                    owned.queue.on_call_ended(self.shared.now(), call, result);
                 }
             }
             Message::Dropped {
@@ -257,7 +257,7 @@
                 handles,
             } => {
                 if let Some(owned) = self.queues.get_mut(&service) {
-                    owned.queue.dropped(&endpoint, &handles);
+                    owned.queue.on_released(&endpoint, &handles);
                 }
             }
             Message::Accepted { link, sender } => {
@@ -414,7 +414,7 @@
         if owner == self.shared.settings.listen.peers {
             if let Some(owned) = self.open(service) {
                 for (endpoint, handle) in results {
-                    owned.queue.give_back(now, &endpoint, handle);
+                    owned.queue.release(now, &endpoint, handle);
                 }
             }
             return;
--- a/gateway/src/door.rs
+++ b/gateway/src/door.rs
@@ -14,7 +14,7 @@
 use hyper::http::request;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::catalog::Denial;
-use snipeyoke_lib::serving::durations::Ahead;
+use snipeyoke_lib::serving::durations::Remaining;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::http::Handler;
 use snipeyoke_runtime::http::Reply;
@@ -30,7 +30,7 @@
 use crate::stream::stream;
 use crate::ticket::Ticket;
 use crate::ticket::draw;
-use snipeyoke_lib::serving::come_back::come_back;
+use snipeyoke_lib::serving::retry_after::retry_after;
 
 /// How long a caller waits for a node's first configuration.
 ///
@@ -74,7 +74,7 @@
             Ok(ticket) => ticket,
             Err(refused) => return refused.reply(),
         };
-        let most = ticket.catalog.limits().body;
+        let most = ticket.catalog.limits().max_body;
         // A declared length is refused before the body comes: the caller would
         // send all of it for nothing.
         if length(&ticket.head).is_some_and(|n| n > most) {
@@ -98,10 +98,10 @@
         if ticket.quarantined().is_some() && !ticket.try_quarantined() {
             return refuse(ticket, Refusal::Quarantined);
         }
-        if ticket.refused_by_leaving(Ahead::All) {
+        if ticket.refused_by_leaving(Remaining::All) {
             return refuse(ticket, Refusal::Leaving);
         }
-        self.0.budget().earn(began, &ticket.service);
+        self.0.budget().record_request(began, &ticket.service);
         drive(ticket).await
     }
 
@@ -158,7 +158,7 @@
 
     fn reply(&self) -> Reply {
         log::info!(event = "request-refused", request = self.request.as_str(), why = self.refusal.to_string().as_str(), config = self.version; "");
-        let wait = come_back(Duration::ZERO, Duration::ZERO, draw(&self.request));
+        let wait = retry_after(Duration::ZERO, Duration::ZERO, draw(&self.request));
         self.refusal.reply(wait)
     }
 }
--- a/gateway/src/leaving.rs
+++ b/gateway/src/leaving.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use snipeyoke_lib::serving::durations::Ahead;
-use snipeyoke_lib::serving::stopping::Candidate;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::shutdown::PendingRequest;
 use snipeyoke_lib::time::Time;
 
 use crate::ticket::Ticket;
@@ -11,22 +11,22 @@
 impl Ticket {
     /// Tells whether its node leaves before the request can be expected to end,
     /// and logs what that was judged by.
-    pub(crate) fn refused_by_leaving(&self, ahead: Ahead) -> bool {
+    pub(crate) fn refused_by_leaving(&self, ahead: Remaining) -> bool {
         let Some(stop) = self.shared.stop.get() else {
             return false;
         };
         let now = self.shared.now();
         let request = self.candidate(ahead);
-        let refused = stop.refuses(now, &request);
+        let refused = stop.should_refuse(now, &request);
         let millis = |time: Duration| time.as_millis().to_string();
-        let known = request.ahead.map(millis);
+        let known = request.remaining.map(millis);
         log::info!(
             event = "leaving-judged",
             request = self.ask.id.as_str(),
             refused,
             late = stop.is_late_stream(&request),
             bound_ms = known.as_deref().unwrap_or("-"),
-            stop_ms = millis(stop.end(&request).since(now)).as_str();
+            stop_ms = millis(stop.response_deadline(&request).since(now)).as_str();
             ""
         );
         refused
@@ -38,17 +38,17 @@
         let Some(stop) = self.shared.stop.get() else {
             return Time::NEVER;
         };
-        stop.latest_send(&self.candidate(Ahead::Answer))
+        stop.latest_send(&self.candidate(Remaining::Answer))
     }
 
-    fn candidate(&self, ahead: Ahead) -> Candidate {
+    fn candidate(&self, ahead: Remaining) -> PendingRequest {
         let tokens = self.ask.prompt.and_then(|p| p.length());
         let durations = self.shared.durations();
-        Candidate {
+        PendingRequest {
             stream: self.route.kind.is_stream(),
-            began: self.began,
-            due: self.due,
-            ahead: durations.bound(&self.route.name, tokens, ahead),
+            arrived_at: self.began,
+            deadline: self.due,
+            remaining: durations.bound(&self.route.name, tokens, ahead),
         }
     }
 }
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -13,7 +13,7 @@
 use futures_lite::FutureExt;
 use futures_lite::future;
 use rapidhash::v3::rapidhash_v3;
-use snipeyoke_lib::serving::stopping::Stop;
+use snipeyoke_lib::serving::shutdown::Shutdown;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_runtime::http;
@@ -211,10 +211,10 @@
         let given_up = began + grace.mul_f64(ANSWERED_BY);
         let cut = began + grace.mul_f64(GRACE_USED);
         // Only the first call to leave counts.
-        let _earlier = self.shared.stop.set(Stop {
+        let _earlier = self.shared.stop.set(Shutdown {
             out_of_rotation: began + ASIDE,
-            given_up,
-            cut,
+            cancel_at: given_up,
+            cut_at: cut,
         });
         self.shared.aside.set();
         self.shared.owners().leave();
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -23,8 +23,8 @@
 use crate::retry::step;
 use crate::stages::StageWork;
 use crate::ticket::Ticket;
-use snipeyoke_lib::serving::come_back::come_back;
-use snipeyoke_lib::serving::come_back::elsewhere;
+use snipeyoke_lib::serving::retry_after::other_node_retry_after;
+use snipeyoke_lib::serving::retry_after::retry_after;
 
 /// The most bytes of an answer that are kept before it is passed on.
 ///
@@ -65,12 +65,12 @@
     };
     ticket.end(refusal.status(), refusal.name());
     let wait = match refusal {
-        Refusal::Leaving => elsewhere(ticket.draw()),
+        Refusal::Leaving => other_node_retry_after(ticket.draw()),
         Refusal::Quarantined => {
             let left = ticket.quarantined().unwrap_or_default();
-            left + come_back(Duration::ZERO, Duration::ZERO, ticket.draw())
+            left + retry_after(Duration::ZERO, Duration::ZERO, ticket.draw())
         }
-        _ => come_back(ticket.backlog, ticket.left(), ticket.draw()),
+        _ => retry_after(ticket.backlog, ticket.left(), ticket.draw()),
     };
     refusal.reply(wait)
 }
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -152,6 +152,6 @@
                 owners.has_power(node.address, power);
             }
         }
-        self.budget().share(owners.count());
+        self.budget().set_nodes(owners.count());
     }
 }
--- a/gateway/src/retry.rs
+++ b/gateway/src/retry.rs
@@ -46,7 +46,7 @@
 
 /// Tells whether a request that may have run may be sent again, and pays for it.
 pub(crate) fn may_repeat(ticket: &Ticket, why: &str) -> bool {
-    ticket.route.kind.may_repeat() && again(ticket, why)
+    ticket.route.kind.is_retryable() && again(ticket, why)
 }
 
 /// Tells whether a request may be sent again, and pays for it.
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -18,10 +18,10 @@
 use snipeyoke_lib::serving::crashes::Crashes;
 use snipeyoke_lib::serving::directory::Directory;
 use snipeyoke_lib::serving::durations::Durations;
+use snipeyoke_lib::serving::first_event::FirstEventTimes;
 use snipeyoke_lib::serving::owners::Owners;
-use snipeyoke_lib::serving::pace::Paces;
 use snipeyoke_lib::serving::replica::Replica;
-use snipeyoke_lib::serving::stopping::Stop;
+use snipeyoke_lib::serving::shutdown::Shutdown;
 use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::serving::upkeep::Upkeep;
 use snipeyoke_lib::time::Time;
@@ -78,11 +78,11 @@
     /// Set once requests that wait for an answer are given up.
     pub(crate) overtime: Flag,
     /// Set when the node begins to leave.
-    pub(crate) stop: OnceLock<Stop>,
+    pub(crate) stop: OnceLock<Shutdown>,
     directory: Mutex<Directory>,
     budget: Mutex<SharedBudget>,
     owners: Mutex<Owners>,
-    paces: Mutex<Paces>,
+    paces: Mutex<FirstEventTimes>,
     durations: Mutex<Durations>,
     replicas: Mutex<Replicas>,
     catch_up: Mutex<CatchUp>,
@@ -152,7 +152,7 @@
         lock(&self.owners)
     }
 
-    pub(crate) fn paces(&self) -> MutexGuard<'_, Paces> {
+    pub(crate) fn paces(&self) -> MutexGuard<'_, FirstEventTimes> {
         lock(&self.paces)
     }
 
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -7,12 +7,12 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::FailureDomain;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::Order;
-use snipeyoke_lib::serving::pieces::Plan;
-use snipeyoke_lib::serving::pieces::PlanError;
-use snipeyoke_lib::serving::pieces::StageTimes;
-use snipeyoke_lib::serving::pieces::Work;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::PlanError;
+use snipeyoke_lib::serving::batching::ReadyStage;
+use snipeyoke_lib::serving::batching::StageInput;
+use snipeyoke_lib::serving::batching::StagePlan;
+use snipeyoke_lib::serving::batching::StageTimes;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(crate) struct StageWork {
     dispatcher: Dispatcher,
-    plan: Plan,
+    plan: StagePlan,
     makers: BTreeMap<String, Made>,
     open: BTreeMap<JobNumber, (usize, Vec<u32>)>,
     ends: (Sender<Done>, Receiver<Done>),
@@ -57,7 +57,7 @@
         if ticket.route.stages.is_empty() {
             return Ok(None);
         }
-        let plan = Plan::new(&ticket.route.stages, &ticket.ask.pieces)?;
+        let plan = StagePlan::new(&ticket.route.stages, &ticket.ask.pieces)?;
         Ok(Some(Self {
             dispatcher: ticket.shared.dispatcher.clone(),
             plan,
@@ -77,7 +77,7 @@
             return Ok(Vec::new());
         };
         // A resume after the first event: no endpoint can still have them.
-        if work.plan.is_given_back() && work.plan.results_gone().is_err() {
+        if work.plan.is_released() && work.plan.on_results_gone().is_err() {
             return Err(Refusal::StageFailed);
         }
         while !work.plan.is_done() {
@@ -85,7 +85,7 @@
                 return Err(Refusal::Quarantined);
             }
             let times = work.times(ticket);
-            for order in work.plan.orders(&times) {
+            for order in work.plan.start_ready(&times) {
                 work.submit(ticket, &times, order);
             }
             let done = ticket.in_time_to_send(work.ends.1.recv()).await;
@@ -93,7 +93,7 @@
                 return Err(ticket.timeout());
             };
             work.take(ticket, done)?;
-            let unneeded = work.plan.unneeded();
+            let unneeded = work.plan.take_unneeded();
             work.give_back_all(unneeded);
         }
         if ticket.timeline.staged.is_none() {
@@ -108,40 +108,40 @@
 
     /// Notes that the request found a result gone.
     pub(crate) fn results_gone(&mut self) -> Result<(), PlanError> {
-        self.plan.results_gone()
+        self.plan.on_results_gone()
     }
 
     /// Gives back all results, once the request has read them.
     pub(crate) fn give_back(&mut self) {
-        let remaining = self.plan.remaining();
+        let remaining = self.plan.take_remaining();
         self.give_back_all(remaining);
     }
 
-    fn submit(&mut self, ticket: &Ticket, times: &StageTimes, order: Order) {
+    fn submit(&mut self, ticket: &Ticket, times: &StageTimes, order: ReadyStage) {
         let stage = &ticket.route.stages[order.stage];
         let now = ticket.shared.now();
-        let inputs = match &order.work {
-            Work::Key => None,
-            Work::Inputs(handles) => self.most(ticket, handles),
+        let inputs = match &order.input {
+            StageInput::Key => None,
+            StageInput::Results(handles) => self.most(ticket, handles),
         };
         let job = Job {
             request: ticket.ask.id.clone(),
             fingerprint: Some(ticket.fingerprint()),
             stage: order.stage,
-            pieces: order.pieces.clone(),
-            work: order.work,
+            items: order.items.clone(),
+            input: order.input,
             key: ticket.ask.piece_key.clone(),
-            each: stage.bytes,
-            goal: later(now, times.goal(order.stage, ticket.goal)),
-            due: later(now, times.due(order.stage, ticket.due)),
-            domain: home(ticket),
+            result_bytes: stage.result_bytes,
+            target: later(now, times.target(order.stage, ticket.goal)),
+            deadline: later(now, times.deadline(order.stage, ticket.due)),
+            result_domain: home(ticket),
             priority: ticket.urgency(),
-            inputs,
+            input_source: inputs,
         };
         let number = self
             .dispatcher
             .submit(stage.service.clone(), job, self.ends.0.clone());
-        self.open.insert(number, (order.stage, order.pieces));
+        self.open.insert(number, (order.stage, order.items));
     }
 
     /// Returns the expected times of the stages, as of now.
@@ -149,8 +149,13 @@
         let prompt = ticket.ask.prompt;
         let tokens = prompt.map_or(0, |p| p.tokens - p.shared.min(p.tokens));
         let model = ticket.shared.paces().expected(&ticket.service, tokens);
-        let limits = |name: &PoolName| ticket.catalog.service(name)?.pieces.clone();
-        StageTimes::new(&ticket.route.stages, &self.plan.counts(), model, limits)
+        let limits = |name: &PoolName| ticket.catalog.service(name)?.batching.clone();
+        StageTimes::new(
+            &ticket.route.stages,
+            &self.plan.item_counts(),
+            model,
+            limits,
+        )
     }
 
     fn take(&mut self, ticket: &mut Ticket, done: Done) -> Result<(), Refusal> {
@@ -162,10 +167,10 @@
             let result = Made {
                 service: service.clone(),
                 endpoint: made.endpoint,
-                size: ticket.route.stages[stage].bytes,
+                size: ticket.route.stages[stage].result_bytes,
             };
             self.makers.insert(made.handle.clone(), result);
-            self.plan.done(stage, made.piece, made.handle);
+            self.plan.on_result(stage, made.piece, made.handle);
         }
         if let Some(failure) = done.failure {
             log::info!(event = "stage-failed", request = ticket.ask.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ticket.left().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
@@ -185,7 +190,7 @@
 
     fn inputs_gone(&mut self, stage: usize, pieces: &[u32]) -> Result<(), PlanError> {
         if let Some(&first) = pieces.first() {
-            self.plan.inputs_gone(stage, first)?;
+            self.plan.on_inputs_gone(stage, first)?;
         }
         self.reopen(stage, pieces);
         Ok(())
@@ -193,7 +198,7 @@
 
     fn failed(&mut self, stage: usize, pieces: &[u32]) -> Result<(), PlanError> {
         if let Some(&first) = pieces.first() {
-            self.plan.failed(stage, first)?;
+            self.plan.on_failure(stage, first)?;
         }
         self.reopen(stage, pieces);
         Ok(())
@@ -201,7 +206,7 @@
 
     fn reopen(&mut self, stage: usize, pieces: &[u32]) {
         for &piece in pieces {
-            self.plan.reopen(stage, piece);
+            self.plan.on_cancelled(stage, piece);
         }
     }
 
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 use hyper::StatusCode;
-use snipeyoke_lib::serving::events::Events;
+use snipeyoke_lib::serving::events::EventAssembler;
 use snipeyoke_runtime::http::Cut;
 use snipeyoke_runtime::http::Reply;
 use snipeyoke_runtime::http::cuttable;
@@ -30,12 +30,12 @@
 
 /// Drives a request to the head of its stream; the rest follows in the body.
 pub(crate) async fn stream(mut ticket: Ticket, mut stages: Option<StageWork>) -> Reply {
-    let mut events = Events::after(ticket.ask.last_event);
+    let mut events = EventAssembler::resume_after(ticket.ask.last_event);
     match begin(&mut ticket, &mut stages, &events).await {
         Begun::Stream(mut answered) => {
             let status = answered.call.head.status;
             let headers = std::mem::take(&mut answered.answer.headers);
-            events.drop_rest();
+            events.discard_partial();
             ticket.begun = true;
             let run = Run {
                 ticket,
@@ -57,9 +57,13 @@
 }
 
 /// Tries endpoints until one begins, or goes on with, the stream.
-async fn begin(ticket: &mut Ticket, stages: &mut Option<StageWork>, events: &Events) -> Begun {
+async fn begin(
+    ticket: &mut Ticket,
+    stages: &mut Option<StageWork>,
+    events: &EventAssembler,
+) -> Begun {
     loop {
-        let answered = match step(ticket, stages, events.last()).await {
+        let answered = match step(ticket, stages, events.last_id()).await {
             Step::Answered(answered) => answered,
             Step::Again => continue,
             Step::Refused(refusal) => return Begun::Refused(refusal),
@@ -101,7 +105,7 @@
 struct Run {
     ticket: Ticket,
     stages: Option<StageWork>,
-    events: Events,
+    events: EventAssembler,
     answered: Option<Box<Answered>>,
 }
 
@@ -126,7 +130,7 @@
                     }
                     Err(error) => error.to_string(),
                 },
-                Some(Ok(None)) if !self.events.is_torn() => {
+                Some(Ok(None)) if !self.events.has_partial() => {
                     if let Some(answered) = &mut self.answered {
                         answered.flight.settle();
                     }
@@ -166,7 +170,7 @@
             note_failure(&self.ticket, &mut answered.flight);
             note_break(&self.ticket, &mut answered.flight);
         }
-        self.events.drop_rest();
+        self.events.discard_partial();
         if !may_repeat(&self.ticket, "stream-broken") {
             return false;
         }
--- a/gateway/src/ticket.rs
+++ b/gateway/src/ticket.rs
@@ -15,11 +15,11 @@
 use snipeyoke_lib::ids::FailureDomain;
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::catalog::Catalog;
-use snipeyoke_lib::serving::catalog::Holder;
+use snipeyoke_lib::serving::catalog::KeyHolder;
 use snipeyoke_lib::serving::catalog::Route;
 use snipeyoke_lib::serving::crashes::Fingerprint;
-use snipeyoke_lib::serving::durations::Ahead;
-use snipeyoke_lib::serving::durations::Took;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::durations::RequestTiming;
 use snipeyoke_lib::time::Time;
 
 use crate::dialect::Ask;
@@ -40,7 +40,7 @@
     pub(crate) trial: bool,
     pub(crate) route: Arc<Route>,
     pub(crate) service: PoolName,
-    pub(crate) holder: Option<Holder>,
+    pub(crate) holder: Option<KeyHolder>,
     pub(crate) began: Time,
     /// When the answer stops being on time.
     pub(crate) goal: Time,
@@ -81,14 +81,14 @@
         catalog: Arc<Catalog>,
         ask: Ask,
         head: request::Parts,
-        (route, holder): (Arc<Route>, Option<Holder>),
+        (route, holder): (Arc<Route>, Option<KeyHolder>),
         began: Time,
     ) -> Option<Self> {
         let draw = rapidhash_v3(ask.id.as_bytes());
-        let service = route.target(draw)?.clone();
+        let service = route.choose_target(draw)?.clone();
         let left = ask.left.unwrap_or(route.timeout).min(route.timeout);
         Some(Self {
-            goal: began + route.goal,
+            goal: began + route.target_time,
             due: began + left,
             shared,
             catalog,
@@ -196,11 +196,11 @@
     pub(crate) fn may_try_again(&self) -> bool {
         let more = (self.tried.len() as u32) < self.route.attempts;
         let now = self.shared.now();
-        let leaves = !self.begun && self.refused_by_leaving(Ahead::Answer);
+        let leaves = !self.begun && self.refused_by_leaving(Remaining::Answer);
         let time = now < self.due && !self.shared.overtime.is_set() && !leaves;
         // A trial is one send, whatever became of it.
         let refused = self.trial || self.quarantined().is_some();
-        more && time && !refused && self.shared.budget().take(now, &self.service)
+        more && time && !refused && self.shared.budget().try_spend(now, &self.service)
     }
 
     /// Returns the refusal for a request whose time, or the node's, is over.
@@ -233,7 +233,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let cut = self.shared.stop.get().is_some_and(|s| now >= s.cut);
+        let cut = self.shared.stop.get().is_some_and(|s| now >= s.cut_at);
         let unheard = if cut { "cut-leaving" } else { "caller-gone" };
         let (status, outcome) = self.timeline.ended.unwrap_or((0, unheard));
         let took = now.since(self.began);
@@ -242,7 +242,7 @@
         if let (Some(sent), "answered") = (self.timeline.sent, outcome) {
             // The rest of an answer says little about a whole one.
             if self.ask.last_event.is_none() {
-                let took = Took {
+                let took = RequestTiming {
                     wait: sent.since(self.began),
                     answer: now.since(sent),
                     tokens: self.ask.prompt.and_then(|p| p.length()),
--- a/lib/benches/pieces.rs
+++ b/lib/benches/pieces.rs
@@ -6,26 +6,26 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use snipeyoke_lib::serving::catalog::PieceLimits;
+use snipeyoke_lib::serving::batching::BatchQueue;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::StageInput;
+use snipeyoke_lib::serving::catalog::BatchLimits;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::PieceQueue;
-use snipeyoke_lib::serving::pieces::Work;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
 /// Jobs that wait on a heavy day, each of eight pieces.
 const JOBS: u64 = 60;
 
-fn queue() -> PieceQueue {
-    let mut queue = PieceQueue::new(PieceLimits {
+fn queue() -> BatchQueue {
+    let mut queue = BatchQueue::new(BatchLimits {
         slots: 1,
         queue: 2,
-        batch: 16,
-        call: Duration::from_millis(150),
-        item: Duration::from_millis(8),
-        room: Bytes(2_700_000),
-        keep: Duration::from_secs(4),
+        max_items: 16,
+        call_overhead: Duration::from_millis(150),
+        item_time: Duration::from_millis(8),
+        result_memory: Bytes(2_700_000),
+        result_ttl: Duration::from_secs(4),
     });
     let entry = |n: u16| Entry {
         id: format!("m{n}").parse().expect("a name"),
@@ -49,15 +49,15 @@
         request: format!("r{n}"),
         fingerprint: None,
         stage: 1,
-        pieces: (0..8).collect(),
-        work: Work::Inputs(vec!["127.0.0.1:1/abc".to_owned()]),
+        items: (0..8).collect(),
+        input: StageInput::Results(vec!["127.0.0.1:1/abc".to_owned()]),
         key: String::new(),
-        each: Bytes(60_000),
-        goal: Time::from_millis(60_000 + 7 * n),
-        due: Time::from_millis(90_000 + 7 * n),
+        result_bytes: Bytes(60_000),
+        target: Time::from_millis(60_000 + 7 * n),
+        deadline: Time::from_millis(90_000 + 7 * n),
         priority: (n % 3) as u8,
-        domain: Some("d1".parse().expect("a name")),
-        inputs: None,
+        result_domain: Some("d1".parse().expect("a name")),
+        input_source: None,
     }
 }
 
--- a/lib/src/serving/pieces/fill.rs
+++ b/lib/src/serving/batching/fill.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::maker::Maker;
+use super::queue::BatchCall;
+use super::queue::BatchItem;
+use super::queue::BatchQueue;
 use super::queue::Call;
 use super::queue::Held;
-use super::queue::Item;
 use super::queue::JobId;
 use super::queue::OVERDUE;
 use super::queue::OVERDUE_MORE;
-use super::queue::PieceCall;
-use super::queue::PieceQueue;
 use crate::ids::EndpointId;
 use crate::time::Time;
 use crate::units::Bytes;
@@ -27,12 +27,12 @@
 /// turn as soon as they are not.
 const URGENCY_STEP: Duration = Duration::from_millis(500);
 
-impl PieceQueue {
-    pub(super) fn next_send(&mut self, now: Time) -> Option<PieceCall> {
+impl BatchQueue {
+    pub(super) fn next_send(&mut self, now: Time) -> Option<BatchCall> {
         let spots = self.spots(now);
         let idle = spots.iter().filter(|s| s.idle);
         let free = idle.map(|s| s.free).max()?;
-        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting() > 0);
+        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting_items() > 0);
         waiting
             .map(|(_, h)| self.need(h))
             .min()
@@ -59,11 +59,15 @@
     /// each level of urgency; the late ones after them, as an answer that is
     /// late anyway loses less by waiting.
     fn order(&self) -> Vec<(bool, JobId)> {
-        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting() > 0);
+        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting_items() > 0);
         let mut order: Vec<(bool, Time, JobId)> = waiting
             .map(|(&id, held)| {
                 let late = held.late;
-                let by = if late { held.job.due } else { held.job.goal };
+                let by = if late {
+                    held.job.deadline
+                } else {
+                    held.job.target
+                };
                 (late, by + step(held), id)
             })
             .collect();
@@ -73,9 +77,9 @@
 
     /// Returns the time in which all that waits would be done.
     pub(super) fn clear_time(&self, now: Time) -> Duration {
-        let calls = self.waiting() as f64 / self.limits.batch as f64;
+        let calls = self.waiting_items() as f64 / self.limits.max_items as f64;
         let slots = f64::from(self.limits.slots) * self.speeds(now);
-        self.expected(self.limits.batch).mul_f64(calls / slots)
+        self.expected(self.limits.max_items).mul_f64(calls / slots)
     }
 
     /// Returns the number of endpoints that work, slow ones as parts of one.
@@ -91,15 +95,16 @@
     /// A job is not begun in parts for lack of room: its first results would
     /// take room for as long as the last ones wait for some.
     fn least(&self, held: &Held) -> usize {
-        let most = self.limits.room.0 as f64 * ROOM_USED / held.job.each.0.max(1) as f64;
-        held.waiting()
-            .min(self.limits.batch)
+        let most =
+            self.limits.result_memory.0 as f64 * ROOM_USED / held.job.result_bytes.0.max(1) as f64;
+        held.waiting_items()
+            .min(self.limits.max_items)
             .min((most as usize).max(1))
     }
 
     /// Returns the memory that makes a call for a job worth while.
     pub(super) fn need(&self, held: &Held) -> u64 {
-        self.least(held) as u64 * held.job.each.0.max(1)
+        self.least(held) as u64 * held.job.result_bytes.0.max(1)
     }
 
     /// Returns the memory for results that an endpoint has left.
@@ -112,16 +117,16 @@
         if taken == 0 {
             return u64::MAX;
         }
-        let room = (self.limits.room.0 as f64 * ROOM_USED) as u64;
+        let room = (self.limits.result_memory.0 as f64 * ROOM_USED) as u64;
         room.saturating_sub(taken)
     }
 
     /// Returns how many results of a job an endpoint has room for.
     fn fits(&mut self, now: Time, maker: &EndpointId, id: JobId) -> usize {
-        let each = self.jobs[&id].job.each.0.max(1);
+        let each = self.jobs[&id].job.result_bytes.0.max(1);
         let free = self.free(now, maker);
         if free == u64::MAX {
-            let room = (self.limits.room.0 as f64 * ROOM_USED) as u64;
+            let room = (self.limits.result_memory.0 as f64 * ROOM_USED) as u64;
             return (room / each).max(1) as usize;
         }
         (free / each) as usize
@@ -133,7 +138,7 @@
         maker: &EndpointId,
         first: JobId,
         order: &[(bool, JobId)],
-    ) -> PieceCall {
+    ) -> BatchCall {
         let share = self.share(now);
         let mut items = Vec::new();
         let mut each = Vec::new();
@@ -155,7 +160,7 @@
             if fits == 0 || short_of_room {
                 continue;
             }
-            let size = self.jobs[&id].job.each;
+            let size = self.jobs[&id].job.result_bytes;
             let taken = self.take(now, id, fits);
             let bytes = size.0 * taken.len() as u64;
             booked += bytes;
@@ -178,8 +183,8 @@
         (first, share): (JobId, usize),
         held: usize,
     ) -> usize {
-        let wanted = self.jobs[&id].waiting();
-        let batch = self.limits.batch.min(self.makers[maker].most);
+        let wanted = self.jobs[&id].waiting_items();
+        let batch = self.limits.max_items.min(self.makers[maker].most);
         let crowded = share >= batch;
         let most = if id == first || crowded || self.is_near(maker, id) {
             batch
@@ -195,10 +200,10 @@
     fn share(&self, now: Time) -> usize {
         let idle = self.makers.values();
         let idle = idle.filter(|m| m.is_usable() && m.calls < self.limits.slots && m.full <= now);
-        self.waiting().div_ceil(idle.count().max(1))
+        self.waiting_items().div_ceil(idle.count().max(1))
     }
 
-    fn take(&mut self, now: Time, id: JobId, most: usize) -> Vec<Item> {
+    fn take(&mut self, now: Time, id: JobId, most: usize) -> Vec<BatchItem> {
         let Some(held) = self.jobs.get_mut(&id) else {
             return Vec::new();
         };
@@ -207,14 +212,14 @@
         let items = waiting.map(|(&piece, state)| {
             state.waiting = false;
             state.running += 1;
-            Item {
+            BatchItem {
                 job: id,
                 request: job.request.clone(),
                 fingerprint: job.fingerprint,
                 stage: job.stage,
-                piece,
-                left: job.due.since(now),
-                work: job.work.clone(),
+                item: piece,
+                remaining: job.deadline.since(now),
+                input: job.input.clone(),
                 key: job.key.clone(),
             }
         });
@@ -231,12 +236,12 @@
         &mut self,
         now: Time,
         maker: &EndpointId,
-        items: Vec<Item>,
+        items: Vec<BatchItem>,
         each: Vec<Bytes>,
         booked: Bytes,
-    ) -> PieceCall {
+    ) -> BatchCall {
         let expected = self.expected(items.len());
-        let crowded = self.waiting() >= self.limits.batch;
+        let crowded = self.waiting_items() >= self.limits.max_items;
         let Some(maker) = self.makers.get_mut(maker) else {
             unreachable!("the endpoint was just chosen");
         };
@@ -251,7 +256,7 @@
         maker.free_at = begin + expected.mul_f32(maker.health.slowness(now).max(0.5));
         let sent = Call {
             endpoint: maker.entry.id.clone(),
-            items: items.iter().map(|i| (i.job, i.piece)).collect(),
+            items: items.iter().map(|i| (i.job, i.item)).collect(),
             booked,
             each,
             began: begin,
@@ -261,18 +266,18 @@
             crowded,
         };
         self.calls.insert(call, sent);
-        let longest = items.iter().map(|i| i.left).max().unwrap_or_default();
-        PieceCall {
-            call,
+        let longest = items.iter().map(|i| i.remaining).max().unwrap_or_default();
+        BatchCall {
+            id: call,
             entry: maker.entry.clone(),
             items,
             expected,
-            limit: longest,
+            timeout: longest,
         }
     }
 
     pub(super) fn expected(&self, pieces: usize) -> Duration {
-        self.limits.call + self.limits.item * pieces as u32
+        self.limits.call_overhead + self.limits.item_time * pieces as u32
     }
 }
 
--- a/lib/src/serving/pieces/first_goals.rs
+++ b/lib/src/serving/batching/first_goals.rs
@@ -39,17 +39,17 @@
     /// there was one.
     pub(super) fn goal(&mut self, job: &Job) -> Time {
         if job.key.is_empty() {
-            return job.goal;
+            return job.target;
         }
         let text = format!("{} {}", job.stage, job.key);
         let id = rapidhash_v3_seeded(text.as_bytes(), &SECRETS);
         let new = First {
-            goal: job.goal,
-            until: job.due,
+            goal: job.target,
+            until: job.deadline,
         };
         let first = self.goals.entry(id).or_insert(new);
-        first.goal = first.goal.min(job.goal);
-        first.until = first.until.max(job.due);
+        first.goal = first.goal.min(job.target);
+        first.until = first.until.max(job.deadline);
         first.goal
     }
 
--- a/lib/src/serving/pieces/maker.rs
+++ b/lib/src/serving/batching/maker.rs
@@ -1,6 +1,6 @@
 //! An endpoint of a stage service, as the queue sees it.
 
-use super::room::Room;
+use super::room::ResultMemory;
 use crate::serving::directory::Entry;
 use crate::serving::health::Health;
 use crate::time::Time;
@@ -13,7 +13,7 @@
     pub(super) free_at: Time,
     pub(super) full: Time,
     pub(super) health: Health,
-    pub(super) room: Room,
+    pub(super) room: ResultMemory,
     pub(super) unneeded: Vec<String>,
     /// The most pieces of its next call, after one found no room.
     pub(super) most: usize,
@@ -32,7 +32,7 @@
             free_at: Time::ZERO,
             full: Time::ZERO,
             health: Health::default(),
-            room: Room::default(),
+            room: ResultMemory::default(),
             unneeded: Vec::new(),
             unneeded_since: None,
             most: usize::MAX,
--- a/lib/src/serving/pieces/on_time.rs
+++ b/lib/src/serving/batching/on_time.rs
@@ -12,10 +12,10 @@
 
 use super::fill::step;
 use super::maker::Maker;
+use super::queue::BatchQueue;
 use super::queue::Call;
 use super::queue::Held;
 use super::queue::JobId;
-use super::queue::PieceQueue;
 use crate::time::Time;
 
 /// The time between two looks.
@@ -39,7 +39,7 @@
     id: JobId,
 }
 
-impl PieceQueue {
+impl BatchQueue {
     /// Marks the jobs that can't be on time beside the others.
     pub(super) fn sort_out(&mut self, now: Time) {
         if now.since(self.sorted) < LOOK_EVERY {
@@ -56,15 +56,15 @@
     fn left_out(&self, now: Time) -> Vec<JobId> {
         let rate = self.rate(now);
         let begin = now + self.until_free(now);
-        let crowded = self.waiting() >= self.limits.batch;
+        let crowded = self.waiting_items() >= self.limits.max_items;
         let mut taken = BinaryHeap::new();
         let mut pieces = 0;
         let mut late = Vec::new();
         for (turn, id) in self.turns() {
             let held = &self.jobs[&id];
-            let own = held.waiting();
-            let call = if crowded { self.limits.batch } else { own };
-            let goal = held.job.goal;
+            let own = held.waiting_items();
+            let call = if crowded { self.limits.max_items } else { own };
+            let goal = held.job.target;
             let done = |before: usize| {
                 let before = Duration::from_secs_f64(before as f64 / rate);
                 begin + before + self.expected(call)
@@ -96,8 +96,8 @@
 
     /// Returns the jobs with waiting pieces, in the order in which they leave.
     fn turns(&self) -> Vec<(Time, JobId)> {
-        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting() > 0);
-        let turn = |(&id, h): (&JobId, &Held)| (h.job.goal + step(h), id);
+        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting_items() > 0);
+        let turn = |(&id, h): (&JobId, &Held)| (h.job.target + step(h), id);
         let mut turns: Vec<(Time, JobId)> = waiting.map(turn).collect();
         turns.sort();
         turns
@@ -105,7 +105,8 @@
 
     /// Returns the pieces that all endpoints do in a second while many wait.
     fn rate(&self, now: Time) -> f64 {
-        let usual = self.limits.batch as f64 / self.expected(self.limits.batch).as_secs_f64();
+        let usual =
+            self.limits.max_items as f64 / self.expected(self.limits.max_items).as_secs_f64();
         let pace = self.pace.unwrap_or(usual);
         pace * f64::from(self.limits.slots) * self.speeds(now)
     }
@@ -140,7 +141,7 @@
         maker.last_end = Some(now);
         // Room is short for no longer than results are kept: after a longer
         // time the endpoint had nothing to do.
-        let keep = self.limits.keep;
+        let keep = self.limits.result_ttl;
         let recent = |at: &Time| *at < now && now.since(*at) <= keep;
         let Some(before) = before.filter(recent) else {
             return;
--- a/lib/src/serving/pieces/place.rs
+++ b/lib/src/serving/batching/place.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::maker::Maker;
+use super::queue::BatchQueue;
 use super::queue::Held;
 use super::queue::JobId;
-use super::queue::PieceQueue;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
 use crate::time::Time;
@@ -36,7 +36,7 @@
     pub(super) free: u64,
 }
 
-impl PieceQueue {
+impl BatchQueue {
     /// Returns the endpoints that work may go to.
     pub(super) fn spots(&mut self, now: Time) -> Vec<Spot> {
         let usable = self.makers.iter().filter(|(_, m)| m.is_usable());
@@ -63,7 +63,7 @@
     /// look like the first one, and the job would wait for it while others
     /// have room.
     pub(super) fn best<'a>(&self, now: Time, held: &Held, spots: &'a [Spot]) -> Option<&'a Spot> {
-        let pieces = held.waiting().min(self.limits.batch);
+        let pieces = held.waiting_items().min(self.limits.max_items);
         let need = self.need(held);
         let done = |spot: &&Spot| {
             let maker = &self.makers[&spot.id];
@@ -76,7 +76,7 @@
             let took = self
                 .expected(pieces)
                 .mul_f32(maker.health.slowness(now).max(0.5));
-            let failing = took.mul_f32(maker.health.failures(now));
+            let failing = took.mul_f32(maker.health.failure_rate(now));
             begin + took + failing + afar(held, maker)
         };
         let has_room = |s: &&Spot| !s.idle || s.free >= need;
@@ -97,7 +97,7 @@
 
     fn may_lead(&self, maker: &Maker) -> bool {
         let queued = self.limits.queue > 0 && maker.calls == self.limits.slots;
-        queued && self.waiting() >= self.limits.batch
+        queued && self.waiting_items() >= self.limits.max_items
     }
 
     /// Returns when a call may next be sent ahead of the end of another.
@@ -108,8 +108,8 @@
 
     pub(super) fn is_near(&self, maker: &EndpointId, id: JobId) -> bool {
         let job = &self.jobs[&id].job;
-        let inputs = job.inputs.as_ref().map(|(domain, _)| domain);
-        inputs.or(job.domain.as_ref()) == Some(&self.makers[maker].entry.domain)
+        let inputs = job.input_source.as_ref().map(|(domain, _)| domain);
+        inputs.or(job.result_domain.as_ref()) == Some(&self.makers[maker].entry.domain)
     }
 }
 
@@ -121,10 +121,10 @@
 fn afar(held: &Held, maker: &Maker) -> Duration {
     let job = &held.job;
     let away = |domain: &FailureDomain| *domain != maker.entry.domain;
-    let results = job.domain.as_ref().filter(|d| away(d));
-    let results = results.map_or(0, |_| job.each.0);
-    let inputs = job.inputs.as_ref().filter(|(d, _)| away(d));
+    let results = job.result_domain.as_ref().filter(|d| away(d));
+    let results = results.map_or(0, |_| job.result_bytes.0);
+    let inputs = job.input_source.as_ref().filter(|(d, _)| away(d));
     let inputs = inputs.map_or(0, |(_, bytes)| bytes.0);
-    let bytes = (results + inputs) * held.waiting() as u64;
+    let bytes = (results + inputs) * held.waiting_items() as u64;
     AFAR_MB.mul_f64(bytes as f64 / 1e6).min(AFAR_MAX)
 }
--- a/lib/src/serving/pieces/plan.rs
+++ b/lib/src/serving/batching/plan.rs
@@ -13,22 +13,22 @@
 
 /// What the pieces of a stage start from.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Work {
+pub enum StageInput {
     /// The request's own key: for a stage that comes after no other.
     Key,
     /// The results of all pieces of the stages before.
-    Inputs(Vec<String>),
+    Results(Vec<String>),
 }
 
 /// Pieces of one stage that may begin now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct ReadyStage {
     /// The stage.
     pub stage: usize,
     /// The pieces, from 0.
-    pub pieces: Vec<u32>,
+    pub items: Vec<u32>,
     /// What they start from.
-    pub work: Work,
+    pub input: StageInput,
 }
 
 /// Why stage work can't go on.
@@ -70,11 +70,11 @@
 
 /// The stage work of one request.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct StagePlan {
     stages: Vec<Progress>,
 }
 
-impl Plan {
+impl StagePlan {
     /// Plans `counts` pieces for each stage; 0 leaves a stage out.
     ///
     /// # Errors
@@ -90,7 +90,7 @@
         let present = |&i: &usize| counts.get(i).is_some_and(|&c| c > 0);
         let progress = stages.iter().zip(counts).map(|(stage, &count)| Progress {
             count,
-            after: stage.after.iter().copied().filter(present).collect(),
+            after: stage.depends_on.iter().copied().filter(present).collect(),
             ..Progress::default()
         });
         Ok(Self {
@@ -102,16 +102,19 @@
     ///
     /// A stage with large results waits while others take longer anyway. The
     /// one that takes longest never waits, so there is always one under way.
-    pub fn orders(&mut self, times: &StageTimes) -> Vec<Order> {
+    pub fn start_ready(&mut self, times: &StageTimes) -> Vec<ReadyStage> {
         let mut orders = Vec::new();
         let missing = (0..self.stages.len()).filter(|&s| !self.stages[s].is_done());
-        let rest = missing.map(|s| times.rest(s)).max().unwrap_or_default();
+        let rest = missing
+            .map(|s| times.remaining(s))
+            .max()
+            .unwrap_or_default();
         for stage in 0..self.stages.len() {
             let held = &self.stages[stage];
             if held.is_done() || !held.after.iter().all(|&a| self.stages[a].is_done()) {
                 continue;
             }
-            if times.can_wait(stage, rest) {
+            if times.can_defer(stage, rest) {
                 continue;
             }
             let missing = (0..held.count).filter(|p| !held.results.contains_key(p));
@@ -120,22 +123,22 @@
                 continue;
             }
             let work = if held.after.is_empty() {
-                Work::Key
+                StageInput::Key
             } else {
-                Work::Inputs(self.results(&held.after))
+                StageInput::Results(self.results(&held.after))
             };
             self.stages[stage].open.extend(&pieces);
-            orders.push(Order {
+            orders.push(ReadyStage {
                 stage,
-                pieces,
-                work,
+                items: pieces,
+                input: work,
             });
         }
         orders
     }
 
     /// Notes the result of a piece.
-    pub fn done(&mut self, stage: usize, piece: u32, handle: String) {
+    pub fn on_result(&mut self, stage: usize, piece: u32, handle: String) {
         let Some(held) = self.stages.get_mut(stage) else {
             return;
         };
@@ -150,7 +153,7 @@
     /// # Errors
     ///
     /// Returns [`PlanError::Lost`] if this happened too often.
-    pub fn failed(&mut self, stage: usize, piece: u32) -> Result<(), PlanError> {
+    pub fn on_failure(&mut self, stage: usize, piece: u32) -> Result<(), PlanError> {
         let Some(held) = self.stages.get_mut(stage) else {
             return Ok(());
         };
@@ -159,7 +162,7 @@
     }
 
     /// Notes that a piece is not under way any more.
-    pub fn reopen(&mut self, stage: usize, piece: u32) {
+    pub fn on_cancelled(&mut self, stage: usize, piece: u32) {
         if let Some(held) = self.stages.get_mut(stage) {
             held.open.retain(|&p| p != piece);
         }
@@ -171,8 +174,8 @@
     /// # Errors
     ///
     /// Returns [`PlanError::Lost`] if this happened too often.
-    pub fn inputs_gone(&mut self, stage: usize, piece: u32) -> Result<(), PlanError> {
-        self.failed(stage, piece)?;
+    pub fn on_inputs_gone(&mut self, stage: usize, piece: u32) -> Result<(), PlanError> {
+        self.on_failure(stage, piece)?;
         let before = self
             .stages
             .get(stage)
@@ -188,7 +191,7 @@
     /// # Errors
     ///
     /// Returns [`PlanError::Lost`] if this happened too often.
-    pub fn results_gone(&mut self) -> Result<(), PlanError> {
+    pub fn on_results_gone(&mut self) -> Result<(), PlanError> {
         for stage in self.last_stages() {
             self.restart(stage)?;
         }
@@ -234,7 +237,7 @@
     }
 
     /// Returns results that no stage needs any more, each once.
-    pub fn unneeded(&mut self) -> Vec<String> {
+    pub fn take_unneeded(&mut self) -> Vec<String> {
         let mut handles = Vec::new();
         for stage in 0..self.stages.len() {
             let mut followers = self.stages.iter().filter(|s| s.after.contains(&stage));
@@ -251,13 +254,13 @@
 
     /// Tells whether results that the request itself needs were given back.
     #[must_use]
-    pub fn is_given_back(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         let last = self.last_stages();
         last.iter().any(|&stage| self.stages[stage].freed)
     }
 
     /// Returns all results that were not given back yet.
-    pub fn remaining(&mut self) -> Vec<String> {
+    pub fn take_remaining(&mut self) -> Vec<String> {
         let mut handles = Vec::new();
         for held in &mut self.stages {
             if !held.freed {
@@ -270,7 +273,7 @@
 
     /// Returns the number of pieces from a stage on, by stage.
     #[must_use]
-    pub fn counts(&self) -> Vec<u32> {
+    pub fn item_counts(&self) -> Vec<u32> {
         self.stages.iter().map(|s| s.count).collect()
     }
 
--- a/lib/src/serving/pieces/queue.rs
+++ b/lib/src/serving/batching/queue.rs
@@ -10,10 +10,10 @@
 
 use super::first_goals::FirstGoals;
 use super::maker::Maker;
-use super::plan::Work;
+use super::plan::StageInput;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
-use crate::serving::catalog::PieceLimits;
+use crate::serving::catalog::BatchLimits;
 use crate::serving::crashes::Fingerprint;
 use crate::serving::directory::Entry;
 use crate::time::Time;
@@ -67,28 +67,28 @@
     /// The stage.
     pub stage: usize,
     /// The pieces.
-    pub pieces: Vec<u32>,
+    pub items: Vec<u32>,
     /// What they start from.
-    pub work: Work,
+    pub input: StageInput,
     /// The request's own key, for stages that start from it.
     pub key: String,
     /// The usual size of one result.
-    pub each: Bytes,
+    pub result_bytes: Bytes,
     /// When the stage should be done for the request to be on time.
-    pub goal: Time,
+    pub target: Time,
     /// When nobody needs the results any more.
-    pub due: Time,
+    pub deadline: Time,
     /// The request's urgency, 0 is first.
     pub priority: u8,
     /// Where the results will be read.
-    pub domain: Option<FailureDomain>,
+    pub result_domain: Option<FailureDomain>,
     /// Where most of its inputs lie, and how much of them each piece reads.
-    pub inputs: Option<(FailureDomain, Bytes)>,
+    pub input_source: Option<(FailureDomain, Bytes)>,
 }
 
 /// One piece of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Item {
+pub struct BatchItem {
     /// The job it belongs to.
     pub job: JobId,
     /// The request, as its caller names it.
@@ -98,35 +98,35 @@
     /// The stage.
     pub stage: usize,
     /// The piece.
-    pub piece: u32,
+    pub item: u32,
     /// The time left for it.
-    pub left: Duration,
+    pub remaining: Duration,
     /// What it starts from.
-    pub work: Work,
+    pub input: StageInput,
     /// The request's own key.
     pub key: String,
 }
 
 /// A call that is to be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PieceCall {
+pub struct BatchCall {
     /// The number of the call in this queue.
-    pub call: u64,
+    pub id: u64,
     /// The endpoint.
     pub entry: Entry,
     /// The pieces.
-    pub items: Vec<Item>,
+    pub items: Vec<BatchItem>,
     /// How long the call is expected to take.
     pub expected: Duration,
     /// When the call is given up.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// What became of one piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ItemOutcome {
     /// The result stands under this handle.
-    Made(String),
+    Produced(String),
     /// Its time was over at its turn.
     Late,
     /// One of its inputs is gone.
@@ -141,7 +141,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
     /// The endpoint answered, piece by piece.
-    Answered(Vec<Outcome>),
+    Answered(Vec<ItemOutcome>),
     /// The endpoint did not take the call.
     Refused,
     /// Another endpoint has this one's address; nothing ran.
@@ -152,13 +152,13 @@
 
 /// A job's end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JobEnd {
+pub struct JobResult {
     /// The job.
     pub job: JobId,
     /// The pieces that are done: number, handle and endpoint.
-    pub made: Vec<(u32, String, EndpointId)>,
+    pub produced: Vec<(u32, String, EndpointId)>,
     /// Why the others are not; `None` if all are done.
-    pub failure: Option<Outcome>,
+    pub failure: Option<ItemOutcome>,
     /// How long what waits takes, if that is why it failed.
     pub backlog: Duration,
 }
@@ -180,7 +180,7 @@
 }
 
 impl Held {
-    pub(super) fn waiting(&self) -> usize {
+    pub(super) fn waiting_items(&self) -> usize {
         self.pieces.values().filter(|p| p.waiting).count()
     }
 
@@ -211,14 +211,14 @@
 
 /// The pieces that wait for one service, and the calls under way.
 #[derive(Debug, Clone)]
-pub struct PieceQueue {
-    pub(super) limits: PieceLimits,
+pub struct BatchQueue {
+    pub(super) limits: BatchLimits,
     pub(super) makers: BTreeMap<EndpointId, Maker>,
     pub(super) jobs: BTreeMap<JobId, Held>,
     pub(super) calls: BTreeMap<u64, Call>,
     pub(super) next_job: u64,
     pub(super) next_call: u64,
-    pub(super) ends: Vec<JobEnd>,
+    pub(super) ends: Vec<JobResult>,
     first_goals: FirstGoals,
     /// The pieces that an endpoint does in a second while many wait.
     pub(super) pace: Option<f64>,
@@ -226,10 +226,10 @@
     pub(super) sorted: Time,
 }
 
-impl PieceQueue {
+impl BatchQueue {
     /// Starts empty, without endpoints.
     #[must_use]
-    pub fn new(limits: PieceLimits) -> Self {
+    pub fn new(limits: BatchLimits) -> Self {
         Self {
             limits,
             makers: BTreeMap::new(),
@@ -245,14 +245,14 @@
     }
 
     /// Sets how its endpoints take pieces.
-    pub fn set_limits(&mut self, limits: PieceLimits) {
+    pub fn set_limits(&mut self, limits: BatchLimits) {
         self.limits = limits;
     }
 
     /// Returns how long an endpoint keeps a result.
     #[must_use]
-    pub const fn keep(&self) -> Duration {
-        self.limits.keep
+    pub const fn result_ttl(&self) -> Duration {
+        self.limits.result_ttl
     }
 
     /// Sets the endpoints that may get calls.
@@ -284,20 +284,20 @@
 
     /// Returns the number of pieces that wait for a call.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.jobs.values().map(Held::waiting).sum()
+    pub fn waiting_items(&self) -> usize {
+        self.jobs.values().map(Held::waiting_items).sum()
     }
 
     /// Takes in a job.
     pub fn submit(&mut self, mut job: Job) -> JobId {
-        job.goal = self.first_goals.goal(&job);
+        job.target = self.first_goals.goal(&job);
         let id = JobId(self.next_job);
         self.next_job += 1;
         let waiting = Piece {
             waiting: true,
             ..Piece::default()
         };
-        let pieces = job.pieces.iter().map(|&p| (p, waiting.clone()));
+        let pieces = job.items.iter().map(|&p| (p, waiting.clone()));
         let held = Held {
             pieces: pieces.collect(),
             job,
@@ -309,12 +309,12 @@
     }
 
     /// Ends the jobs of a request that is quarantined.
-    pub fn refuse(&mut self, request: Fingerprint) {
+    pub fn fail_request(&mut self, request: Fingerprint) {
         let theirs = |h: &Held| h.job.fingerprint == Some(request);
         let found = self.jobs.iter().filter(|(_, h)| theirs(h));
         let ids: Vec<JobId> = found.map(|(&id, _)| id).collect();
         for id in ids {
-            self.end(id, Some(Outcome::Failed), Duration::ZERO);
+            self.end(id, Some(ItemOutcome::Failed), Duration::ZERO);
         }
     }
 
@@ -325,13 +325,13 @@
         };
         for piece in held.pieces.into_values() {
             if let Some((handle, endpoint)) = piece.made {
-                self.give_back(now, &endpoint, handle);
+                self.release(now, &endpoint, handle);
             }
         }
     }
 
     /// Notes that nobody needs a result any more.
-    pub fn give_back(&mut self, now: Time, endpoint: &EndpointId, handle: String) {
+    pub fn release(&mut self, now: Time, endpoint: &EndpointId, handle: String) {
         if let Some(maker) = self.makers.get_mut(endpoint) {
             maker.unneeded.push(handle);
             maker.unneeded_since.get_or_insert(now);
@@ -343,8 +343,8 @@
     /// A result that is left to lapse takes memory for seconds, also after its
     /// owner has gone, and the next owner finds endpoints full that nobody
     /// uses. So all are given back, several at once as long as there is room.
-    pub fn take_unneeded(&mut self, now: Time) -> Vec<(Entry, Vec<String>)> {
-        let room = self.limits.room.0 as f64;
+    pub fn take_releases(&mut self, now: Time) -> Vec<(Entry, Vec<String>)> {
+        let room = self.limits.result_memory.0 as f64;
         let mut out = Vec::new();
         for maker in self.makers.values_mut() {
             let Some(since) = maker.unneeded_since else {
@@ -364,7 +364,7 @@
     ///
     /// Before this they still take its memory: a call that overtakes the word
     /// would find no room.
-    pub fn dropped(&mut self, endpoint: &EndpointId, handles: &[String]) {
+    pub fn on_released(&mut self, endpoint: &EndpointId, handles: &[String]) {
         if let Some(maker) = self.makers.get_mut(endpoint) {
             for handle in handles {
                 maker.room.free(handle);
@@ -373,7 +373,7 @@
     }
 
     /// Returns the jobs that ended since the last call.
-    pub fn take_ends(&mut self) -> Vec<JobEnd> {
+    pub fn take_results(&mut self) -> Vec<JobResult> {
         std::mem::take(&mut self.ends)
     }
 
@@ -383,9 +383,9 @@
         let overdue = self.calls.values().filter_map(|c| c.overdue);
         // A job with a piece at work ends with that piece, not with its time.
         // Its time, once over, would ask for a look again and again.
-        let ends = |h: &&Held| h.waiting() > 0 && !h.is_running();
+        let ends = |h: &&Held| h.waiting_items() > 0 && !h.is_running();
         let waiting = self.jobs.values().filter(ends);
-        let due = waiting.map(|h| h.job.due - self.expected(1));
+        let due = waiting.map(|h| h.job.deadline - self.expected(1));
         let full = self.makers.values().map(|m| m.full);
         let full = full.filter(|&at| at > Time::ZERO);
         let unneeded = self.makers.values().filter_map(|m| m.unneeded_since);
@@ -396,7 +396,7 @@
     }
 
     /// Returns the calls to make now.
-    pub fn poll(&mut self, now: Time) -> Vec<PieceCall> {
+    pub fn poll(&mut self, now: Time) -> Vec<BatchCall> {
         self.first_goals.sweep(now);
         self.give_out_overdue(now);
         self.sort_out(now);
@@ -414,7 +414,7 @@
     }
 
     /// Takes in what became of a call.
-    pub fn ended(&mut self, now: Time, call: u64, result: CallResult) {
+    pub fn on_call_ended(&mut self, now: Time, call: u64, result: CallResult) {
         let Some(call) = self.calls.remove(&call) else {
             return;
         };
@@ -441,8 +441,8 @@
             call.overdue = None;
             let ratio = now.since(call.began).as_secs_f32() / call.expected.as_secs_f32();
             if let Some(maker) = self.makers.get_mut(&call.endpoint) {
-                maker.health.answered(now, ratio);
-                maker.health.broke(now);
+                maker.health.record_response(now, ratio);
+                maker.health.record_broken(now);
                 // An answer that was lost on its way never comes: the endpoint
                 // stands idle while its slot looks taken. If it is only slow,
                 // the next call waits in its own queue.
@@ -474,14 +474,14 @@
         let least = self.expected(1);
         let clear = self.clear_time(now);
         let hopeless = |h: &Held| {
-            let left = h.job.due.since(now);
+            let left = h.job.deadline.since(now);
             let late = h.late && clear > left.mul_f64(HOPE);
-            h.waiting() > 0 && !h.is_running() && (least > left || late)
+            h.waiting_items() > 0 && !h.is_running() && (least > left || late)
         };
         let found = self.jobs.iter().filter(|(_, h)| hopeless(h));
         let ids: Vec<JobId> = found.map(|(&id, _)| id).collect();
         for id in ids {
-            self.end(id, Some(Outcome::Late), clear);
+            self.end(id, Some(ItemOutcome::Late), clear);
         }
     }
 }
--- a/lib/src/serving/pieces/room.rs
+++ b/lib/src/serving/batching/room.rs
@@ -8,7 +8,7 @@
 
 /// The results held at one endpoint.
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct ResultMemory {
     held: BTreeMap<String, (Bytes, Time)>,
     /// The sum over `held`.
     kept: u64,
@@ -18,7 +18,7 @@
     booked: u64,
 }
 
-impl Default for Room {
+impl Default for ResultMemory {
     fn default() -> Self {
         Self {
             held: BTreeMap::new(),
@@ -29,7 +29,7 @@
     }
 }
 
-impl Room {
+impl ResultMemory {
     /// Returns the bytes taken as of now.
     pub fn taken(&mut self, now: Time) -> Bytes {
         if self.lapse <= now {
--- a/lib/src/serving/pieces/settle.rs
+++ b/lib/src/serving/batching/settle.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use super::queue::AGAIN_MAX;
+use super::queue::BatchQueue;
 use super::queue::Call;
 use super::queue::CallResult;
 use super::queue::FULL_PAUSE;
-use super::queue::JobEnd;
+use super::queue::ItemOutcome;
 use super::queue::JobId;
-use super::queue::Outcome;
-use super::queue::PieceQueue;
+use super::queue::JobResult;
 use crate::time::Time;
 use crate::units::Bytes;
 
-impl PieceQueue {
+impl BatchQueue {
     pub(super) fn note_maker(&mut self, now: Time, call: &Call, result: &CallResult) {
         self.note_pace(now, call);
         let Some(maker) = self.makers.get_mut(&call.endpoint) else {
@@ -29,13 +29,15 @@
         let ratio = now.since(call.began).as_secs_f32() / call.expected.as_secs_f32();
         match result {
             CallResult::Answered(outcomes) => {
-                maker.health.answered(now, ratio);
-                if outcomes.contains(&Outcome::Failed) {
-                    maker.health.failed(now);
+                maker.health.record_response(now, ratio);
+                if outcomes.contains(&ItemOutcome::Failed) {
+                    maker.health.record_failure(now);
                 }
-                let made = outcomes.iter().filter(|o| matches!(o, Outcome::Made(_)));
+                let made = outcomes
+                    .iter()
+                    .filter(|o| matches!(o, ItemOutcome::Produced(_)));
                 let all_made = made.clone().count() == outcomes.len();
-                if outcomes.contains(&Outcome::Full) {
+                if outcomes.contains(&ItemOutcome::Full) {
                     maker.full = now + FULL_PAUSE;
                     maker.most = made.count().max(1);
                 } else if all_made {
@@ -45,7 +47,7 @@
             // Someone else's calls fill it; it is not sick.
             CallResult::Refused => maker.full = now + FULL_PAUSE,
             CallResult::WrongEndpoint => maker.present = false,
-            CallResult::Broken => maker.health.broke(now),
+            CallResult::Broken => maker.health.record_broken(now),
         }
     }
 
@@ -55,16 +57,18 @@
         call: &Call,
         (id, piece): (JobId, u32),
         each: Bytes,
-        outcome: Outcome,
+        outcome: ItemOutcome,
     ) {
-        if let Outcome::Made(handle) = &outcome
+        if let ItemOutcome::Produced(handle) = &outcome
             && let Some(maker) = self.makers.get_mut(&call.endpoint)
         {
-            maker.room.hold(now, handle.clone(), each, self.limits.keep);
+            maker
+                .room
+                .hold(now, handle.clone(), each, self.limits.result_ttl);
         }
         let Some(held) = self.jobs.get_mut(&id) else {
-            if let Outcome::Made(handle) = outcome {
-                self.give_back(now, &call.endpoint, handle);
+            if let ItemOutcome::Produced(handle) = outcome {
+                self.release(now, &call.endpoint, handle);
             }
             return;
         };
@@ -75,10 +79,10 @@
             state.running = state.running.saturating_sub(1);
         }
         match outcome {
-            Outcome::Made(handle) if state.made.is_some() => {
-                self.give_back(now, &call.endpoint, handle);
+            ItemOutcome::Produced(handle) if state.made.is_some() => {
+                self.release(now, &call.endpoint, handle);
             }
-            Outcome::Made(handle) => {
+            ItemOutcome::Produced(handle) => {
                 state.made = Some((handle, call.endpoint.clone()));
                 state.waiting = false;
                 if held.is_done() {
@@ -86,7 +90,7 @@
                 }
             }
             _ if state.made.is_some() || state.running > 0 || call.given_up => {}
-            Outcome::Full | Outcome::Failed if held.again < AGAIN_MAX => {
+            ItemOutcome::Full | ItemOutcome::Failed if held.again < AGAIN_MAX => {
                 held.again += 1;
                 state.waiting = true;
             }
@@ -117,19 +121,19 @@
             }
         }
         for id in exhausted {
-            self.end(id, Some(Outcome::Failed), Duration::ZERO);
+            self.end(id, Some(ItemOutcome::Failed), Duration::ZERO);
         }
     }
 
-    pub(super) fn end(&mut self, id: JobId, failure: Option<Outcome>, backlog: Duration) {
+    pub(super) fn end(&mut self, id: JobId, failure: Option<ItemOutcome>, backlog: Duration) {
         let Some(held) = self.jobs.remove(&id) else {
             return;
         };
         let made = held.pieces.into_iter();
         let made = made.filter_map(|(p, s)| s.made.map(|(handle, e)| (p, handle, e)));
-        self.ends.push(JobEnd {
+        self.ends.push(JobResult {
             job: id,
-            made: made.collect(),
+            produced: made.collect(),
             failure,
             backlog,
         });
--- a/lib/src/serving/pieces/times.rs
+++ b/lib/src/serving/batching/times.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::ids::PoolName;
-use crate::serving::catalog::PieceLimits;
+use crate::serving::catalog::BatchLimits;
 use crate::serving::catalog::Stage;
 use crate::time::Time;
 
@@ -53,18 +53,18 @@
         stages: &[Stage],
         counts: &[u32],
         model: Duration,
-        limits: impl Fn(&PoolName) -> Option<PieceLimits>,
+        limits: impl Fn(&PoolName) -> Option<BatchLimits>,
     ) -> Self {
         let each = stages.iter().zip(counts).map(|(stage, &count)| {
             let Some(limits) = limits(&stage.service).filter(|_| count > 0) else {
                 return Times::default();
             };
-            let results = stage.bytes.0 as f64 * f64::from(count);
+            let results = stage.result_bytes.0 as f64 * f64::from(count);
             Times {
                 present: true,
-                own: limits.call + limits.item * count.min(limits.batch as u32),
+                own: limits.call_overhead + limits.item_time * count.min(limits.max_items as u32),
                 later: model,
-                large: results >= LARGE * limits.room.0 as f64,
+                large: results >= LARGE * limits.result_memory.0 as f64,
             }
         });
         let mut times = Self {
@@ -82,7 +82,7 @@
             let Some(follower) = self.stages.get(index).copied().filter(|t| t.present) else {
                 continue;
             };
-            for &before in &stage.after {
+            for &before in &stage.depends_on {
                 if let Some(held) = self.stages.get_mut(before) {
                     held.later = held.later.max(follower.own + follower.later);
                 }
@@ -92,20 +92,20 @@
 
     /// Returns the time from the start of a stage to the first event.
     #[must_use]
-    pub fn rest(&self, stage: usize) -> Duration {
+    pub fn remaining(&self, stage: usize) -> Duration {
         let times = self.stages.get(stage).copied().unwrap_or_default();
         times.own + times.later
     }
 
     /// Returns when a stage should be done for its request to meet `goal`.
     #[must_use]
-    pub fn goal(&self, stage: usize, goal: Time) -> Time {
+    pub fn target(&self, stage: usize, goal: Time) -> Time {
         goal - self.later(stage).mul_f64(WAITS)
     }
 
     /// Returns when a stage must be done for its request to meet `due`.
     #[must_use]
-    pub fn due(&self, stage: usize, due: Time) -> Time {
+    pub fn deadline(&self, stage: usize, due: Time) -> Time {
         due - self.later(stage).mul_f64(LEAST)
     }
 
@@ -116,9 +116,9 @@
     /// memory of their endpoints for all of the request's time, and other
     /// requests find no room.
     #[must_use]
-    pub fn can_wait(&self, stage: usize, rest: Duration) -> bool {
+    pub fn can_defer(&self, stage: usize, rest: Duration) -> bool {
         let times = self.stages.get(stage).copied().unwrap_or_default();
-        times.large && self.rest(stage) + AHEAD < rest
+        times.large && self.remaining(stage) + AHEAD < rest
     }
 
     fn later(&self, stage: usize) -> Duration {
--- a/lib/src/serving/bookings.rs
+++ b/lib/src/serving/bookings.rs
@@ -258,7 +258,7 @@
         let health = endpoint.health();
         let times = health.slowness(now) / slowness.max(0.1);
         let slow = if times > SLOW { times } else { 1.0 };
-        let failing = 1.0 + FAILURES * health.failures(now);
+        let failing = 1.0 + FAILURES * health.failure_rate(now);
         let away = wish.domain.as_ref().is_some_and(|d| *d != entry.domain);
         let full = load.calls >= entry.slots;
         let tokens = load.pending as f32 + READ * unread as f32 + CALL * load.calls as f32;
--- a/lib/src/serving/budget.rs
+++ b/lib/src/serving/budget.rs
@@ -75,12 +75,12 @@
     }
 
     /// Notes how many nodes share the slack, this one included.
-    pub const fn share(&mut self, nodes: usize) {
+    pub const fn set_nodes(&mut self, nodes: usize) {
         self.nodes = if nodes == 0 { 1 } else { nodes };
     }
 
     /// Notes a request for a service.
-    pub fn earn(&mut self, now: Time, service: &PoolName) {
+    pub fn record_request(&mut self, now: Time, service: &PoolName) {
         let from = now - self.limits.window;
         let window = self.window(service);
         window.trim(from);
@@ -88,7 +88,7 @@
     }
 
     /// Takes one repeat out, if there is one.
-    pub fn take(&mut self, now: Time, service: &PoolName) -> bool {
+    pub fn try_spend(&mut self, now: Time, service: &PoolName) -> bool {
         let from = now - self.limits.window;
         let extra = SLACK_SPENT * self.limits.extra / self.nodes as f64;
         let ratio = SPENT * self.limits.ratio;
--- a/lib/src/serving/catalog.rs
+++ b/lib/src/serving/catalog.rs
@@ -10,7 +10,7 @@
 
 /// What a route's requests allow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Idempotent: may run more than once.
     Safe,
     /// Runs at most once for each client attempt.
@@ -22,10 +22,10 @@
     },
 }
 
-impl Kind {
+impl RouteKind {
     /// Tells whether a request that may have run may be sent again.
     #[must_use]
-    pub const fn may_repeat(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resume: true })
     }
 
@@ -51,9 +51,9 @@
     /// The service that does it.
     pub service: PoolName,
     /// The stages whose results it needs.
-    pub after: Vec<usize>,
+    pub depends_on: Vec<usize>,
     /// The usual size of one result.
-    pub bytes: Bytes,
+    pub result_bytes: Bytes,
 }
 
 /// Where requests of one host and path prefix go.
@@ -66,13 +66,13 @@
     /// The prefix of its paths; begins and ends with a slash.
     pub prefix: String,
     /// What its requests allow.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// The time within which an answer earns its full worth.
-    pub goal: Duration,
+    pub target_time: Duration,
     /// The longest pause between two events that is still on time.
-    pub pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Urgency, 0 is first.
     pub priority: u8,
     /// The services that share its requests.
@@ -82,7 +82,7 @@
     /// The stages before the request itself.
     pub stages: Vec<Stage>,
     /// Whether callers need no key.
-    pub open: bool,
+    pub allows_anonymous: bool,
 }
 
 impl Route {
@@ -90,7 +90,7 @@
     ///
     /// The same draw gives the same target as long as the weights stay.
     #[must_use]
-    pub fn target(&self, draw: u64) -> Option<&PoolName> {
+    pub fn choose_target(&self, draw: u64) -> Option<&PoolName> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         if total == 0 {
             return self.targets.first().map(|t| &t.service);
@@ -109,21 +109,21 @@
 
 /// How one endpoint of a stage service takes pieces.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PieceLimits {
+pub struct BatchLimits {
     /// The calls at work at once.
     pub slots: u32,
     /// The calls that may wait for a slot.
     pub queue: u32,
     /// The most pieces of one call.
-    pub batch: usize,
+    pub max_items: usize,
     /// The time of a call beside its pieces.
-    pub call: Duration,
+    pub call_overhead: Duration,
     /// The usual time of one piece.
-    pub item: Duration,
+    pub item_time: Duration,
     /// The memory for results.
-    pub room: Bytes,
+    pub result_memory: Bytes,
     /// How long a result is kept.
-    pub keep: Duration,
+    pub result_ttl: Duration,
 }
 
 /// A group of endpoints that do the same work.
@@ -132,27 +132,27 @@
     /// Its name.
     pub name: PoolName,
     /// Set where it works on stage pieces.
-    pub pieces: Option<PieceLimits>,
+    pub batching: Option<BatchLimits>,
     /// Whether its endpoints are model engines.
-    pub engine: bool,
+    pub is_engine: bool,
 }
 
 /// What a caller may send and how long it may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The largest head.
-    pub head: usize,
+    pub max_head: usize,
     /// The largest body.
-    pub body: usize,
+    pub max_body: usize,
     /// The longest time for a head.
-    pub wait: Duration,
+    pub head_timeout: Duration,
     /// The longest time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// The account that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holder {
+pub struct KeyHolder {
     /// The account.
     pub account: ClientAccount,
     /// Its urgency, which goes before the route's.
@@ -166,7 +166,7 @@
     routes: BTreeMap<String, Vec<Arc<Route>>>,
     services: BTreeMap<PoolName, Arc<Service>>,
     /// `None` where callers need no key at all.
-    keys: Option<BTreeMap<String, Holder>>,
+    keys: Option<BTreeMap<String, KeyHolder>>,
     limits: CallerLimits,
 }
 
@@ -189,7 +189,7 @@
         version: u64,
         routes: Vec<Route>,
         services: Vec<Service>,
-        keys: Option<BTreeMap<String, Holder>>,
+        keys: Option<BTreeMap<String, KeyHolder>>,
         limits: CallerLimits,
     ) -> Self {
         let mut by_host: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
@@ -251,13 +251,13 @@
         host: &str,
         path: &str,
         key: Option<&str>,
-    ) -> Result<(Arc<Route>, Option<Holder>), Denial> {
+    ) -> Result<(Arc<Route>, Option<KeyHolder>), Denial> {
         let route = self.route(host, path).ok_or(Denial::NoRoute)?;
         let Some(keys) = &self.keys else {
             return Ok((Arc::clone(route), None));
         };
         let holder = key.and_then(|k| keys.get(k)).cloned();
-        if holder.is_none() && !route.open {
+        if holder.is_none() && !route.allows_anonymous {
             return Err(Denial::NoKey);
         }
         Ok((Arc::clone(route), holder))
--- a/lib/src/serving/directory.rs
+++ b/lib/src/serving/directory.rs
@@ -139,7 +139,7 @@
     }
 
     fn burden(&self, now: Time) -> f32 {
-        let failures = 1.0 + FAILURE_WEIGHT * self.health.failures(now);
+        let failures = 1.0 + FAILURE_WEIGHT * self.health.failure_rate(now);
         let slowness = self.health.slowness(now).max(0.5);
         (self.calls(now) + 1.0) / self.entry.slots.max(1) as f32 * failures * slowness
     }
@@ -386,10 +386,10 @@
     let calls: f32 = ranked.iter().map(|e| e.calls(now)).sum();
     let bound = BOUND_RATIO * calls / count + BOUND_SLACK;
     let slowness = middle(ranked.iter().map(|e| e.health.slowness(now)).collect());
-    let failures = middle(ranked.iter().map(|e| e.health.failures(now)).collect());
+    let failures = middle(ranked.iter().map(|e| e.health.failure_rate(now)).collect());
     let fits = |e: &&&Endpoint| {
         let slow = e.health.slowness(now) > SLOW * slowness;
-        let failing = e.health.failures(now) > failures + 0.3;
+        let failing = e.health.failure_rate(now) > failures + 0.3;
         e.calls(now) < bound && !slow && !failing
     };
     let first = ranked.iter().find(fits).or_else(|| ranked.first());
--- a/lib/src/serving/durations.rs
+++ b/lib/src/serving/durations.rs
@@ -36,7 +36,7 @@
 
 /// How long the parts of a request took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Took {
+pub struct RequestTiming {
     /// From its arrival until it was sent to the endpoint that answered.
     pub wait: Duration,
     /// From then to the end of the answer.
@@ -47,7 +47,7 @@
 
 /// What of a request is still ahead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ahead {
+pub enum Remaining {
     /// Its stages, the choice of an endpoint, and the answer.
     All,
     /// The answer alone.
@@ -105,7 +105,7 @@
 
 impl Durations {
     /// Notes how long a request took that was answered.
-    pub fn observe(&mut self, route: &str, took: Took) {
+    pub fn observe(&mut self, route: &str, took: RequestTiming) {
         if !self.routes.contains_key(route) {
             self.routes.insert(route.to_owned(), Times::default());
         }
@@ -125,15 +125,15 @@
     ///
     /// `tokens` is the length that the request's caller expects of the answer.
     #[must_use]
-    pub fn bound(&self, route: &str, tokens: Option<u32>, ahead: Ahead) -> Option<Duration> {
+    pub fn bound(&self, route: &str, tokens: Option<u32>, ahead: Remaining) -> Option<Duration> {
         let known = self.routes.get(route)?;
         let answer = match tokens {
             Some(tokens) => known.token.bound()? * cost(tokens),
             None => known.answer.bound()?,
         };
         let wait = match ahead {
-            Ahead::All => known.wait.bound()?,
-            Ahead::Answer => 0.0,
+            Remaining::All => known.wait.bound()?,
+            Remaining::Answer => 0.0,
         };
         let bound = Duration::try_from_secs_f64(wait + answer);
         Some(bound.unwrap_or(Duration::MAX))
--- a/lib/src/serving/events.rs
+++ b/lib/src/serving/events.rs
@@ -28,16 +28,16 @@
 
 /// Takes bytes of one client's stream and gives whole events in order.
 #[derive(Debug, Clone, Default)]
-pub struct Events {
+pub struct EventAssembler {
     rest: Vec<u8>,
     last: Option<u64>,
     count: u64,
 }
 
-impl Events {
+impl EventAssembler {
     /// Starts after the event that the client has already, if any.
     #[must_use]
-    pub const fn after(last: Option<u64>) -> Self {
+    pub const fn resume_after(last: Option<u64>) -> Self {
         Self {
             rest: Vec::new(),
             last,
@@ -47,7 +47,7 @@
 
     /// Returns the id of the last event given out.
     #[must_use]
-    pub const fn last(&self) -> Option<u64> {
+    pub const fn last_id(&self) -> Option<u64> {
         self.last
     }
 
@@ -59,12 +59,12 @@
 
     /// Tells whether a part of an event waits for its rest.
     #[must_use]
-    pub const fn is_torn(&self) -> bool {
+    pub const fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 
     /// Drops a part of an event, as its endpoint won't send the rest.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.rest.clear();
     }
 
--- a/lib/src/serving/pace.rs
+++ b/lib/src/serving/first_event.rs
@@ -20,11 +20,11 @@
 
 /// The time to the first event, by service.
 #[derive(Debug, Clone, Default)]
-pub struct Paces {
+pub struct FirstEventTimes {
     seconds: BTreeMap<PoolName, f32>,
 }
 
-impl Paces {
+impl FirstEventTimes {
     /// Returns the time expected to the first event of a prompt.
     #[must_use]
     pub fn expected(&self, service: &PoolName, tokens: u32) -> Duration {
--- a/lib/src/serving/health.rs
+++ b/lib/src/serving/health.rs
@@ -50,7 +50,7 @@
 
 impl Health {
     /// Notes an answer that took `ratio` times what was expected.
-    pub fn answered(&mut self, now: Time, ratio: f32) {
+    pub fn record_response(&mut self, now: Time, ratio: f32) {
         self.fade(now);
         let ratio = ratio.clamp(0.1, 50.0);
         self.slowness += WEIGHT * (ratio - self.slowness);
@@ -60,14 +60,14 @@
     }
 
     /// Notes an answer that says that the work failed.
-    pub fn failed(&mut self, now: Time) {
+    pub fn record_failure(&mut self, now: Time) {
         self.fade(now);
         self.failures += WEIGHT * (1.0 - self.failures);
     }
 
     /// Notes a connection that failed or went silent: it is avoided for a while.
-    pub fn broke(&mut self, now: Time) {
-        self.failed(now);
+    pub fn record_broken(&mut self, now: Time) {
+        self.record_failure(now);
         let pause = PAUSE_FIRST.saturating_mul(1 << self.broken.min(6));
         self.broken += 1;
         self.resume = now + pause.min(PAUSE_MAX);
@@ -87,7 +87,7 @@
 
     /// Returns the share of answers that failed, of late.
     #[must_use]
-    pub fn failures(&self, now: Time) -> f32 {
+    pub fn failure_rate(&self, now: Time) -> f32 {
         self.failures * self.kept(now)
     }
 
@@ -98,7 +98,7 @@
 
     fn fade(&mut self, now: Time) {
         self.slowness = self.slowness(now);
-        self.failures = self.failures(now);
+        self.failures = self.failure_rate(now);
         self.seen = now;
     }
 }
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -4,23 +4,23 @@
 //! the endpoints, and owns each client attempt that reaches it. Stage pieces of
 //! all nodes meet at one owner for each service, which fills the calls.
 
+pub mod batching;
 pub mod bookings;
 pub mod budget;
 pub mod catalog;
 pub mod catch_up;
-pub mod come_back;
 pub mod crashes;
 pub mod directory;
 pub mod durations;
 pub mod ends;
 pub mod events;
+pub mod first_event;
 pub mod freshness;
 pub mod health;
 pub mod owners;
-pub mod pace;
-pub mod pieces;
 pub mod replica;
+pub mod retry_after;
 pub mod returned;
+pub mod shutdown;
 pub mod slices;
-pub mod stopping;
 pub mod upkeep;
--- a/lib/src/serving/come_back.rs
+++ b/lib/src/serving/retry_after.rs
@@ -25,7 +25,7 @@
 /// Before the backlog is done it would only be refused again, so that it has
 /// waited in vain and its next try too.
 #[must_use]
-pub fn come_back(backlog: Duration, left: Duration, draw: f64) -> Duration {
+pub fn retry_after(backlog: Duration, left: Duration, draw: f64) -> Duration {
     let longest = left.mul_f64(COME_BACK_PART).max(COME_BACK);
     let wait = backlog.mul_f64(1.0 + draw / 2.0).min(longest);
     wait.max(COME_BACK.mul_f64(1.0 + draw))
@@ -34,6 +34,6 @@
 /// Returns when a caller should try another node that has no backlog; `draw`
 /// in `0..1` spreads those who were refused together.
 #[must_use]
-pub fn elsewhere(draw: f64) -> Duration {
+pub fn other_node_retry_after(draw: f64) -> Duration {
     ELSEWHERE.mul_f64(draw)
 }
--- a/lib/src/serving/stopping.rs
+++ b/lib/src/serving/shutdown.rs
@@ -6,59 +6,61 @@
 
 /// The times at which a node leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stop {
+pub struct Shutdown {
     /// From when on a balancer sends no callers, unless it has too few nodes.
     pub out_of_rotation: Time,
     /// When requests that wait for an answer are given up.
-    pub given_up: Time,
+    pub cancel_at: Time,
     /// When answers under way are cut.
-    pub cut: Time,
+    pub cut_at: Time,
 }
 
 /// A request at a node that leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Candidate {
+pub struct PendingRequest {
     /// Whether its answer is a stream, which can only be cut once it has begun.
     pub stream: bool,
     /// When it came.
-    pub began: Time,
+    pub arrived_at: Time,
     /// When it ends in any case.
-    pub due: Time,
+    pub deadline: Time,
     /// The time within which what is ahead of it ends; `None` if nothing is
     /// known.
-    pub ahead: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
 
-impl Stop {
+impl Shutdown {
     /// Tells whether a request is refused, since the node leaves before it can be
     /// expected to end.
     ///
     /// Cut at the end of the grace period, it would have to be done again from
     /// its start, with less time.
     #[must_use]
-    pub fn refuses(&self, now: Time, request: &Candidate) -> bool {
-        let ends = (now + request.ahead.unwrap_or_default()).min(request.due);
-        self.is_late_stream(request) || now >= self.given_up || ends > self.end(request)
+    pub fn should_refuse(&self, now: Time, request: &PendingRequest) -> bool {
+        let ends = (now + request.remaining.unwrap_or_default()).min(request.deadline);
+        self.is_late_stream(request)
+            || now >= self.cancel_at
+            || ends > self.response_deadline(request)
     }
 
     /// Returns when a request has to be sent at the latest for its answer, which
     /// is all that is ahead of it, to end before the node leaves.
     #[must_use]
-    pub fn latest_send(&self, request: &Candidate) -> Time {
-        let end = self.end(request);
-        if request.due <= end {
+    pub fn latest_send(&self, request: &PendingRequest) -> Time {
+        let end = self.response_deadline(request);
+        if request.deadline <= end {
             return Time::NEVER;
         }
-        end - request.ahead.unwrap_or_default()
+        end - request.remaining.unwrap_or_default()
     }
 
     /// Returns when the answer has to be complete.
     #[must_use]
-    pub const fn end(&self, request: &Candidate) -> Time {
+    pub const fn response_deadline(&self, request: &PendingRequest) -> Time {
         if request.stream {
-            self.cut
+            self.cut_at
         } else {
-            self.given_up
+            self.cancel_at
         }
     }
 
@@ -68,7 +70,7 @@
     /// No estimate of a stream's length is certain: those that come this late are
     /// not begun at all.
     #[must_use]
-    pub fn is_late_stream(&self, request: &Candidate) -> bool {
-        request.stream && request.began >= self.out_of_rotation
+    pub fn is_late_stream(&self, request: &PendingRequest) -> bool {
+        request.stream && request.arrived_at >= self.out_of_rotation
     }
 }
--- a/lib/tests/pipeline_world.rs
+++ b/lib/tests/pipeline_world.rs
@@ -9,17 +9,17 @@
 
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::serving::catalog::PieceLimits;
+use snipeyoke_lib::serving::batching::BatchCall;
+use snipeyoke_lib::serving::batching::BatchQueue;
+use snipeyoke_lib::serving::batching::CallResult;
+use snipeyoke_lib::serving::batching::ItemOutcome;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::JobId;
+use snipeyoke_lib::serving::batching::StagePlan;
+use snipeyoke_lib::serving::batching::StageTimes;
+use snipeyoke_lib::serving::catalog::BatchLimits;
 use snipeyoke_lib::serving::catalog::Stage;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::pieces::CallResult;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::JobId;
-use snipeyoke_lib::serving::pieces::Outcome;
-use snipeyoke_lib::serving::pieces::PieceCall;
-use snipeyoke_lib::serving::pieces::PieceQueue;
-use snipeyoke_lib::serving::pieces::Plan;
-use snipeyoke_lib::serving::pieces::StageTimes;
 use snipeyoke_lib::time::Time;
 
 /// The way from a node to an endpoint, and back.
@@ -39,7 +39,7 @@
 /// A stage service and its endpoints.
 pub(crate) struct ServiceSpec {
     pub(crate) name: &'static str,
-    pub(crate) limits: PieceLimits,
+    pub(crate) limits: BatchLimits,
     pub(crate) endpoints: usize,
 }
 
@@ -65,7 +65,7 @@
 
 struct Request {
     kind: usize,
-    plan: Plan,
+    plan: StagePlan,
     began: Time,
     open: BTreeMap<(usize, JobId), usize>,
     staged: bool,
@@ -78,7 +78,7 @@
 
 enum Event {
     /// A call's turn at its endpoint comes.
-    Turn(usize, PieceCall),
+    Turn(usize, BatchCall),
     /// A call's answer arrives.
     Answer(usize, u64, CallResult),
     /// A request's first event arrives.
@@ -92,7 +92,7 @@
     now: Time,
     services: Vec<ServiceSpec>,
     kinds: Vec<KindSpec>,
-    queues: Vec<PieceQueue>,
+    queues: Vec<BatchQueue>,
     workers: BTreeMap<EndpointId, Worker>,
     requests: BTreeMap<usize, Request>,
     origins: BTreeMap<(usize, JobId), usize>,
@@ -109,7 +109,7 @@
         let mut queues = Vec::new();
         for service in &services {
             let entries: Vec<Entry> = (0..service.endpoints).map(|n| entry(service, n)).collect();
-            let mut queue = PieceQueue::new(service.limits.clone());
+            let mut queue = BatchQueue::new(service.limits.clone());
             queue.set_endpoints(entries.iter());
             queues.push(queue);
             for entry in entries {
@@ -165,7 +165,7 @@
 
     fn begin(&mut self, kind: usize) {
         let spec = &self.kinds[kind];
-        let plan = Plan::new(&spec.stages, &spec.counts).expect("a count for each stage");
+        let plan = StagePlan::new(&spec.stages, &spec.counts).expect("a count for each stage");
         let number = self.next as usize;
         self.next += 1;
         self.tallies[kind].asked += 1;
@@ -201,7 +201,7 @@
         }
         let goal = request.began + spec.aim;
         let due = request.began + spec.deadline;
-        for order in request.plan.orders(&times) {
+        for order in request.plan.start_ready(&times) {
             let stage = &spec.stages[order.stage];
             let service = services
                 .iter()
@@ -211,15 +211,15 @@
                 request: number.to_string(),
                 fingerprint: None,
                 stage: order.stage,
-                pieces: order.pieces,
-                work: order.work,
+                items: order.items,
+                input: order.input,
                 key: number.to_string(),
-                each: stage.bytes,
-                goal: times.goal(order.stage, goal).max(self.now),
-                due: times.due(order.stage, due).max(self.now),
+                result_bytes: stage.result_bytes,
+                target: times.target(order.stage, goal).max(self.now),
+                deadline: times.deadline(order.stage, due).max(self.now),
                 priority: spec.priority,
-                domain: None,
-                inputs: None,
+                result_domain: None,
+                input_source: None,
             };
             let id = self.queues[service].submit(job);
             self.origins.insert((service, id), number);
@@ -241,7 +241,7 @@
         match event {
             Event::Turn(service, call) => self.work(service, &call),
             Event::Answer(service, call, result) => {
-                self.queues[service].ended(self.now, call, result);
+                self.queues[service].on_call_ended(self.now, call, result);
             }
             Event::First(number) => self.finish(number, false),
             Event::Drop(service, endpoint, handles) => {
@@ -249,12 +249,12 @@
                 for handle in &handles {
                     worker.held.remove(handle);
                 }
-                self.queues[service].dropped(&endpoint, &handles);
+                self.queues[service].on_released(&endpoint, &handles);
             }
         }
     }
 
-    fn work(&mut self, service: usize, call: &PieceCall) {
+    fn work(&mut self, service: usize, call: &BatchCall) {
         let limits = &self.services[service].limits;
         let worker = self.workers.get_mut(&call.entry.id);
         let worker = worker.expect("a known endpoint");
@@ -264,28 +264,28 @@
         for item in &call.items {
             let number: usize = item.request.parse().expect("a number");
             let kind = self.requests.get(&number).map_or(0, |r| r.kind);
-            let each = self.kinds[kind].stages[item.stage].bytes.0;
-            if taken + each > limits.room.0 {
-                outcomes.push(Outcome::Full);
+            let each = self.kinds[kind].stages[item.stage].result_bytes.0;
+            if taken + each > limits.result_memory.0 {
+                outcomes.push(ItemOutcome::Full);
                 continue;
             }
             taken += each;
             done += 1;
             let handle = format!(
                 "{}/{}.{}.{}",
-                call.entry.id, item.request, item.stage, item.piece
+                call.entry.id, item.request, item.stage, item.item
             );
             worker.held.insert(handle.clone(), each);
             self.makers
                 .insert(handle.clone(), (service, call.entry.id.clone()));
-            outcomes.push(Outcome::Made(handle));
+            outcomes.push(ItemOutcome::Produced(handle));
         }
         let took = if done > 0 {
-            (limits.call + limits.item * done).mul_f64(SLOWER)
+            (limits.call_overhead + limits.item_time * done).mul_f64(SLOWER)
         } else {
             Duration::ZERO
         };
-        let answer = Event::Answer(service, call.call, CallResult::Answered(outcomes));
+        let answer = Event::Answer(service, call.id, CallResult::Answered(outcomes));
         self.at(self.now + took + WAY, answer);
     }
 
@@ -300,10 +300,10 @@
                 }
                 self.at(turn, Event::Turn(service, call));
             }
-            for (entry, handles) in self.queues[service].take_unneeded(self.now) {
+            for (entry, handles) in self.queues[service].take_releases(self.now) {
                 self.at(self.now + WAY, Event::Drop(service, entry.id, handles));
             }
-            for end in self.queues[service].take_ends() {
+            for end in self.queues[service].take_results() {
                 let Some(number) = self.origins.remove(&(service, end.job)) else {
                     continue;
                 };
@@ -312,14 +312,14 @@
                 };
                 let stage = request.open.remove(&(service, end.job));
                 let stage = stage.expect("an open job");
-                for (piece, handle, _) in end.made {
-                    request.plan.done(stage, piece, handle);
+                for (piece, handle, _) in end.produced {
+                    request.plan.on_result(stage, piece, handle);
                 }
                 if end.failure.is_some() {
                     self.finish(number, true);
                     continue;
                 }
-                let unneeded = request.plan.unneeded();
+                let unneeded = request.plan.take_unneeded();
                 self.give_back(unneeded);
                 self.go_on(number);
             }
@@ -343,14 +343,14 @@
         for (service, id) in request.open.into_keys() {
             self.queues[service].cancel(self.now, id);
         }
-        let remaining = request.plan.remaining();
+        let remaining = request.plan.take_remaining();
         self.give_back(remaining);
     }
 
     fn give_back(&mut self, handles: Vec<String>) {
         for handle in handles {
             if let Some((service, endpoint)) = self.makers.remove(&handle) {
-                self.queues[service].give_back(self.now, &endpoint, handle);
+                self.queues[service].release(self.now, &endpoint, handle);
             }
         }
     }
--- a/lib/tests/test_pieces.rs
+++ b/lib/tests/test_batching.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use snipeyoke_lib::serving::catalog::PieceLimits;
+use snipeyoke_lib::serving::batching::BatchCall;
+use snipeyoke_lib::serving::batching::BatchQueue;
+use snipeyoke_lib::serving::batching::CallResult;
+use snipeyoke_lib::serving::batching::ItemOutcome;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::JobId;
+use snipeyoke_lib::serving::batching::JobResult;
+use snipeyoke_lib::serving::batching::StageInput;
+use snipeyoke_lib::serving::catalog::BatchLimits;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::pieces::CallResult;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::JobEnd;
-use snipeyoke_lib::serving::pieces::JobId;
-use snipeyoke_lib::serving::pieces::Outcome;
-use snipeyoke_lib::serving::pieces::PieceCall;
-use snipeyoke_lib::serving::pieces::PieceQueue;
-use snipeyoke_lib::serving::pieces::Work;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
@@ -23,15 +23,15 @@
     Time::from_millis(1_000 + ms)
 }
 
-fn limits() -> PieceLimits {
-    PieceLimits {
+fn limits() -> BatchLimits {
+    BatchLimits {
         slots: 1,
         queue: 2,
-        batch: 8,
-        call: CALL,
-        item: ITEM,
-        room: Bytes(36_000_000),
-        keep: Duration::from_secs(4),
+        max_items: 8,
+        call_overhead: CALL,
+        item_time: ITEM,
+        result_memory: Bytes(36_000_000),
+        result_ttl: Duration::from_secs(4),
     }
 }
 
@@ -47,12 +47,12 @@
     }
 }
 
-fn queue(names: &[(&str, &str)]) -> PieceQueue {
+fn queue(names: &[(&str, &str)]) -> BatchQueue {
     queue_with(limits(), names)
 }
 
-fn queue_with(limits: PieceLimits, names: &[(&str, &str)]) -> PieceQueue {
-    let mut queue = PieceQueue::new(limits);
+fn queue_with(limits: BatchLimits, names: &[(&str, &str)]) -> BatchQueue {
+    let mut queue = BatchQueue::new(limits);
     let entries: Vec<Entry> = names.iter().map(|(n, d)| entry(n, d)).collect();
     queue.set_endpoints(entries.iter());
     queue
@@ -63,33 +63,33 @@
         request: request.to_owned(),
         fingerprint: None,
         stage: 0,
-        pieces: (0..pieces).collect(),
-        work: Work::Key,
+        items: (0..pieces).collect(),
+        input: StageInput::Key,
         key: request.to_owned(),
-        each: Bytes(8_000),
-        goal: at(goal),
-        due: at(due),
+        result_bytes: Bytes(8_000),
+        target: at(goal),
+        deadline: at(due),
         priority: 0,
-        domain: None,
-        inputs: None,
+        result_domain: None,
+        input_source: None,
     }
 }
 
-fn made(send: &PieceCall) -> CallResult {
-    let handle = |i: &snipeyoke_lib::serving::pieces::Item| {
-        Outcome::Made(format!(
+fn made(send: &BatchCall) -> CallResult {
+    let handle = |i: &snipeyoke_lib::serving::batching::BatchItem| {
+        ItemOutcome::Produced(format!(
             "{}/{}.{}.{}",
-            send.entry.id, i.request, i.stage, i.piece
+            send.entry.id, i.request, i.stage, i.item
         ))
     };
     CallResult::Answered(send.items.iter().map(handle).collect())
 }
 
-fn requests(send: &PieceCall) -> Vec<&str> {
+fn requests(send: &BatchCall) -> Vec<&str> {
     send.items.iter().map(|i| i.request.as_str()).collect()
 }
 
-fn failure(ends: &[JobEnd], id: JobId) -> Option<&Outcome> {
+fn failure(ends: &[JobResult], id: JobId) -> Option<&ItemOutcome> {
     let end = ends.iter().find(|e| e.job == id).expect("the job ended");
     end.failure.as_ref()
 }
@@ -116,7 +116,7 @@
         queue.submit(job(&format!("r{n}"), 2, 900, 3_000));
     }
     assert!(queue.poll(at(1)).is_empty());
-    queue.ended(at(166), first[0].call, made(&first[0]));
+    queue.on_call_ended(at(166), first[0].id, made(&first[0]));
     let next = queue.poll(at(166));
     assert_eq!(next[0].items.len(), 8);
 }
@@ -149,8 +149,8 @@
     // Three callers wait for one endpoint: one is late already, one has a
     // less urgent kind, one is urgent. The late one gains nothing by going
     // first, the other two are served by urgency.
-    let narrow = PieceLimits {
-        batch: 1,
+    let narrow = BatchLimits {
+        max_items: 1,
         ..limits()
     };
     let mut queue = queue_with(narrow, &[("p1", "a")]);
@@ -165,7 +165,7 @@
         let sends = queue.poll(at(now));
         order.extend(requests(&sends[0]).iter().map(ToString::to_string));
         now += 166;
-        queue.ended(at(now), sends[0].call, made(&sends[0]));
+        queue.on_call_ended(at(now), sends[0].id, made(&sends[0]));
     }
     assert_eq!(order, ["first", "second", "late"]);
 }
@@ -180,8 +180,8 @@
     }
     let id = queue.submit(job("late", 1, 100, 2_000));
     queue.poll(at(0));
-    let ends = queue.take_ends();
-    assert_eq!(failure(&ends, id), Some(&Outcome::Late));
+    let ends = queue.take_results();
+    assert_eq!(failure(&ends, id), Some(&ItemOutcome::Late));
     let backlog = ends[0].backlog;
     assert!(backlog > Duration::from_secs(9), "{backlog:?}");
     assert!(backlog < Duration::from_secs(11), "{backlog:?}");
@@ -196,7 +196,7 @@
     queue.poll(at(0));
     queue.submit(job("late", 1, 50, 3_000));
     queue.poll(at(10));
-    assert!(queue.take_ends().is_empty());
+    assert!(queue.take_results().is_empty());
 }
 
 #[test]
@@ -208,19 +208,19 @@
     let mut queue = queue(&[("p1", "a")]);
     for (n, pieces) in [(0, 8), (1, 8), (2, 2)] {
         let mut large = job(&format!("r{n}"), pieces, 900 + n, 3_000);
-        large.each = Bytes(3_000_000);
+        large.result_bytes = Bytes(3_000_000);
         queue.submit(large);
     }
     let first = queue.poll(at(0));
     assert_eq!(first[0].items.len(), 8);
-    queue.ended(at(278), first[0].call, made(&first[0]));
+    queue.on_call_ended(at(278), first[0].id, made(&first[0]));
     let second = queue.poll(at(278));
     assert_eq!(
         requests(&second[0]),
         ["r2", "r2"],
         "nine tenths of 36 MB hold ten results"
     );
-    queue.ended(at(460), second[0].call, made(&second[0]));
+    queue.on_call_ended(at(460), second[0].id, made(&second[0]));
     assert!(queue.poll(at(460)).is_empty());
 }
 
@@ -230,15 +230,15 @@
     // connections. If the call overtakes the word it finds no room.
     let mut queue = queue(&[("p1", "a")]);
     let mut large = job("r0", 8, 900, 3_000);
-    large.each = Bytes(4_000_000);
+    large.result_bytes = Bytes(4_000_000);
     queue.submit(large.clone());
     let first = queue.poll(at(0));
-    queue.ended(at(278), first[0].call, made(&first[0]));
-    let ends = queue.take_ends();
-    for (_, handle, endpoint) in ends[0].made.clone() {
-        queue.give_back(at(280), &endpoint, handle);
+    queue.on_call_ended(at(278), first[0].id, made(&first[0]));
+    let ends = queue.take_results();
+    for (_, handle, endpoint) in ends[0].produced.clone() {
+        queue.release(at(280), &endpoint, handle);
     }
-    let told = queue.take_unneeded(at(280));
+    let told = queue.take_releases(at(280));
     assert_eq!(told[0].1.len(), 8);
     large.request = "r1".to_owned();
     queue.submit(large);
@@ -246,7 +246,7 @@
         queue.poll(at(281)).is_empty(),
         "32 of 36 MB are still taken"
     );
-    queue.dropped(&told[0].0.id, &told[0].1);
+    queue.on_released(&told[0].0.id, &told[0].1);
     assert_eq!(queue.poll(at(285))[0].items.len(), 8);
 }
 
@@ -257,14 +257,14 @@
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r0", 2, 900, 3_000));
     let first = queue.poll(at(0));
-    queue.ended(at(180), first[0].call, made(&first[0]));
-    let ends = queue.take_ends();
-    for (_, handle, endpoint) in ends[0].made.clone() {
-        queue.give_back(at(200), &endpoint, handle);
+    queue.on_call_ended(at(180), first[0].id, made(&first[0]));
+    let ends = queue.take_results();
+    for (_, handle, endpoint) in ends[0].produced.clone() {
+        queue.release(at(200), &endpoint, handle);
     }
-    assert!(queue.take_unneeded(at(300)).is_empty());
+    assert!(queue.take_releases(at(300)).is_empty());
     assert!(queue.wake(at(300)) <= at(450));
-    assert_eq!(queue.take_unneeded(at(450))[0].1.len(), 2);
+    assert_eq!(queue.take_releases(at(450))[0].1.len(), 2);
 }
 
 #[test]
@@ -279,11 +279,11 @@
     let second = queue.poll(at(560));
     assert_eq!(second.len(), 1);
     assert_ne!(second[0].entry.id, first[0].entry.id);
-    queue.ended(at(730), second[0].call, made(&second[0]));
-    assert_eq!(failure(&queue.take_ends(), id), None);
+    queue.on_call_ended(at(730), second[0].id, made(&second[0]));
+    assert_eq!(failure(&queue.take_results(), id), None);
     // The late result of the first one is of no use: it is given back.
-    queue.ended(at(900), first[0].call, made(&first[0]));
-    let told = queue.take_unneeded(at(1_200));
+    queue.on_call_ended(at(900), first[0].id, made(&first[0]));
+    let told = queue.take_releases(at(1_200));
     assert_eq!(told[0].0.id, first[0].entry.id);
 }
 
@@ -296,12 +296,12 @@
     let mut now = 0;
     for _ in 0..12 {
         let sends = queue.poll(at(now));
-        queue.ended(at(now + 2), sends[0].call, CallResult::Refused);
+        queue.on_call_ended(at(now + 2), sends[0].id, CallResult::Refused);
         now += 200;
     }
     let sends = queue.poll(at(now));
-    queue.ended(at(now + 166), sends[0].call, made(&sends[0]));
-    assert_eq!(failure(&queue.take_ends(), id), None);
+    queue.on_call_ended(at(now + 166), sends[0].id, made(&sends[0]));
+    assert_eq!(failure(&queue.take_results(), id), None);
 }
 
 #[test]
@@ -312,8 +312,8 @@
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     for n in 0..2 {
         let mut near = job(&format!("r{n}"), 5, 5_000, 9_000);
-        near.each = Bytes(3_000_000);
-        near.domain = Some("b".parse().expect("a name"));
+        near.result_bytes = Bytes(3_000_000);
+        near.result_domain = Some("b".parse().expect("a name"));
         queue.submit(near);
         let sends = queue.poll(at(n));
         if n == 0 {
@@ -324,8 +324,8 @@
     }
     for n in 2..8 {
         let mut near = job(&format!("r{n}"), 3, 5_000, 9_000);
-        near.each = Bytes(1_000);
-        near.domain = Some("b".parse().expect("a name"));
+        near.result_bytes = Bytes(1_000);
+        near.result_domain = Some("b".parse().expect("a name"));
         queue.submit(near);
     }
     let sends = queue.poll(at(10));
@@ -342,10 +342,10 @@
     // what it did before is gone; calls are not held back for it.
     let mut queue = queue(&[("p1", "a")]);
     let mut large = job("r0", 8, 900, 3_000);
-    large.each = Bytes(4_000_000);
+    large.result_bytes = Bytes(4_000_000);
     queue.submit(large.clone());
     let first = queue.poll(at(0));
-    queue.ended(at(278), first[0].call, made(&first[0]));
+    queue.on_call_ended(at(278), first[0].id, made(&first[0]));
     let mut again = entry("p1", "a");
     again.born = Some(7);
     queue.set_endpoints(std::iter::once(&again));
@@ -360,8 +360,8 @@
     // waiting piece can't end the job and no endpoint is idle. If the queue
     // asks to be looked at again at once, its owner spins: it answers nobody,
     // and its neighbours take it for dead.
-    let narrow = PieceLimits {
-        batch: 1,
+    let narrow = BatchLimits {
+        max_items: 1,
         ..limits()
     };
     let mut queue = queue_with(narrow, &[("p1", "a")]);
@@ -411,8 +411,8 @@
         sends = queue.poll(at(now));
     }
     assert!(now < 1_200, "the endpoint is asked again at {now} ms");
-    queue.ended(at(now + 182), sends[0].call, made(&sends[0]));
-    assert_eq!(failure(&queue.take_ends(), later), None);
+    queue.on_call_ended(at(now + 182), sends[0].id, made(&sends[0]));
+    assert_eq!(failure(&queue.take_results(), later), None);
 }
 
 #[test]
@@ -422,8 +422,8 @@
     // are read there, don't weigh that much.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     let reading = |request: &str, domain: &str| Job {
-        domain: Some("a".parse().expect("a name")),
-        inputs: Some((domain.parse().expect("a name"), Bytes(480_000))),
+        result_domain: Some("a".parse().expect("a name")),
+        input_source: Some((domain.parse().expect("a name"), Bytes(480_000))),
         ..job(request, 8, 2_000, 5_000)
     };
     queue.submit(reading("r1", "b"));
@@ -442,9 +442,9 @@
     // make the endpoint look slow; in the next burst callers that can be on
     // time together would be taken for late, and go in the wrong order.
     let mut queue = queue(&[("p1", "a")]);
-    let call_at = |queue: &mut PieceQueue, ms: u64| {
+    let call_at = |queue: &mut BatchQueue, ms: u64| {
         let sends = queue.poll(at(ms));
-        queue.ended(at(ms + 278), sends[0].call, made(&sends[0]));
+        queue.on_call_ended(at(ms + 278), sends[0].id, made(&sends[0]));
         requests(&sends[0])[0].to_owned()
     };
     for minute in 0..30 {
@@ -499,15 +499,15 @@
     assert_eq!(first.len(), 1);
     let second = queue.poll(at(1_000));
     assert_eq!(second.len(), 1, "the first call is overdue");
-    let failed = CallResult::Answered(vec![Outcome::Failed]);
-    queue.ended(at(1_200), second[0].call, failed);
+    let failed = CallResult::Answered(vec![ItemOutcome::Failed]);
+    queue.on_call_ended(at(1_200), second[0].id, failed);
     let third = queue.poll(at(1_200));
     assert_eq!(third.len(), 1, "nobody else does it");
     // The lost answer comes after all, and says that the piece failed there.
-    let failed = CallResult::Answered(vec![Outcome::Failed]);
-    queue.ended(at(1_250), first[0].call, failed);
-    queue.ended(at(1_400), third[0].call, made(&third[0]));
-    let ends = queue.take_ends();
+    let failed = CallResult::Answered(vec![ItemOutcome::Failed]);
+    queue.on_call_ended(at(1_250), first[0].id, failed);
+    queue.on_call_ended(at(1_400), third[0].id, made(&third[0]));
+    let ends = queue.take_results();
     assert_eq!(failure(&ends, JobId(0)), None);
 }
 
@@ -524,11 +524,14 @@
     let sent = queue.poll(at(0));
     assert_eq!(sent[0].items[0].fingerprint, Some(Fingerprint(7)));
 
-    queue.refuse(Fingerprint(7));
-    queue.ended(at(10), sent[0].call, CallResult::Broken);
+    queue.fail_request(Fingerprint(7));
+    queue.on_call_ended(at(10), sent[0].id, CallResult::Broken);
     let other = queue.submit(job("r2", 1, 500, 3_000));
 
-    assert_eq!(failure(&queue.take_ends(), id), Some(&Outcome::Failed));
+    assert_eq!(
+        failure(&queue.take_results(), id),
+        Some(&ItemOutcome::Failed)
+    );
     let sent = queue.poll(at(500));
     let jobs: Vec<JobId> = sent.iter().flat_map(|s| &s.items).map(|i| i.job).collect();
     assert_eq!(jobs, [other]);
--- a/lib/tests/test_pipeline_load.rs
+++ b/lib/tests/test_pipeline_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use snipeyoke_lib::serving::catalog::PieceLimits;
+use snipeyoke_lib::serving::catalog::BatchLimits;
 use snipeyoke_lib::serving::catalog::Stage;
 use snipeyoke_lib::units::Bytes;
 
@@ -20,14 +20,14 @@
     item: u64,
     room: u64,
 ) -> ServiceSpec {
-    let limits = PieceLimits {
+    let limits = BatchLimits {
         slots: 1,
         queue: 2,
-        batch,
-        call: MS(150),
-        item: Duration::from_micros(item),
-        room: Bytes(room),
-        keep: Duration::from_secs(4),
+        max_items: batch,
+        call_overhead: MS(150),
+        item_time: Duration::from_micros(item),
+        result_memory: Bytes(room),
+        result_ttl: Duration::from_secs(4),
     };
     ServiceSpec {
         name,
@@ -39,8 +39,8 @@
 fn stage(service: &str, after: &[usize], bytes: u64) -> Stage {
     Stage {
         service: service.parse().expect("a name"),
-        after: after.to_vec(),
-        bytes: Bytes(bytes),
+        depends_on: after.to_vec(),
+        result_bytes: Bytes(bytes),
     }
 }
 
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -13,15 +13,15 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::budget::BudgetLimits;
 use snipeyoke_lib::serving::budget::SharedBudget;
-use snipeyoke_lib::serving::come_back::come_back;
-use snipeyoke_lib::serving::come_back::elsewhere;
-use snipeyoke_lib::serving::durations::Ahead;
 use snipeyoke_lib::serving::durations::Durations;
-use snipeyoke_lib::serving::durations::Took;
-use snipeyoke_lib::serving::events::Events;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::durations::RequestTiming;
+use snipeyoke_lib::serving::events::EventAssembler;
 use snipeyoke_lib::serving::health::Health;
 use snipeyoke_lib::serving::replica::Record;
 use snipeyoke_lib::serving::replica::Replica;
+use snipeyoke_lib::serving::retry_after::other_node_retry_after;
+use snipeyoke_lib::serving::retry_after::retry_after;
 use snipeyoke_lib::time::Time;
 
 fn record(key: &str, value: Option<&[u8]>, offset: u64) -> Record {
@@ -114,11 +114,11 @@
     let mut taken = 0;
     for _ in 0..6 {
         let mut budget = SharedBudget::new(limits);
-        budget.share(6);
+        budget.set_nodes(6);
         for n in 0..10 {
             let now = Time::from_millis(1_000 + n);
-            budget.earn(now, &service);
-            taken += (0..5).filter(|_| budget.take(now, &service)).count();
+            budget.record_request(now, &service);
+            taken += (0..5).filter(|_| budget.try_spend(now, &service)).count();
         }
     }
     assert!(taken <= 12 + 58, "{taken} repeats");
@@ -128,12 +128,12 @@
 #[test]
 fn broken_connections_are_avoided_longer_and_longer() {
     let mut health = Health::default();
-    health.broke(Time::from_millis(1_000));
+    health.record_broken(Time::from_millis(1_000));
     assert!(health.is_paused(Time::from_millis(1_300)));
     assert!(!health.is_paused(Time::from_millis(1_500)));
-    health.broke(Time::from_millis(1_500));
+    health.record_broken(Time::from_millis(1_500));
     assert!(health.is_paused(Time::from_millis(2_200)));
-    health.answered(Time::from_millis(2_300), 1.0);
+    health.record_response(Time::from_millis(2_300), 1.0);
     assert!(!health.is_paused(Time::from_millis(2_300)));
 }
 
@@ -142,7 +142,7 @@
     // An endpoint that is avoided gets no answers that could clear it.
     let mut health = Health::default();
     for n in 0..10 {
-        health.answered(Time::from_millis(n), 6.0);
+        health.record_response(Time::from_millis(n), 6.0);
     }
     assert!(health.slowness(Time::from_millis(10)) > 4.0);
     assert!(health.slowness(Time::from_millis(20_000)) < 1.3);
@@ -166,14 +166,14 @@
     let outcome = TestRunner::new_with_rng(config, rng).run(&cuts, |(cuts, again, stop)| {
         let first = stream(1);
         let first = &first[..stop % (first.len() + 1)];
-        let mut events = Events::after(None);
+        let mut events = EventAssembler::resume_after(None);
         let mut out = Vec::new();
         for bytes in [first.to_vec(), stream(again)] {
             // The second run goes on at or before what was passed on.
-            if bytes != first && events.last().is_none_or(|last| again > last + 1) {
+            if bytes != first && events.last_id().is_none_or(|last| again > last + 1) {
                 return Ok(());
             }
-            events.drop_rest();
+            events.discard_partial();
             let mut rest = bytes.as_slice();
             let mut sizes = cuts.iter().cycle();
             while !rest.is_empty() {
@@ -196,16 +196,16 @@
     // come back after all its time, it has none left for the answer.
     let [none, second] = [0, 1].map(Duration::from_secs);
     let left = 12 * second;
-    assert!(come_back(3 * second, left, 0.0) >= 3 * second);
-    assert!(come_back(3 * second, left, 0.9) > come_back(3 * second, left, 0.1));
-    assert!(come_back(60 * second, left, 0.5) <= left / 3);
-    let soon = come_back(none, none, 0.5);
+    assert!(retry_after(3 * second, left, 0.0) >= 3 * second);
+    assert!(retry_after(3 * second, left, 0.9) > retry_after(3 * second, left, 0.1));
+    assert!(retry_after(60 * second, left, 0.5) <= left / 3);
+    let soon = retry_after(none, none, 0.5);
     assert!(soon > none && soon < second);
 }
 
 /// An answer that came as soon as its request was sent.
-fn answer(millis: u64) -> Took {
-    Took {
+fn answer(millis: u64) -> RequestTiming {
+    RequestTiming {
         wait: Duration::ZERO,
         answer: Duration::from_millis(millis),
         tokens: None,
@@ -213,7 +213,7 @@
 }
 
 fn usual(durations: &Durations, route: &str) -> Option<Duration> {
-    durations.bound(route, None, Ahead::All)
+    durations.bound(route, None, Remaining::All)
 }
 
 #[test]
@@ -249,7 +249,7 @@
     // Chats differ in length thirtyfold, and a few short ones were the last.
     let mut durations = Durations::default();
     for n in 0..40_u32 {
-        let took = Took {
+        let took = RequestTiming {
             wait: Duration::from_millis(10),
             answer: Duration::from_millis(u64::from(6 * (20 + n % 5) + 200)),
             tokens: Some(20 + n % 5),
@@ -257,12 +257,12 @@
         durations.observe("chat", took);
     }
     let bound = |tokens| {
-        let bound = durations.bound("chat", Some(tokens), Ahead::Answer);
+        let bound = durations.bound("chat", Some(tokens), Remaining::Answer);
         bound.expect("answers were seen")
     };
     assert!(bound(20) < Duration::from_secs(1));
     assert!(bound(600) > Duration::from_millis(3_600));
-    let untold = durations.bound("chat", None, Ahead::Answer);
+    let untold = durations.bound("chat", None, Remaining::Answer);
     assert_eq!(untold, None, "none without a length was seen");
 }
 
@@ -282,12 +282,12 @@
         // Sums of three draws lie around 1.5.
         let mut spread = |factor: f64| factor.powf((0..3).map(|_| draw()).sum::<f64>() - 1.5);
         let length = f64::from(tokens) * spread(2.0) + 40.0;
-        let took = Took {
+        let took = RequestTiming {
             wait: Duration::ZERO,
             answer: Duration::from_secs_f64(length * 0.006 * spread(1.5)),
             tokens: Some(tokens),
         };
-        let bound = durations.bound("chat", Some(tokens), Ahead::Answer);
+        let bound = durations.bound("chat", Some(tokens), Remaining::Answer);
         if n >= 20 && bound.expect("answers were seen") < took.answer {
             over += 1;
         }
@@ -300,7 +300,7 @@
 fn a_request_that_has_waited_is_judged_by_its_answer_alone() {
     let mut durations = Durations::default();
     for _ in 0..50 {
-        let took = Took {
+        let took = RequestTiming {
             wait: Duration::from_secs(2),
             answer: Duration::from_millis(500),
             tokens: None,
@@ -311,13 +311,13 @@
         let bound = durations.bound("draft", None, ahead);
         bound.expect("answers were seen")
     };
-    assert!(bound(Ahead::All) >= Duration::from_millis(2_500));
-    assert!(bound(Ahead::Answer) < Duration::from_secs(1));
+    assert!(bound(Remaining::All) >= Duration::from_millis(2_500));
+    assert!(bound(Remaining::Answer) < Duration::from_secs(1));
 }
 
 #[test]
 fn callers_sent_elsewhere_do_not_arrive_together() {
-    let waits = [0.0, 0.5, 1.0].map(elsewhere);
+    let waits = [0.0, 0.5, 1.0].map(other_node_retry_after);
     assert!(waits[0] < waits[1] && waits[1] < waits[2]);
     assert!(waits[2] < Duration::from_millis(100));
 }
--- a/lib/tests/test_stopping.rs
+++ b/lib/tests/test_shutdown.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use snipeyoke_lib::serving::stopping::Candidate;
-use snipeyoke_lib::serving::stopping::Stop;
+use snipeyoke_lib::serving::shutdown::PendingRequest;
+use snipeyoke_lib::serving::shutdown::Shutdown;
 use snipeyoke_lib::time::Time;
 
 fn at(millis: u64) -> Time {
@@ -11,53 +11,53 @@
 }
 
 /// A node that has eight seconds from the start of time.
-const fn stop() -> Stop {
-    Stop {
+const fn stop() -> Shutdown {
+    Shutdown {
         out_of_rotation: Time::from_millis(2_300),
-        given_up: Time::from_millis(6_880),
-        cut: Time::from_millis(7_440),
+        cancel_at: Time::from_millis(6_880),
+        cut_at: Time::from_millis(7_440),
     }
 }
 
-fn stream(began: u64, due: u64, ahead: u64) -> Candidate {
-    Candidate {
+fn stream(began: u64, due: u64, ahead: u64) -> PendingRequest {
+    PendingRequest {
         stream: true,
-        began: at(began),
-        due: at(due),
-        ahead: Some(Duration::from_millis(ahead)),
+        arrived_at: at(began),
+        deadline: at(due),
+        remaining: Some(Duration::from_millis(ahead)),
     }
 }
 
 #[test]
 fn a_stream_is_begun_if_it_ends_before_the_cut() {
     let request = stream(1_000, 60_000, 3_000);
-    assert!(!stop().refuses(at(4_400), &request));
-    assert!(stop().refuses(at(4_500), &request));
+    assert!(!stop().should_refuse(at(4_400), &request));
+    assert!(stop().should_refuse(at(4_500), &request));
     assert_eq!(stop().latest_send(&request), at(4_440));
 }
 
 #[test]
 fn a_stream_that_comes_late_is_not_begun_however_short() {
-    assert!(!stop().refuses(at(2_400), &stream(2_299, 60_000, 10)));
-    assert!(stop().refuses(at(2_400), &stream(2_300, 60_000, 10)));
+    assert!(!stop().should_refuse(at(2_400), &stream(2_299, 60_000, 10)));
+    assert!(stop().should_refuse(at(2_400), &stream(2_300, 60_000, 10)));
 }
 
 /// Guards against a plain request that passes since the node is not yet gone, and
 /// is given up at once.
 #[test]
 fn a_plain_request_is_judged_by_the_moment_at_which_it_would_be_given_up() {
-    let request = Candidate {
+    let request = PendingRequest {
         stream: false,
         ..stream(5_000, 60_000, 100)
     };
-    assert!(!stop().refuses(at(6_700), &request));
-    assert!(stop().refuses(at(6_800), &request));
-    let unknown = Candidate {
-        ahead: None,
+    assert!(!stop().should_refuse(at(6_700), &request));
+    assert!(stop().should_refuse(at(6_800), &request));
+    let unknown = PendingRequest {
+        remaining: None,
         ..request
     };
-    assert!(!stop().refuses(at(6_800), &unknown));
-    assert!(stop().refuses(at(6_900), &unknown));
+    assert!(!stop().should_refuse(at(6_800), &unknown));
+    assert!(stop().should_refuse(at(6_900), &unknown));
 }
 
 /// Guards against a request that is given up early although its deadline, not the
@@ -66,5 +66,5 @@
 fn a_request_that_is_due_before_the_node_leaves_is_not_given_up_for_it() {
     let request = stream(0, 6_000, 7_000);
     assert_eq!(stop().latest_send(&request), Time::NEVER);
-    assert!(!stop().refuses(at(1_440), &request));
+    assert!(!stop().should_refuse(at(1_440), &request));
 }
