--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -13,7 +13,7 @@
 use snipeyoke_lib::serving::batching::ItemOutcome;
 use snipeyoke_lib::serving::batching::Job;
 use snipeyoke_lib::serving::batching::JobId;
-use snipeyoke_lib::serving::batching::JobResult;
+use snipeyoke_lib::serving::batching::JobOutcome;
 use snipeyoke_lib::serving::directory::Endpoint;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::scope::Scope;
@@ -34,7 +34,7 @@
 use crate::shared::Shared;
 
 impl ServiceQueue {
-    fn note_delivered(&mut self, now: Time, node: SocketAddr, end: &JobResult) {
+    fn note_delivered(&mut self, now: Time, node: SocketAddr, end: &JobOutcome) {
         self.delivered.retain(|_, d| d.until > now);
         let until = now + self.queue.result_ttl();
         for (_, handle, endpoint) in &end.produced {
@@ -152,7 +152,7 @@
         }
     }
 
-    pub(super) fn ended(&mut self, origin: Origin, end: JobResult) {
+    pub(super) fn ended(&mut self, origin: Origin, end: JobOutcome) {
         let made = end.produced.into_iter();
         let made = made.map(|(piece, handle, endpoint)| Made {
             piece,
--- a/lib/src/serving/batching/mod.rs
+++ b/lib/src/serving/batching/mod.rs
@@ -22,6 +22,6 @@
 pub use queue::ItemOutcome;
 pub use queue::Job;
 pub use queue::JobId;
-pub use queue::JobResult;
+pub use queue::JobOutcome;
 pub use room::ResultMemory;
 pub use times::StageTimes;
--- a/lib/src/serving/batching/queue.rs
+++ b/lib/src/serving/batching/queue.rs
@@ -152,7 +152,7 @@
 
 /// A job's end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JobResult {
+pub struct JobOutcome {
     /// The job.
     pub job: JobId,
     /// The pieces that are done: number, handle and endpoint.
@@ -218,7 +218,7 @@
     pub(super) calls: BTreeMap<u64, Call>,
     pub(super) next_job: u64,
     pub(super) next_call: u64,
-    pub(super) ends: Vec<JobResult>,
+    pub(super) ends: Vec<JobOutcome>,
     first_goals: FirstGoals,
     /// The pieces that an endpoint does in a second while many wait.
     pub(super) pace: Option<f64>,
@@ -373,7 +373,7 @@
     }
 
     /// Returns the jobs that ended since the last call.
-    pub fn take_results(&mut self) -> Vec<JobResult> {
+    pub fn take_results(&mut self) -> Vec<JobOutcome> {
         std::mem::take(&mut self.ends)
     }
 
--- a/lib/src/serving/batching/settle.rs
+++ b/lib/src/serving/batching/settle.rs
@@ -9,7 +9,7 @@
 use super::queue::FULL_PAUSE;
 use super::queue::ItemOutcome;
 use super::queue::JobId;
-use super::queue::JobResult;
+use super::queue::JobOutcome;
 use crate::time::Time;
 use crate::units::Bytes;
 
@@ -131,7 +131,7 @@
         };
         let made = held.pieces.into_iter();
         let made = made.filter_map(|(p, s)| s.made.map(|(handle, e)| (p, handle, e)));
-        self.ends.push(JobResult {
+        self.ends.push(JobOutcome {
             job: id,
             produced: made.collect(),
             failure,
--- a/lib/tests/test_batching.rs
+++ b/lib/tests/test_batching.rs
@@ -8,7 +8,7 @@
 use snipeyoke_lib::serving::batching::ItemOutcome;
 use snipeyoke_lib::serving::batching::Job;
 use snipeyoke_lib::serving::batching::JobId;
-use snipeyoke_lib::serving::batching::JobResult;
+use snipeyoke_lib::serving::batching::JobOutcome;
 use snipeyoke_lib::serving::batching::StageInput;
 use snipeyoke_lib::serving::catalog::BatchLimits;
 use snipeyoke_lib::serving::crashes::Fingerprint;
@@ -89,7 +89,7 @@
     send.items.iter().map(|i| i.request.as_str()).collect()
 }
 
-fn failure(ends: &[JobResult], id: JobId) -> Option<&ItemOutcome> {
+fn failure(ends: &[JobOutcome], id: JobId) -> Option<&ItemOutcome> {
     let end = ends.iter().find(|e| e.job == id).expect("the job ended");
     end.failure.as_ref()
 }
