--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -19,58 +19,58 @@
 use crate::shared::Shared;
 
 /// The largest answer to a call for pieces, in bytes.
-const ANSWER_MAX: usize = 1 << 20;
+const RESPONSE_BYTES_MAX: usize = 1 << 20;
 
 /// The longest time to give results back.
-const GIVE_BACK_LIMIT: Duration = Duration::from_secs(1);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The time on top of a call's own limit, for the way there and back.
-const WAY: Duration = Duration::from_millis(200);
+const TRANSIT_MARGIN: Duration = Duration::from_millis(200);
 
 /// Makes a call for pieces.
-pub(super) async fn run_pieces(shared: Arc<Shared>, send: PieceCall) -> CallResult {
-    let request = shared.dialect.run_pieces(&send.entry.id, &send.items);
-    let answered = async {
-        let handed = Flag::default();
-        match call(&shared.traffic, send.entry.address, request, &handed).await {
-            Ok(call) => read(&shared, &send, call).await,
+pub(super) async fn run_batch(shared: Arc<Shared>, batch: PieceCall) -> CallResult {
+    let request = shared.dialect.run_pieces(&batch.entry.id, &batch.items);
+    let response = async {
+        let sent = Flag::default();
+        match call(&shared.traffic, batch.entry.address, request, &sent).await {
+            Ok(call) => read_response(&shared, &batch, call).await,
             Err(error) => {
                 if !error.is_not_sent() {
-                    note_break(&shared, &send);
+                    report_break(&shared, &batch);
                 }
-                broken(&send.entry, &error)
+                log_broken(&batch.entry, &error)
             }
         }
     };
-    let over = async {
-        Timer::after(send.limit + WAY).await;
-        log::warn!(event = "pieces-silent", endpoint = send.entry.id.to_string().as_str(), pieces = send.items.len(); "");
+    let timeout = async {
+        Timer::after(batch.limit + TRANSIT_MARGIN).await;
+        log::warn!(event = "pieces-silent", endpoint = batch.entry.id.to_string().as_str(), pieces = batch.items.len(); "");
         CallResult::Broken
     };
-    answered.or(over).await
+    response.or(timeout).await
 }
 
-fn broken(entry: &Entry, error: &CallError) -> CallResult {
+fn log_broken(entry: &Entry, error: &CallError) -> CallResult {
     log::warn!(event = "pieces-failed", endpoint = entry.id.to_string().as_str(), error = error.to_string().as_str(); "");
     CallResult::Broken
 }
 
 /// Notes that the connection of a call broke before its whole answer.
-fn note_break(shared: &Shared, send: &PieceCall) {
-    let run = Incarnation {
-        endpoint: send.entry.id.clone(),
-        born: send.entry.born,
+fn report_break(shared: &Shared, batch: &PieceCall) {
+    let incarnation = Incarnation {
+        endpoint: batch.entry.id.clone(),
+        born: batch.entry.born,
     };
-    let requests = send.items.iter().filter_map(|i| i.fingerprint);
+    let requests = batch.items.iter().filter_map(|i| i.fingerprint);
     for request in requests.collect::<BTreeSet<_>>() {
         let dispatcher = &shared.dispatcher;
-        dispatcher.connection_broke(run.clone(), send.entry.address, request);
+        dispatcher.connection_broke(incarnation.clone(), batch.entry.address, request);
     }
 }
 
-async fn read(shared: &Shared, send: &PieceCall, mut call: Call) -> CallResult {
-    let answer = shared.dialect.answer(&call.head);
-    match answer.verdict {
+async fn read_response(shared: &Shared, batch: &PieceCall, mut call: Call) -> CallResult {
+    let response = shared.dialect.answer(&call.head);
+    match response.verdict {
         Verdict::WrongEndpoint => return CallResult::WrongEndpoint,
         Verdict::NotRun => return CallResult::Refused,
         Verdict::Ran => {}
@@ -78,13 +78,13 @@
     let mut body = Vec::new();
     loop {
         match call.next().await {
-            Ok(Some(bytes)) if body.len() + bytes.len() <= ANSWER_MAX => {
+            Ok(Some(bytes)) if body.len() + bytes.len() <= RESPONSE_BYTES_MAX => {
                 body.extend_from_slice(&bytes);
             }
             Ok(None) => break,
             Ok(Some(_)) => return CallResult::Broken,
             Err(_) => {
-                note_break(shared, send);
+                report_break(shared, batch);
                 return CallResult::Broken;
             }
         }
@@ -95,7 +95,7 @@
     let outcomes = shared.dialect.piece_outcomes(&body);
     outcomes.map_or_else(
         || {
-            log::warn!(event = "pieces-unreadable", endpoint = send.entry.id.to_string().as_str(); "");
+            log::warn!(event = "pieces-unreadable", endpoint = batch.entry.id.to_string().as_str(); "");
             CallResult::Broken
         },
         CallResult::Answered,
@@ -105,9 +105,9 @@
 /// Tells an endpoint that results are not needed any more.
 ///
 /// It is told once: a result that is not dropped lapses by itself.
-pub(super) async fn give_back(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
+pub(super) async fn release_results(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
     let request = shared.dialect.give_back(handles);
-    let told = async {
+    let released = async {
         let Ok(mut call) = call(&shared.traffic, entry.address, request, &Flag::default()).await
         else {
             return false;
@@ -115,11 +115,11 @@
         while let Ok(Some(_)) = call.next().await {}
         call.head.status.is_success()
     };
-    let over = async {
-        Timer::after(GIVE_BACK_LIMIT).await;
+    let timeout = async {
+        Timer::after(RELEASE_TIMEOUT).await;
         false
     };
-    if !told.or(over).await {
+    if !released.or(timeout).await {
         log::info!(event = "give-back-failed", endpoint = entry.id.to_string().as_str(), results = handles.len(); "");
     }
 }
--- a/gateway/src/dispatch/copies.rs
+++ b/gateway/src/dispatch/config_transfer.rs
@@ -16,7 +16,7 @@
 
 impl State {
     /// Asks a neighbour for a copy, if it is time for one.
-    pub(super) fn catch_up(&mut self) {
+    pub(super) fn request_config(&mut self) {
         let now = self.shared.now();
         let owners = self.shared.owners();
         let node = self.shared.catch_up().choose(now, owners.live(now));
@@ -24,57 +24,57 @@
         if let Some(node) = node {
             let from = self.shared.replicas().config.next();
             log::info!(event = "config-asked-of-node", node = node.to_string().as_str(), from = from.0; "");
-            self.ask_slice(node);
+            self.request_slice(node);
         }
     }
 
     /// Asks again where a link to the neighbour has just come up.
-    pub(super) fn ask_once_connected(&mut self, peer: SocketAddr) {
+    pub(super) fn retry_config_request(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
         if self.shared.catch_up().moved(now, peer) {
-            self.ask_slice(peer);
+            self.request_slice(peer);
         }
     }
 
-    fn ask_slice(&mut self, node: SocketAddr) {
+    fn request_slice(&mut self, node: SocketAddr) {
         let from = self.shared.replicas().config.next();
-        let ask = self.assembly.ask(from);
+        let request = self.assembly.ask(from);
         self.send(
             node,
             Body::RecordAsk(RecordAsk {
-                from: ask.from.0,
-                offset: ask.offset.0,
-                at: ask.at,
+                from: request.from.0,
+                offset: request.offset.0,
+                at: request.at,
             }),
         );
     }
 
     /// Answers a neighbour that asks for a slice.
-    pub(super) fn asked_record(&self, link: LinkNumber, ask: &RecordAsk) {
-        let Some(caller) = self.callers.get(&link) else {
+    pub(super) fn handle_record_request(&self, link: LinkNumber, request: &RecordAsk) {
+        let Some(inbound) = self.inbound.get(&link) else {
             return;
         };
         let replicas = self.shared.replicas();
         let next = replicas.config.next().0;
         let slice = replicas.config.slice(Ask {
-            from: Offset(ask.from),
-            offset: Offset(ask.offset),
-            at: ask.at,
+            from: Offset(request.from),
+            offset: Offset(request.offset),
+            at: request.at,
         });
         drop(replicas);
         let frame = slice.map_or_else(RecordSlice::default, frame_of);
         let bytes = frame.data.len();
         if frame.at == 0 {
-            let node = caller.node.map(|n| n.to_string()).unwrap_or_default();
-            log::info!(event = "config-passed-on", node = node.as_str(), from = ask.from, bytes = frame.total.unwrap_or_default(); "");
+            let node = inbound.node.map(|n| n.to_string()).unwrap_or_default();
+            log::info!(event = "config-passed-on", node = node.as_str(), from = request.from, bytes = frame.total.unwrap_or_default(); "");
         }
         metrics::counter!("snipeyoke_config_passed_on_bytes_total").increment(bytes as u64);
         let frame = RecordSlice { next, ..frame };
-        let _full = caller.sender.send(Body::RecordSlice(frame));
+        let _full = inbound.sender.send(Body::RecordSlice(frame));
     }
 
     /// Takes in a slice and asks for the next one.
-    pub(super) fn take_slice(&mut self, peer: SocketAddr, frame: RecordSlice) {
+    pub(super) fn handle_slice(&mut self, peer: SocketAddr, frame: RecordSlice) {
         let now = self.shared.now();
         self.shared.told_config(peer, Offset(frame.next), 0);
         // A slice that was asked of a neighbour given up since.
@@ -82,13 +82,13 @@
             return;
         }
         let from = self.shared.replicas().config.next();
-        let before = self.assembly.ask(from);
+        let previous = self.assembly.ask(from);
         let record = slice_of(frame).and_then(|slice| self.assembly.take(slice));
         let Some(record) = record else {
-            if self.assembly.ask(from) == before {
-                self.unusable(peer);
+            if self.assembly.ask(from) == previous {
+                self.reject_slice(peer);
             } else {
-                self.ask_slice(peer);
+                self.request_slice(peer);
             }
             return;
         };
@@ -96,13 +96,13 @@
         self.shared
             .extend(Topic::Config, vec![record], next, &peer.to_string());
         if self.shared.catch_up().moved(now, peer) {
-            self.ask_slice(peer);
+            self.request_slice(peer);
         }
     }
 
     // Asked again at once, it would send the same again, as fast as the link
     // carries it. The next look at it says anew what it has.
-    fn unusable(&self, peer: SocketAddr) {
+    fn reject_slice(&self, peer: SocketAddr) {
         log::warn!(event = "config-slice-unusable", node = peer.to_string().as_str(), record_max = RECORD_MAX, remedy = "run the same release on all nodes, keep the configuration below the largest record"; "");
         self.shared.catch_up().forget(peer);
     }
--- a/gateway/src/dispatch/convert.rs
+++ b/gateway/src/dispatch/convert.rs
@@ -55,7 +55,7 @@
 
 /// Reads a job of another node.
 pub(super) fn job_of(now: Time, frame: PieceJob) -> Job {
-    let later = |micros: u64| now + Duration::from_micros(micros);
+    let after = |micros: u64| now + Duration::from_micros(micros);
     let work = if frame.inputs.is_empty() {
         Work::Key
     } else {
@@ -70,8 +70,8 @@
         work,
         key: frame.key,
         each: Bytes(frame.each),
-        goal: later(frame.goal_us),
-        due: later(frame.due_us),
+        goal: after(frame.goal_us),
+        due: after(frame.due_us),
         domain: frame.domain.parse().ok(),
         priority: u8::try_from(frame.priority).unwrap_or(u8::MAX),
         inputs: near.map(|domain| (domain, Bytes(frame.inputs_bytes))),
@@ -79,22 +79,22 @@
 }
 
 /// Writes the end of a job for the node that handed it in.
-pub(super) fn end_frame(done: &JobResult) -> PieceJobEnd {
-    let results = done.results.iter().map(|r| snipeyoke_wire::PieceResult {
+pub(super) fn job_end_frame(result: &JobResult) -> PieceJobEnd {
+    let results = result.results.iter().map(|r| snipeyoke_wire::PieceResult {
         piece: r.item,
         handle: r.handle.clone(),
         endpoint: r.endpoint.to_string(),
     });
     PieceJobEnd {
-        job: done.number.0,
+        job: result.number.0,
         made: results.collect(),
-        failure: done.failure.map(|f| f.to_string()).unwrap_or_default(),
-        backlog_ms: done.backlog.as_millis() as u64,
+        failure: result.failure.map(|f| f.to_string()).unwrap_or_default(),
+        backlog_ms: result.backlog.as_millis() as u64,
     }
 }
 
 /// Reads the end of a job; results of unreadable endpoints are left out.
-pub(super) fn done_of(frame: PieceJobEnd) -> JobResult {
+pub(super) fn job_result_of(frame: PieceJobEnd) -> JobResult {
     let results = frame.made.into_iter().filter_map(|r| {
         Some(StageResult {
             item: r.piece,
@@ -133,28 +133,28 @@
 }
 
 /// Writes that an endpoint ended under a request.
-pub(super) fn end_of_endpoint_frame(
+pub(super) fn endpoint_end_frame(
     request: Fingerprint,
-    run: &Incarnation,
+    incarnation: &Incarnation,
     age: Duration,
 ) -> EndpointEnd {
     EndpointEnd {
         request: bytes_of(request),
-        endpoint: run.endpoint.to_string(),
-        born: run.born,
+        endpoint: incarnation.endpoint.to_string(),
+        born: incarnation.born,
         age_ms: age.as_millis() as u64,
     }
 }
 
 /// Reads that an endpoint ended under a request, and how long ago; `None` if it
 /// can't be read.
-pub(super) fn end_of_endpoint(frame: &EndpointEnd) -> Option<(Fingerprint, Incarnation, Duration)> {
-    let run = Incarnation {
+pub(super) fn endpoint_end_of(frame: &EndpointEnd) -> Option<(Fingerprint, Incarnation, Duration)> {
+    let incarnation = Incarnation {
         endpoint: frame.endpoint.parse().ok()?,
         born: frame.born,
     };
     let age = Duration::from_millis(frame.age_ms);
-    Some((fingerprint(&frame.request)?, run, age))
+    Some((fingerprint(&frame.request)?, incarnation, age))
 }
 
 /// Writes a verdict on a request.
--- a/gateway/src/dispatch/crashes.rs
+++ b/gateway/src/dispatch/crashes.rs
@@ -23,106 +23,121 @@
 use super::run::State;
 
 /// The longest time to connect to an endpoint whose connection broke.
-const LOOK_LIMIT: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The pause before the second look at an endpoint that accepts connections.
 ///
 /// A process that dies closes its connections in any order with its listener.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const PROBE_PAUSE: Duration = Duration::from_millis(100);
 
 /// How long a report is told again to nodes that count from now on.
-const REPORTED: Duration = Duration::from_secs(5);
+const REPORT_RESEND_PERIOD: Duration = Duration::from_secs(5);
 
 /// The most reports that are kept for this.
 const REPORTS_MAX: usize = 256;
 
 /// The latest verdicts that a node is told once a link to it is up.
-const LATEST: usize = 16;
+const VERDICTS_ON_CONNECT: usize = 16;
 
 /// The end of an endpoint under a request, as it was told.
 #[derive(Debug, Clone)]
 pub(super) struct Report {
     at: Time,
     request: Fingerprint,
-    run: Incarnation,
+    incarnation: Incarnation,
 }
 
 impl State {
-    pub(super) fn broke(&mut self, run: Incarnation, address: SocketAddr, request: Fingerprint) {
+    pub(super) fn handle_connection_broke(
+        &mut self,
+        incarnation: Incarnation,
+        address: SocketAddr,
+        request: Fingerprint,
+    ) {
         let now = self.shared.now();
-        match self.ends.broke(now, &run, request) {
+        match self.endpoint_loss.broke(now, &incarnation, request) {
             Broke::Look => {
-                let look = look(run, address, self.inbox.clone());
-                self.scope.spawn(look);
+                let probe = probe(incarnation, address, self.inbox.clone());
+                self.scope.spawn(probe);
             }
-            Broke::Ended => self.ended_under(now, &run, request),
+            Broke::Ended => self.record_crash(now, &incarnation, request),
             Broke::Waits | Broke::Lives => {}
         }
     }
 
-    pub(super) fn refused(&mut self, run: Incarnation, address: SocketAddr) {
+    pub(super) fn handle_connection_refused(
+        &mut self,
+        incarnation: Incarnation,
+        address: SocketAddr,
+    ) {
         let now = self.shared.now();
-        if self.ends.refused(now, &run) {
-            let look = look(run, address, self.inbox.clone());
-            self.scope.spawn(look);
+        if self.endpoint_loss.refused(now, &incarnation) {
+            let probe = probe(incarnation, address, self.inbox.clone());
+            self.scope.spawn(probe);
         }
     }
 
-    pub(super) fn looked(&mut self, run: &Incarnation, ended: bool) {
+    pub(super) fn handle_probe(&mut self, incarnation: &Incarnation, ended: bool) {
         let now = self.shared.now();
-        let leaves = ended && self.leaves(run);
-        let requests = self.ends.looked(now, run, ended && !leaves);
-        if leaves {
-            log::info!(event = "endpoint-left", endpoint = run.to_string().as_str(); "");
+        let leaving = ended && self.is_leaving(incarnation);
+        let requests = self
+            .endpoint_loss
+            .looked(now, incarnation, ended && !leaving);
+        if leaving {
+            log::info!(event = "endpoint-left", endpoint = incarnation.to_string().as_str(); "");
         } else if !ended {
-            log::info!(event = "endpoint-lives", endpoint = run.to_string().as_str(); "");
+            log::info!(event = "endpoint-lives", endpoint = incarnation.to_string().as_str(); "");
         }
         for (at, request) in requests {
-            self.ended_under(at, run, request);
+            self.record_crash(at, incarnation, request);
         }
     }
 
     /// Tells whether an endpoint has announced its end.
-    fn leaves(&self, run: &Incarnation) -> bool {
+    fn is_leaving(&self, incarnation: &Incarnation) -> bool {
         let directory = self.shared.directory();
-        let entry = directory.get(&run.endpoint).map(Endpoint::entry);
-        entry.is_some_and(|e| e.born == run.born && e.draining)
+        let entry = directory.get(&incarnation.endpoint).map(Endpoint::entry);
+        entry.is_some_and(|e| e.born == incarnation.born && e.draining)
     }
 
     /// Counts an end, and tells the nodes that count for the request.
-    fn ended_under(&mut self, at: Time, run: &Incarnation, request: Fingerprint) {
+    fn record_crash(&mut self, at: Time, incarnation: &Incarnation, request: Fingerprint) {
         metrics::counter!("snipeyoke_crash_strikes_total").increment(1);
-        log::warn!(event = "endpoint-ended", endpoint = run.to_string().as_str(), fingerprint = request.to_string().as_str(); "");
-        let run = run.clone();
-        let report = Report { at, request, run };
-        self.count_end(&report);
-        self.report(&report, |_| true);
+        log::warn!(event = "endpoint-ended", endpoint = incarnation.to_string().as_str(), fingerprint = request.to_string().as_str(); "");
+        let incarnation = incarnation.clone();
+        let report = Report {
+            at,
+            request,
+            incarnation,
+        };
+        self.count_crash(&report);
+        self.send_report(&report, |_| true);
         if self.reports.len() >= REPORTS_MAX {
             self.reports.pop_front();
         }
         self.reports.push_back(report);
     }
 
-    fn report(&mut self, report: &Report, to: impl Fn(&SocketAddr) -> bool) {
+    fn send_report(&mut self, report: &Report, to: impl Fn(&SocketAddr) -> bool) {
         let now = self.shared.now();
         let own = self.shared.settings.listen.peers;
         let counters = self.shared.owners().counters(now, report.request);
         for node in counters.into_iter().filter(|n| *n != own && to(n)) {
             let age = now.since(report.at);
-            let frame = convert::end_of_endpoint_frame(report.request, &report.run, age);
+            let frame = convert::endpoint_end_frame(report.request, &report.incarnation, age);
             // Without a link yet, it goes out once it is there.
             self.send(node, Body::EndpointEnd(frame));
         }
     }
 
     /// Tells a node what could not be sent before the link was up.
-    pub(super) fn report_connected(&mut self, peer: SocketAddr) {
+    pub(super) fn send_recent(&mut self, peer: SocketAddr) {
         for report in self.recent() {
-            self.report(&report, |node| *node == peer);
+            self.send_report(&report, |node| *node == peer);
         }
         let now = self.shared.now();
         let crashes = self.shared.crashes();
-        let verdicts = crashes.latest(now, LATEST);
+        let verdicts = crashes.latest(now, VERDICTS_ON_CONNECT);
         drop(crashes);
         for verdict in verdicts {
             self.send(peer, Body::Quarantine(convert::quarantine_frame(&verdict)));
@@ -130,54 +145,63 @@
     }
 
     /// Tells the nodes that count now, after one that may have counted is lost.
-    pub(super) fn report_again(&mut self) {
+    pub(super) fn resend_reports(&mut self) {
         for report in self.recent() {
-            self.report(&report, |_| true);
+            self.send_report(&report, |_| true);
         }
     }
 
     fn recent(&mut self) -> Vec<Report> {
         let now = self.shared.now();
-        self.reports.retain(|r| now.since(r.at) < REPORTED);
+        self.reports
+            .retain(|r| now.since(r.at) < REPORT_RESEND_PERIOD);
         self.reports.iter().cloned().collect()
     }
 
     /// Takes in that an endpoint ended under another node's request.
-    pub(super) fn asked_end(&mut self, frame: &EndpointEnd) {
-        let Some((request, run, age)) = convert::end_of_endpoint(frame) else {
+    pub(super) fn handle_endpoint_end(&mut self, frame: &EndpointEnd) {
+        let Some((request, incarnation, age)) = convert::endpoint_end_of(frame) else {
             log::warn!(event = "endpoint-end-unreadable", remedy = "run the same release on all nodes"; "");
             return;
         };
         let at = self.shared.now() - age;
-        self.count_end(&Report { at, request, run });
+        self.count_crash(&Report {
+            at,
+            request,
+            incarnation,
+        });
     }
 
-    fn count_end(&mut self, report: &Report) {
-        let Report { at, request, run } = report;
+    fn count_crash(&mut self, report: &Report) {
+        let Report {
+            at,
+            request,
+            incarnation,
+        } = report;
         let request = *request;
         let now = self.shared.now();
         let mut crashes = self.shared.crashes();
         let mut ends: Vec<String> = crashes.ends(request).map(ToString::to_string).collect();
-        let verdict = crashes.told_end(now, *at, request, run);
+        let verdict = crashes.told_end(now, *at, request, incarnation);
         drop(crashes);
         let Some(verdict) = verdict else {
             return;
         };
-        ends.push(run.to_string());
+        ends.push(incarnation.to_string());
         metrics::counter!("snipeyoke_quarantines_total").increment(1);
         log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = ends.join(",").as_str(), span_ms = verdict.span.as_millis() as u64, left_ms = verdict.left.as_millis() as u64; "");
-        self.tell_all(verdict);
-        self.end_jobs(request);
+        self.announce_verdict(verdict);
+        self.refuse_jobs(request);
     }
 
-    fn end_jobs(&mut self, request: Fingerprint) {
+    fn refuse_jobs(&mut self, request: Fingerprint) {
         for owned in self.queues.values_mut() {
             owned.queue.refuse(request);
         }
     }
 
     /// Takes in a verdict of another node.
-    pub(super) fn told_verdict(&mut self, frame: &Quarantine) {
+    pub(super) fn handle_verdict(&mut self, frame: &Quarantine) {
         let Some(verdict) = convert::verdict_of(frame) else {
             log::warn!(event = "quarantine-unreadable", remedy = "run the same release on all nodes"; "");
             return;
@@ -189,15 +213,15 @@
             Learned::News => {
                 log_learned(&verdict);
                 if !verdict.left.is_zero() {
-                    self.end_jobs(verdict.request);
+                    self.refuse_jobs(verdict.request);
                 }
             }
-            Learned::Objected(lifted) => self.tell_all(lifted),
+            Learned::Objected(lifted) => self.announce_verdict(lifted),
         }
     }
 
     /// Tells all nodes what this one has found of a request.
-    pub(super) fn tell_all(&mut self, verdict: Verdict) {
+    pub(super) fn announce_verdict(&mut self, verdict: Verdict) {
         if verdict.left.is_zero() {
             log::info!(event = "quarantine-lifted", fingerprint = verdict.request.to_string().as_str(), why = "answered"; "");
         }
@@ -206,10 +230,10 @@
         let frame = convert::quarantine_frame(&verdict);
         for node in nodes {
             let linked = self.peers.get(&node).is_some_and(|p| p.sender.is_some());
-            let caller = self.callers.values().find(|c| c.node == Some(node));
-            match caller {
-                Some(caller) if !linked => {
-                    let _full = caller.sender.send(Body::Quarantine(frame.clone()));
+            let inbound = self.inbound.values().find(|l| l.node == Some(node));
+            match inbound {
+                Some(inbound) if !linked => {
+                    let _full = inbound.sender.send(Body::Quarantine(frame.clone()));
                 }
                 _ => self.send(node, Body::Quarantine(frame.clone())),
             }
@@ -230,16 +254,16 @@
 ///
 /// Its host refuses connections then. One that does not answer may be cut off,
 /// which no request is the cause of.
-async fn look(run: Incarnation, address: SocketAddr, inbox: Sender<Message>) {
+async fn probe(incarnation: Incarnation, address: SocketAddr, inbox: Sender<Message>) {
     let mut ended = is_refused(address).await;
     if !ended {
-        Timer::after(LOOK_PAUSE).await;
+        Timer::after(PROBE_PAUSE).await;
         ended = is_refused(address).await;
     }
-    let _closed = inbox.try_send(Message::Looked { run, ended });
+    let _closed = inbox.try_send(Message::Probed { incarnation, ended });
 }
 
 async fn is_refused(address: SocketAddr) -> bool {
-    let connected = link::connect(address, LOOK_LIMIT).await;
+    let connected = link::connect(address, PROBE_TIMEOUT).await;
     connected.is_err_and(|e| e.kind() == io::ErrorKind::ConnectionRefused)
 }
--- a/gateway/src/dispatch/inbound.rs
+++ b/gateway/src/dispatch/inbound.rs
@@ -1,4 +1,4 @@
-//! What other nodes ask of the dispatcher.
+//! What other nodes request of the dispatcher.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,23 +23,23 @@
 use super::JobResult;
 use super::convert;
 use super::messages::LinkNumber;
-use super::peers::learn;
+use super::peers::learn_node;
 use super::run::Delivered;
-use super::run::EarlyAsked;
 use super::run::Origin;
 use super::run::State;
+use super::run::UnacceptedJob;
 use crate::shared::Shared;
 
 /// How long a node may be without a link before it counts as gone.
 ///
 /// A link that was reset is opened again within a connect's time of 400 ms.
-const DEPARTED: Duration = Duration::from_millis(800);
+const DEPARTED_AFTER: Duration = Duration::from_millis(800);
 
 /// How long a node without a configuration keeps the jobs of others.
 ///
 /// It has one within a tenth of a second of its start, unless registry and
 /// neighbours are away; then the jobs are better refused.
-const EARLY_MAX: Duration = Duration::from_millis(400);
+const UNACCEPTED_WAIT_MAX: Duration = Duration::from_millis(400);
 
 /// The most changes of endpoints that a node is told without asking for them.
 ///
@@ -51,24 +51,24 @@
 const VERDICTS_MAX: usize = 64;
 
 impl State {
-    pub(super) fn asked(&mut self, link: LinkNumber, body: Body) {
+    pub(super) fn handle_request(&mut self, link: LinkNumber, body: Body) {
         match body {
-            Body::PieceJob(frame) => self.asked_job(link, frame),
-            Body::PieceCancel(cancel) => self.asked_cancel(link, cancel.job),
-            Body::PieceUnneeded(unneeded) => self.asked_unneeded(unneeded),
-            Body::SyncRequest(look) => self.asked_sync(link, &look),
-            Body::RecordAsk(ask) => self.asked_record(link, &ask),
-            Body::PlaceAsk(ask) => self.asked_place(link, &ask),
-            Body::EndpointEnd(end) => self.asked_end(&end),
-            Body::Quarantine(frame) => self.told_verdict(&frame),
-            Body::PlaceNote(note) => self.asked_note(link, &note),
+            Body::PieceJob(frame) => self.handle_job(link, frame),
+            Body::PieceCancel(cancel) => self.handle_cancel(link, cancel.job),
+            Body::PieceUnneeded(unneeded) => self.handle_unneeded(unneeded),
+            Body::SyncRequest(poll) => self.handle_sync_request(link, &poll),
+            Body::RecordAsk(request) => self.handle_record_request(link, &request),
+            Body::PlaceAsk(request) => self.handle_place_request(link, &request),
+            Body::EndpointEnd(end) => self.handle_endpoint_end(&end),
+            Body::Quarantine(frame) => self.handle_verdict(&frame),
+            Body::PlaceNote(note) => self.handle_place_note(link, &note),
             _ => {
                 log::warn!(event = "frame-unexpected", remedy = "run the same release on all nodes"; "");
             }
         }
     }
 
-    pub(super) fn asked_job(&mut self, link: LinkNumber, frame: PieceJob) {
+    pub(super) fn handle_job(&mut self, link: LinkNumber, frame: PieceJob) {
         let number = frame.job;
         let now = self.shared.now();
         let service = frame.service.parse::<PoolName>();
@@ -79,10 +79,10 @@
             return;
         };
         // A node that has just started is taken for the owner before it knows the
-        // service. Refused at once, the job would fail at its caller.
+        // service. Refused at once, the job would fail at its inbound.
         if self.shared.catalog.get().is_none() {
             let since = now;
-            self.early_asked.push(EarlyAsked {
+            self.unaccepted.push(UnacceptedJob {
                 link,
                 number,
                 service,
@@ -91,36 +91,36 @@
             });
             return;
         }
-        self.take_asked(link, number, &service, job);
+        self.accept_job(link, number, &service, job);
     }
 
-    fn take_asked(&mut self, link: LinkNumber, number: u64, service: &PoolName, job: Job) {
+    fn accept_job(&mut self, link: LinkNumber, number: u64, service: &PoolName, job: Job) {
         let origin = Origin::Peer { link, job: number };
-        if self.queue(service, job, origin).is_none() {
+        if self.enqueue(service, job, origin).is_none() {
             self.refuse_job(link, number);
         }
     }
 
     /// Takes up the jobs of others that waited for this node's configuration.
-    pub(super) fn take_early(&mut self) {
-        if self.early_asked.is_empty() {
+    pub(super) fn retry_unaccepted(&mut self) {
+        if self.unaccepted.is_empty() {
             return;
         }
         let now = self.shared.now();
-        let knows = self.shared.catalog.get().is_some();
-        for early in std::mem::take(&mut self.early_asked) {
-            if knows {
-                self.take_asked(early.link, early.number, &early.service, early.job);
-            } else if now.since(early.since) < EARLY_MAX {
-                self.early_asked.push(early);
+        let configured = self.shared.catalog.get().is_some();
+        for waiting in std::mem::take(&mut self.unaccepted) {
+            if configured {
+                self.accept_job(waiting.link, waiting.number, &waiting.service, waiting.job);
+            } else if now.since(waiting.since) < UNACCEPTED_WAIT_MAX {
+                self.unaccepted.push(waiting);
             } else {
-                self.refuse_job(early.link, early.number);
+                self.refuse_job(waiting.link, waiting.number);
             }
         }
     }
 
     fn refuse_job(&self, link: LinkNumber, number: u64) {
-        let Some(caller) = self.callers.get(&link) else {
+        let Some(inbound) = self.inbound.get(&link) else {
             return;
         };
         let refused = JobResult {
@@ -129,27 +129,27 @@
             failure: Some(JobFailure::Failed),
             backlog: Duration::ZERO,
         };
-        let _full = caller
+        let _full = inbound
             .sender
-            .send(Body::PieceJobEnd(convert::end_frame(&refused)));
+            .send(Body::PieceJobEnd(convert::job_end_frame(&refused)));
     }
 
-    pub(super) fn asked_cancel(&mut self, link: LinkNumber, job: u64) {
-        self.early_asked
-            .retain(|early| (early.link, early.number) != (link, job));
-        self.drop_jobs(
+    pub(super) fn handle_cancel(&mut self, link: LinkNumber, job: u64) {
+        self.unaccepted
+            .retain(|waiting| (waiting.link, waiting.number) != (link, job));
+        self.cancel_jobs(
             |origin| matches!(origin, Origin::Peer { link: l, job: j } if *l == link && *j == job),
         );
     }
 
-    pub(super) fn hung(&mut self, link: LinkNumber) {
-        let node = self.callers.remove(&link).and_then(|c| c.node);
-        let gone = |node: &SocketAddr| self.callers.values().all(|c| c.node != Some(*node));
+    pub(super) fn handle_inbound_closed(&mut self, link: LinkNumber) {
+        let node = self.inbound.remove(&link).and_then(|l| l.node);
+        let gone = |node: &SocketAddr| self.inbound.values().all(|l| l.node != Some(*node));
         if let Some(node) = node.filter(gone) {
             self.departed.insert(node, self.shared.now());
         }
-        self.drop_jobs(|origin| matches!(origin, Origin::Peer { link: l, .. } if *l == link));
-        self.early_asked.retain(|early| early.link != link);
+        self.cancel_jobs(|origin| matches!(origin, Origin::Peer { link: l, .. } if *l == link));
+        self.unaccepted.retain(|waiting| waiting.link != link);
         for bookings in self.bookings.values_mut() {
             bookings.end_link(link.0 + 1);
         }
@@ -160,8 +160,8 @@
     /// A node that was killed gives nothing back: its results would take the
     /// endpoints' memory until they lapse, and the nodes that live find no
     /// room. One whose link was reset is back at once and still needs them.
-    pub(super) fn clear_departed(&mut self, now: Time) {
-        let gone = |_: &SocketAddr, at: &mut Time| now.since(*at) > DEPARTED;
+    pub(super) fn release_departed(&mut self, now: Time) {
+        let gone = |_: &SocketAddr, at: &mut Time| now.since(*at) > DEPARTED_AFTER;
         let departed: Vec<SocketAddr> =
             self.departed.extract_if(.., gone).map(|(n, _)| n).collect();
         if departed.is_empty() {
@@ -176,7 +176,7 @@
         }
     }
 
-    pub(super) fn drop_jobs(&mut self, wanted: impl Fn(&Origin) -> bool) {
+    pub(super) fn cancel_jobs(&mut self, wanted: impl Fn(&Origin) -> bool) {
         let now = self.shared.now();
         for owned in self.queues.values_mut() {
             let found = owned.origins.iter().filter(|(_, o)| wanted(o));
@@ -188,12 +188,12 @@
         }
     }
 
-    pub(super) fn asked_unneeded(&mut self, frame: PieceUnneeded) {
+    pub(super) fn handle_unneeded(&mut self, frame: PieceUnneeded) {
         let Ok(service) = frame.service.parse::<PoolName>() else {
             return;
         };
         let now = self.shared.now();
-        if let Some(owned) = self.open(&service) {
+        if let Some(owned) = self.open_queue(&service) {
             for result in frame.results {
                 owned.delivered.remove(&result.handle);
                 if let Ok(endpoint) = result.endpoint.parse() {
@@ -203,91 +203,91 @@
         }
     }
 
-    pub(super) fn asked_sync(&mut self, link: LinkNumber, look: &SyncRequest) {
+    pub(super) fn handle_sync_request(&mut self, link: LinkNumber, poll: &SyncRequest) {
         let now = self.shared.now();
-        if let Ok(address) = look.address.parse() {
+        if let Ok(address) = poll.address.parse() {
             let known = KnownNode {
-                address: look.address.clone(),
-                power: look.power,
+                address: poll.address.clone(),
+                power: poll.power,
             };
-            learn(&mut self.shared.owners(), now, &known);
+            learn_node(&mut self.shared.owners(), now, &known);
             self.departed.remove(&address);
-            let next = Offset(look.config_next);
+            let next = Offset(poll.config_next);
             self.shared.told_config(address, next, 0);
-            if let Some(caller) = self.callers.get_mut(&link) {
-                caller.node = Some(address);
+            if let Some(inbound) = self.inbound.get_mut(&link) {
+                inbound.node = Some(address);
             }
         }
-        if look.brief {
+        if poll.brief {
             self.shared.upkeep().looked_at(now);
         }
-        let mut seen = self.seen(Some(look));
-        let Some(caller) = self.callers.get_mut(&link) else {
+        let mut reply = self.sync_reply(Some(poll));
+        let Some(inbound) = self.inbound.get_mut(&link) else {
             return;
         };
         let crashes = self.shared.crashes();
-        let (verdicts, last) = crashes.news_since(now, caller.verdicts, VERDICTS_MAX);
+        let (verdicts, last) = crashes.news_since(now, inbound.sent_verdicts, VERDICTS_MAX);
         drop(crashes);
-        seen.quarantines = verdicts.iter().map(convert::quarantine_frame).collect();
-        if !look.brief {
+        reply.quarantines = verdicts.iter().map(convert::quarantine_frame).collect();
+        if !poll.brief {
             let owners = self.shared.owners();
-            seen.known = known(&self.shared, &owners, now, caller.told);
-            let news = owners.news();
+            reply.known = known_nodes(&self.shared, &owners, now, inbound.sent_changes);
+            let changes = owners.news();
             drop(owners);
             // A full queue is that of a silent node; its next link begins anew.
-            if caller.sender.send(Body::SyncReply(seen)).is_ok() {
-                caller.told = news;
-                caller.verdicts = last;
+            if inbound.sender.send(Body::SyncReply(reply)).is_ok() {
+                inbound.sent_changes = changes;
+                inbound.sent_verdicts = last;
             }
             return;
         }
-        if caller.sender.send(Body::SyncReply(seen)).is_ok() {
-            caller.verdicts = last;
+        if inbound.sender.send(Body::SyncReply(reply)).is_ok() {
+            inbound.sent_verdicts = last;
         }
     }
 
     /// Returns what this node says of itself, without other nodes.
-    fn seen(&self, look: Option<&SyncRequest>) -> SyncReply {
+    fn sync_reply(&self, poll: Option<&SyncRequest>) -> SyncReply {
         let now = self.shared.now();
         let micros = |age: Duration| age.as_micros() as u64;
-        let upkeep = *self.shared.upkeep();
-        let mut seen = SyncReply {
+        let polling = *self.shared.upkeep();
+        let mut reply = SyncReply {
             leaving: self.shared.aside.is_set(),
-            unread: upkeep.is_unread(now),
-            config_age_us: upkeep.of(Kept::Config).age(now).map(micros),
-            stamp: look.map_or(0, |l| l.stamp),
+            unread: polling.is_unread(now),
+            config_age_us: polling.of(Kept::Config).age(now).map(micros),
+            stamp: poll.map_or(0, |p| p.stamp),
             ..SyncReply::default()
         };
         let replicas = self.shared.replicas();
-        seen.config_next = replicas.config.next().0;
-        seen.config_bytes = replicas.config.size() as u64;
-        let Some(look) = look else {
-            return seen;
+        reply.config_next = replicas.config.next().0;
+        reply.config_bytes = replicas.config.size() as u64;
+        let Some(poll) = poll else {
+            return reply;
         };
-        let changes = replicas.endpoints.since(Offset(look.endpoints_next));
-        let few = |all: &Vec<Record>| all.len() <= CHANGES_MAX && look.endpoints_next > 0;
-        if let Some(changes) = changes.filter(|all| look.stale || few(all)) {
-            seen.endpoints = changes.into_iter().map(convert::record_frame).collect();
-            seen.endpoints_next = replicas.endpoints.next().0;
-            seen.endpoints_age_us = upkeep.of(Kept::Endpoints).age(now).map(micros);
-            seen.endpoints_sum = self.shared.directory().sum();
+        let changes = replicas.endpoints.since(Offset(poll.endpoints_next));
+        let few = |all: &Vec<Record>| all.len() <= CHANGES_MAX && poll.endpoints_next > 0;
+        if let Some(changes) = changes.filter(|all| poll.stale || few(all)) {
+            reply.endpoints = changes.into_iter().map(convert::record_frame).collect();
+            reply.endpoints_next = replicas.endpoints.next().0;
+            reply.endpoints_age_us = polling.of(Kept::Endpoints).age(now).map(micros);
+            reply.endpoints_sum = self.shared.directory().sum();
         }
-        seen
+        reply
     }
 
     /// Tells all nodes that look at this one what it says of itself.
-    pub(super) fn tell_callers(&self) {
-        let seen = self.seen(None);
-        for caller in self.callers.values() {
-            let _full = caller.sender.send(Body::SyncReply(seen.clone()));
+    pub(super) fn announce_state(&self) {
+        let reply = self.sync_reply(None);
+        for inbound in self.inbound.values() {
+            let _full = inbound.sender.send(Body::SyncReply(reply.clone()));
         }
     }
 }
 
 /// Returns this node and the news that it has of others.
-fn known(shared: &Shared, owners: &Owners, now: Time, told: u64) -> Vec<KnownNode> {
+fn known_nodes(shared: &Shared, owners: &Owners, now: Time, sent: u64) -> Vec<KnownNode> {
     let own = (shared.settings.listen.peers, Some(shared.settings.power));
-    let all = owners.news_since(now, told).chain([own]);
+    let all = owners.news_since(now, sent).chain([own]);
     let known = all.map(|(address, power)| KnownNode {
         address: address.to_string(),
         power: power.map_or(0, |p| p.0),
--- a/gateway/src/dispatch/links.rs
+++ b/gateway/src/dispatch/links.rs
@@ -22,7 +22,7 @@
 /// system sends the next one a second later. Tried anew, a node that has come up
 /// meanwhile is reached at once. Answers come within a few milliseconds, and
 /// within the last limit also from another region.
-const CONNECT_LIMITS: [Duration; 3] = [
+const CONNECT_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(80),
     Duration::from_millis(120),
     Duration::from_millis(200),
@@ -63,16 +63,16 @@
     scope.spawn(async move {
         let _ended = writer.run().await;
     });
-    let opened = Message::Accepted {
+    let opened = Message::InboundOpened {
         link: number,
         sender: sender.clone(),
     };
     let _closed = inbox.try_send(opened);
     while let Some(body) = next(&mut reader).await {
-        let _closed = inbox.try_send(Message::Asked { link: number, body });
+        let _closed = inbox.try_send(Message::InboundFrame { link: number, body });
     }
     sender.close();
-    let _closed = inbox.try_send(Message::Hung { link: number });
+    let _closed = inbox.try_send(Message::InboundClosed { link: number });
 }
 
 /// Opens a link to another node and reads it until it fails.
@@ -83,27 +83,27 @@
         scope.spawn(async move {
             let _ended = writer.run().await;
         });
-        let connected = Message::Connected {
+        let connected = Message::OutboundOpened {
             peer,
             sender: sender.clone(),
         };
         let _closed = inbox.try_send(connected);
         while let Some(body) = next(&mut reader).await {
-            let _closed = inbox.try_send(Message::Answered { peer, body });
+            let _closed = inbox.try_send(Message::OutboundFrame { peer, body });
         }
         sender.close();
     }
-    let _closed = inbox.try_send(Message::Lost { peer });
+    let _closed = inbox.try_send(Message::OutboundClosed { peer });
 }
 
 async fn connect(peer: SocketAddr) -> Option<Async<TcpStream>> {
-    for limit in CONNECT_LIMITS {
-        let over = Timer::after(limit);
-        if let Ok(stream) = link::connect(peer, limit).await {
+    for timeout in CONNECT_TIMEOUTS {
+        let timer = Timer::after(timeout);
+        if let Ok(stream) = link::connect(peer, timeout).await {
             return Some(stream);
         }
         // A port that nobody listens on yet answers at once.
-        over.await;
+        timer.await;
     }
     None
 }
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -16,7 +16,7 @@
 
 use super::JobNumber;
 use super::JobResult;
-use super::places::Note;
+use super::placement::BookingEvent;
 
 /// Numbers the links that other nodes opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,43 +35,46 @@
     /// A request of this node no longer waits for a job.
     Cancel { number: JobNumber },
     /// A request of this node no longer needs results.
-    GiveBack {
+    ReleaseResults {
         service: PoolName,
         results: Vec<(EndpointId, String)>,
     },
     /// A request of this node asks for an endpoint.
-    Place {
+    RequestPlacement {
         number: u64,
         service: PoolName,
-        wish: Wish,
+        request: Wish,
         reply: Sender<Option<EndpointId>>,
     },
     /// Something became of a booked request of this node.
-    Noted { number: u64, note: Note },
+    BookingEvent { number: u64, event: BookingEvent },
     /// The connection of a request of this node to an endpoint broke.
-    Broke {
-        run: Incarnation,
+    ConnectionBroke {
+        incarnation: Incarnation,
         address: SocketAddr,
         request: Fingerprint,
     },
     /// A request of this node was given up while an endpoint had it.
-    GivenUp {
-        run: Incarnation,
+    RequestAbandoned {
+        incarnation: Incarnation,
         request: Fingerprint,
     },
     /// An endpoint refused a connection.
-    Refused {
-        run: Incarnation,
+    ConnectionRefused {
+        incarnation: Incarnation,
         address: SocketAddr,
     },
     /// A look at an endpoint whose connection broke tells whether it has ended.
-    Looked { run: Incarnation, ended: bool },
+    Probed {
+        incarnation: Incarnation,
+        ended: bool,
+    },
     /// All other nodes are to know this of a request.
     Verdict(Verdict),
     /// The endpoints changed.
     EndpointsChanged,
     /// This node has a newer configuration.
-    ConfigGrew,
+    ConfigChanged,
     /// This node leaves.
     Leaving,
     /// A call for pieces ended.
@@ -81,27 +84,27 @@
         result: CallResult,
     },
     /// An endpoint was told to drop results.
-    Dropped {
+    ResultsReleased {
         service: PoolName,
         endpoint: EndpointId,
         handles: Vec<String>,
     },
     /// Another node opened a link.
-    Accepted {
+    InboundOpened {
         link: LinkNumber,
         sender: LinkSender,
     },
     /// A frame came over a link that another node opened.
-    Asked { link: LinkNumber, body: Body },
+    InboundFrame { link: LinkNumber, body: Body },
     /// A link that another node opened is gone.
-    Hung { link: LinkNumber },
+    InboundClosed { link: LinkNumber },
     /// A link that this node opened is up.
-    Connected {
+    OutboundOpened {
         peer: SocketAddr,
         sender: LinkSender,
     },
     /// A frame came over a link that this node opened.
-    Answered { peer: SocketAddr, body: Body },
+    OutboundFrame { peer: SocketAddr, body: Body },
     /// A link that this node opened failed.
-    Lost { peer: SocketAddr },
+    OutboundClosed { peer: SocketAddr },
 }
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -4,14 +4,14 @@
 //! node owns, the jobs that others own, and the links to other nodes.
 
 mod calls;
+mod config_transfer;
 mod convert;
-mod copies;
 mod crashes;
 mod inbound;
 mod links;
 mod messages;
 mod peers;
-mod places;
+mod placement;
 mod queues;
 mod run;
 
@@ -33,7 +33,7 @@
 
 pub(crate) use self::links::accept;
 pub(crate) use self::messages::Message;
-pub(crate) use self::places::Booking;
+pub(crate) use self::placement::Booking;
 pub(crate) use self::run::run;
 
 /// Numbers the jobs that this node's requests submit.
@@ -96,7 +96,7 @@
         reply: Sender<JobResult>,
     ) -> JobNumber {
         let number = JobNumber(self.next.fetch_add(1, Ordering::Relaxed));
-        self.tell(Message::Submit {
+        self.send(Message::Submit {
             number,
             service,
             job,
@@ -111,14 +111,14 @@
     pub(crate) fn request_placement(
         &self,
         service: PoolName,
-        wish: Wish,
+        request: Wish,
     ) -> (Booking, Receiver<Option<EndpointId>>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, endpoint) = async_channel::bounded(1);
-        self.tell(Message::Place {
+        self.send(Message::RequestPlacement {
             number,
             service,
-            wish,
+            request,
             reply,
         });
         (Booking::new(self.clone(), number), endpoint)
@@ -126,59 +126,65 @@
 
     /// Says that nobody waits for a job any more.
     pub(crate) fn cancel(&self, number: JobNumber) {
-        self.tell(Message::Cancel { number });
+        self.send(Message::Cancel { number });
     }
 
     /// Says that nobody needs these results any more.
     pub(crate) fn release_results(&self, service: PoolName, results: Vec<(EndpointId, String)>) {
-        self.tell(Message::GiveBack { service, results });
+        self.send(Message::ReleaseResults { service, results });
     }
 
     /// Says that the connection of a request to an endpoint broke.
     pub(crate) fn connection_broke(
         &self,
-        run: Incarnation,
+        incarnation: Incarnation,
         address: SocketAddr,
         request: Fingerprint,
     ) {
-        self.tell(Message::Broke {
-            run,
+        self.send(Message::ConnectionBroke {
+            incarnation,
             address,
             request,
         });
     }
 
     /// Says that a request was given up while an endpoint had it.
-    pub(crate) fn request_abandoned(&self, run: Incarnation, request: Fingerprint) {
-        self.tell(Message::GivenUp { run, request });
+    pub(crate) fn request_abandoned(&self, incarnation: Incarnation, request: Fingerprint) {
+        self.send(Message::RequestAbandoned {
+            incarnation,
+            request,
+        });
     }
 
     /// Says that an endpoint refused a connection.
-    pub(crate) fn connection_refused(&self, run: Incarnation, address: SocketAddr) {
-        self.tell(Message::Refused { run, address });
+    pub(crate) fn connection_refused(&self, incarnation: Incarnation, address: SocketAddr) {
+        self.send(Message::ConnectionRefused {
+            incarnation,
+            address,
+        });
     }
 
     /// Says what all other nodes are to know of a request.
     pub(crate) fn announce_verdict(&self, verdict: Verdict) {
-        self.tell(Message::Verdict(verdict));
+        self.send(Message::Verdict(verdict));
     }
 
     /// Says that the endpoints changed.
     pub(crate) fn endpoints_changed(&self) {
-        self.tell(Message::EndpointsChanged);
+        self.send(Message::EndpointsChanged);
     }
 
     /// Says that this node has a newer configuration.
     pub(crate) fn config_changed(&self) {
-        self.tell(Message::ConfigGrew);
+        self.send(Message::ConfigChanged);
     }
 
     /// Says that this node leaves.
     pub(crate) fn announce_leaving(&self) {
-        self.tell(Message::Leaving);
+        self.send(Message::Leaving);
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         // The dispatcher is gone only when the process ends; nobody waits then.
         let _closed = self.inbox.try_send(message);
     }
--- a/gateway/src/dispatch/peers.rs
+++ b/gateway/src/dispatch/peers.rs
@@ -15,9 +15,9 @@
 
 use super::JobNumber;
 use super::convert;
+use super::run::JobOwner;
 use super::run::Peer;
 use super::run::PendingJob;
-use super::run::Place;
 use super::run::State;
 use crate::registry::Topic;
 
@@ -25,81 +25,81 @@
 ///
 /// A neighbour may know a newer configuration when the registry does not
 /// answer this node; two looks a second bring it well within two seconds.
-const SYNC_ANY: Duration = Duration::from_millis(500);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a node that was asked may be silent.
 ///
 /// Looks are answered within milliseconds, and within some hundred on a slow
 /// host. Beyond this its jobs go to the next owner.
-const SILENCE_MAX: Duration = Duration::from_millis(750);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(750);
 
 impl State {
-    pub(super) fn answered(&mut self, peer: SocketAddr, body: Body) {
+    pub(super) fn handle_response(&mut self, peer: SocketAddr, body: Body) {
         let now = self.shared.now();
-        if let Some(known) = self.peers.get_mut(&peer) {
-            known.asked = None;
+        if let Some(link) = self.peers.get_mut(&peer) {
+            link.unanswered_since = None;
         }
         self.shared.owners().heard(now, peer);
         match body {
             Body::PieceJobEnd(end) => {
                 let held = self.pending.get(&JobNumber(end.job));
-                if held.is_some_and(|t| t.place == Place::At(peer)) {
-                    self.done(convert::done_of(end));
+                if held.is_some_and(|t| t.owner == JobOwner::Remote(peer)) {
+                    self.finish_job(convert::job_result_of(end));
                 }
             }
-            Body::SyncReply(seen) => self.take_sync(peer, seen),
-            Body::RecordSlice(slice) => self.take_slice(peer, slice),
-            Body::Quarantine(frame) => self.told_verdict(&frame),
-            Body::Placed(placed) => self.answered_place(&placed),
+            Body::SyncReply(reply) => self.handle_sync_reply(peer, reply),
+            Body::RecordSlice(slice) => self.handle_slice(peer, slice),
+            Body::Quarantine(frame) => self.handle_verdict(&frame),
+            Body::Placed(placed) => self.handle_placed(&placed),
             _ => {
                 log::warn!(event = "frame-unexpected", peer = peer.to_string().as_str(), remedy = "run the same release on all nodes"; "");
             }
         }
     }
 
-    pub(super) fn take_sync(&mut self, peer: SocketAddr, mut seen: SyncReply) {
+    pub(super) fn handle_sync_reply(&mut self, peer: SocketAddr, mut reply: SyncReply) {
         let now = self.shared.now();
         let mut owners = self.shared.owners();
-        owners.leaves(peer, seen.leaving);
-        for known in &seen.known {
-            learn(&mut owners, now, known);
+        owners.leaves(peer, reply.leaving);
+        for known in &reply.known {
+            learn_node(&mut owners, now, known);
         }
         let count = owners.count();
         drop(owners);
-        for frame in &seen.quarantines {
-            self.told_verdict(frame);
+        for frame in &reply.quarantines {
+            self.handle_verdict(frame);
         }
         self.shared.budget().share(count);
-        let next = Offset(seen.config_next);
-        self.shared.told_config(peer, next, seen.config_bytes);
-        if self.endpoints_asked.is_some_and(|(node, _)| node == peer) {
-            self.endpoints_asked = None;
+        let next = Offset(reply.config_next);
+        self.shared.told_config(peer, next, reply.config_bytes);
+        if self.endpoints_request.is_some_and(|(node, _)| node == peer) {
+            self.endpoints_request = None;
         }
-        let has_endpoints = self.take_endpoints(peer, &mut seen);
-        if seen.stamp == 0 {
+        let has_endpoints = self.apply_endpoints(peer, &mut reply);
+        if reply.stamp == 0 {
             return;
         }
         let has_config = self.shared.replicas().config.next() >= next;
         let age = |micros: Option<u64>| micros.map(Duration::from_micros);
-        let told = Told {
-            unread: seen.unread,
-            config: age(seen.config_age_us).filter(|_| has_config),
-            endpoints: age(seen.endpoints_age_us).filter(|_| has_endpoints),
+        let status = Told {
+            unread: reply.unread,
+            config: age(reply.config_age_us).filter(|_| has_config),
+            endpoints: age(reply.endpoints_age_us).filter(|_| has_endpoints),
         };
-        let sent = Time::from_micros(seen.stamp);
-        let mut upkeep = self.shared.upkeep();
-        upkeep.take(now, &mut self.shared.owners(), (peer, sent), told);
+        let sent = Time::from_micros(reply.stamp);
+        let mut polling = self.shared.upkeep();
+        polling.take(now, &mut self.shared.owners(), (peer, sent), status);
     }
 
     /// Takes in a neighbour's endpoints; tells whether this node has all of them.
-    fn take_endpoints(&self, peer: SocketAddr, seen: &mut SyncReply) -> bool {
-        let next = Offset(seen.endpoints_next);
+    fn apply_endpoints(&self, peer: SocketAddr, reply: &mut SyncReply) -> bool {
+        let next = Offset(reply.endpoints_next);
         if next == Offset(0) {
             return false;
         }
         // An older neighbour has nothing that this node lacks.
         if next > self.shared.replicas().endpoints.next() {
-            let records = std::mem::take(&mut seen.endpoints);
+            let records = std::mem::take(&mut reply.endpoints);
             let records = records.into_iter().map(convert::record_of).collect();
             let source = peer.to_string();
             self.shared.extend(Topic::Endpoints, records, next, &source);
@@ -110,7 +110,7 @@
         drop(replicas);
         // Two copies that are complete up to the same record hold the same. If
         // they don't, the registry knows which one is wrong.
-        if same && sum != seen.endpoints_sum {
+        if same && sum != reply.endpoints_sum {
             log::warn!(event = "endpoints-differ", node = peer.to_string().as_str(), next = next.0; "");
             self.shared.differs();
             return false;
@@ -119,38 +119,41 @@
     }
 
     /// Looks at the node that reads the registry for all, if it is time.
-    pub(super) fn look_at_reader(&mut self, now: Time) {
-        let mut upkeep = self.shared.upkeep();
-        let reader = upkeep.look(now, &mut self.shared.owners());
-        drop(upkeep);
+    pub(super) fn poll_reader(&mut self, now: Time) {
+        let mut polling = self.shared.upkeep();
+        let reader = polling.look(now, &mut self.shared.owners());
+        drop(polling);
         if let Some(reader) = reader {
-            self.look(reader, true);
+            self.send_poll(reader, true);
         }
     }
 
     /// Returns when to look at the node that reads for all.
-    pub(super) fn look_at(&self) -> Time {
+    pub(super) fn reader_poll_at(&self) -> Time {
         self.shared.upkeep().look_at(self.shared.now())
     }
 
     /// Looks at the nodes that hold jobs, and at some other one.
-    pub(super) fn sync_around(&mut self, now: Time) {
+    pub(super) fn poll_peers(&mut self, now: Time) {
         let mut busy: Vec<SocketAddr> = Vec::new();
-        for ticket in self.pending.values() {
-            if let Place::At(owner) = ticket.place
+        for pending in self.pending.values() {
+            if let JobOwner::Remote(owner) = pending.owner
                 && !busy.contains(&owner)
             {
                 busy.push(owner);
             }
         }
-        let silent = |p: &Peer| p.asked.is_some_and(|at| now.since(at) > SILENCE_MAX);
+        let silent = |p: &Peer| {
+            p.unanswered_since
+                .is_some_and(|at| now.since(at) > RESPONSE_TIMEOUT)
+        };
         let found = self.peers.iter().filter(|(_, p)| silent(p));
         let lost: Vec<SocketAddr> = found.map(|(&peer, _)| peer).collect();
         for peer in lost {
-            self.lost(peer, "silent");
+            self.drop_peer(peer, "silent");
         }
         for &peer in &busy {
-            self.sync(peer);
+            self.poll(peer);
         }
         let owners = self.shared.owners();
         let live: Vec<SocketAddr> = owners.live(now).map(|(a, _)| a).collect();
@@ -158,25 +161,25 @@
         if live.is_empty() {
             return;
         }
-        self.turn = (self.turn + 1) % live.len();
-        let peer = live[self.turn];
-        let due = self
+        self.poll_index = (self.poll_index + 1) % live.len();
+        let peer = live[self.poll_index];
+        let is_due = self
             .peers
             .get(&peer)
-            .is_none_or(|p| now.since(p.synced) >= SYNC_ANY);
-        if due && !busy.contains(&peer) {
-            self.sync(peer);
+            .is_none_or(|p| now.since(p.polled_at) >= IDLE_POLL_INTERVAL);
+        if is_due && !busy.contains(&peer) {
+            self.poll(peer);
         }
     }
 
-    pub(super) fn sync(&mut self, peer: SocketAddr) {
-        self.look(peer, false);
+    pub(super) fn poll(&mut self, peer: SocketAddr) {
+        self.send_poll(peer, false);
     }
 
-    fn look(&mut self, peer: SocketAddr, brief: bool) {
+    fn send_poll(&mut self, peer: SocketAddr, brief: bool) {
         let now = self.shared.now();
         let replicas = self.shared.replicas();
-        let look = SyncRequest {
+        let request = SyncRequest {
             address: self.shared.settings.listen.peers.to_string(),
             config_next: replicas.config.next().0,
             endpoints_next: replicas.endpoints.next().0,
@@ -186,16 +189,16 @@
             stamp: now.as_micros(),
         };
         drop(replicas);
-        let stale = !brief && self.shared.lacks_endpoints() && self.may_ask_endpoints(now);
+        let stale = !brief && self.shared.lacks_endpoints() && self.can_request_endpoints(now);
         if stale {
-            self.endpoints_asked = Some((peer, now));
+            self.endpoints_request = Some((peer, now));
         }
-        self.send(peer, Body::SyncRequest(SyncRequest { stale, ..look }));
-        if let Some(known) = self.peers.get_mut(&peer) {
+        self.send(peer, Body::SyncRequest(SyncRequest { stale, ..request }));
+        if let Some(link) = self.peers.get_mut(&peer) {
             if !brief {
-                known.synced = now;
+                link.polled_at = now;
             }
-            known.asked.get_or_insert(now);
+            link.unanswered_since.get_or_insert(now);
         }
     }
 
@@ -203,9 +206,9 @@
     ///
     /// Hundreds of endpoints fill a frame of a hundred kilobytes. Asked of all
     /// neighbours in turn before the first answer is there, they fill the link.
-    fn may_ask_endpoints(&self, now: Time) -> bool {
-        let waits = |(_, at): (SocketAddr, Time)| now.since(at) < SILENCE_MAX;
-        !self.endpoints_asked.is_some_and(waits)
+    fn can_request_endpoints(&self, now: Time) -> bool {
+        let in_flight = |(_, at): (SocketAddr, Time)| now.since(at) < RESPONSE_TIMEOUT;
+        !self.endpoints_request.is_some_and(in_flight)
     }
 
     /// Takes the end of a link: of one that was up another one is tried first.
@@ -213,55 +216,55 @@
     /// A connection that is reset says nothing about the node behind it. Passed
     /// over at once by some nodes and not by others, each service would have
     /// several owners, whose calls get in each other's way.
-    pub(super) fn broken(&mut self, peer: SocketAddr) {
-        self.lost_booker(peer);
+    pub(super) fn handle_outbound_closed(&mut self, peer: SocketAddr) {
+        self.decline_placements(peer);
         let was_up = self.peers.get(&peer).is_some_and(|p| p.sender.is_some());
         if !was_up {
-            self.lost(peer, "no-link");
+            self.drop_peer(peer, "no-link");
             return;
         }
         self.peers.remove(&peer);
-        let holds = |t: &PendingJob| t.place == Place::At(peer);
+        let holds = |t: &PendingJob| t.owner == JobOwner::Remote(peer);
         let jobs = self.pending.values().filter(|t| holds(t)).count();
         log::info!(event = "link-lost", peer = peer.to_string().as_str(), jobs; "");
         if jobs > 0 {
-            self.begin(peer);
+            self.open_link(peer);
         }
     }
 
     /// Gives up a link; its jobs go to the next owner.
-    pub(super) fn lost(&mut self, peer: SocketAddr, why: &str) {
+    pub(super) fn drop_peer(&mut self, peer: SocketAddr, why: &str) {
         let now = self.shared.now();
-        if let Some(known) = self.peers.remove(&peer)
-            && let Some(sender) = known.sender
+        if let Some(link) = self.peers.remove(&peer)
+            && let Some(sender) = link.sender
         {
             sender.close();
         }
         self.shared.owners().silent(now, peer);
         self.shared.upkeep().lost(peer);
-        self.lost_booker(peer);
+        self.decline_placements(peer);
         self.shared.catch_up().forget(peer);
-        if self.endpoints_asked.is_some_and(|(node, _)| node == peer) {
-            self.endpoints_asked = None;
+        if self.endpoints_request.is_some_and(|(node, _)| node == peer) {
+            self.endpoints_request = None;
         }
         let held = self
             .pending
             .iter()
-            .filter(|(_, t)| t.place == Place::At(peer));
+            .filter(|(_, t)| t.owner == JobOwner::Remote(peer));
         let numbers: Vec<JobNumber> = held.map(|(&n, _)| n).collect();
         log::info!(event = "node-lost", peer = peer.to_string().as_str(), why, jobs = numbers.len(); "");
-        self.give_back_missed(peer);
-        self.report_again();
+        self.release_missed(peer);
+        self.resend_reports();
         for number in numbers {
-            if let Some(ticket) = self.pending.remove(&number) {
-                self.submit(number, ticket.service, ticket.job, ticket.reply);
+            if let Some(pending) = self.pending.remove(&number) {
+                self.submit(number, pending.service, pending.job, pending.reply);
             }
         }
     }
 }
 
 /// Takes in a node that another one knows.
-pub(super) fn learn(owners: &mut Owners, now: Time, known: &KnownNode) {
+pub(super) fn learn_node(owners: &mut Owners, now: Time, known: &KnownNode) {
     let Ok(address) = known.address.parse() else {
         return;
     };
--- a/gateway/src/dispatch/places.rs
+++ b/gateway/src/dispatch/placement.rs
@@ -19,11 +19,11 @@
 use super::run::State;
 
 /// The link number of this node's own bookings; those of others begin at 1.
-const OWN: u64 = 0;
+const OWN_LINK: u64 = 0;
 
 /// A request of this node that is booked at some node.
 #[derive(Debug)]
-pub(super) struct Place {
+pub(super) struct Placement {
     service: PoolName,
     shard: Shard,
     booker: SocketAddr,
@@ -33,9 +33,9 @@
 
 /// What became of a booked request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Note {
+pub(crate) enum BookingEvent {
     /// Its first event came after so many times the expected time.
-    Begun {
+    FirstEvent {
         /// The ratio.
         pace: f32,
     },
@@ -65,7 +65,7 @@
 
     /// Notes that the first event came, after `pace` times the expected time.
     pub(crate) fn first_event(&self, pace: f32) {
-        self.tell(Note::Begun { pace });
+        self.send(BookingEvent::FirstEvent { pace });
     }
 
     /// Notes that the endpoint failed.
@@ -73,102 +73,111 @@
         self.failed = true;
     }
 
-    fn tell(&self, note: Note) {
+    fn send(&self, event: BookingEvent) {
         let number = self.number;
-        self.dispatcher.tell(Message::Noted { number, note });
+        self.dispatcher
+            .send(Message::BookingEvent { number, event });
     }
 }
 
 impl Drop for Booking {
     fn drop(&mut self) {
         let failed = self.failed;
-        self.tell(Note::Ended { failed });
+        self.send(BookingEvent::Ended { failed });
     }
 }
 
 impl State {
     /// Asks for an endpoint; `reply` gets `None` if this node has to choose.
-    pub(super) fn place(
+    pub(super) fn request_placement(
         &mut self,
         number: u64,
         service: PoolName,
-        wish: Wish,
+        request: Wish,
         reply: Sender<Option<EndpointId>>,
     ) {
         let now = self.shared.now();
         let shard = self
             .shared
             .directory()
-            .shard(&service, wish.prefix.unwrap_or(number));
+            .shard(&service, request.prefix.unwrap_or(number));
         let booker = self.shared.owners().booker(now, &service, shard);
-        let place = Place {
+        let placement = Placement {
             service,
             shard,
             booker,
             reply: Some(reply),
         };
         if booker == self.shared.settings.listen.peers {
-            let id = BookingId { link: OWN, number };
-            let endpoint = self.book(&place.service, shard, id, &wish);
-            self.places.insert(number, place);
-            self.placed(number, endpoint);
+            let id = BookingId {
+                link: OWN_LINK,
+                number,
+            };
+            let endpoint = self.book(&placement.service, shard, id, &request);
+            self.placements.insert(number, placement);
+            self.reply_placement(number, endpoint);
             return;
         }
-        let ask = ask_frame(number, &place, wish);
+        let frame = place_frame(number, &placement, request);
         let up = self.peers.get(&booker).is_some_and(|p| p.sender.is_some());
-        self.places.insert(number, place);
+        self.placements.insert(number, placement);
         // Without a link yet it only begins one, for the next request.
-        self.send(booker, Body::PlaceAsk(ask));
+        self.send(booker, Body::PlaceAsk(frame));
         if !up {
-            self.placed(number, None);
+            self.reply_placement(number, None);
         }
     }
 
     /// Hands an endpoint to the request that asked for it.
-    fn placed(&mut self, number: u64, endpoint: Option<EndpointId>) {
-        let place = self.places.get_mut(&number);
-        if let Some(reply) = place.and_then(|p| p.reply.take()) {
+    fn reply_placement(&mut self, number: u64, endpoint: Option<EndpointId>) {
+        let placement = self.placements.get_mut(&number);
+        if let Some(reply) = placement.and_then(|p| p.reply.take()) {
             let _gone = reply.try_send(endpoint);
         }
     }
 
-    pub(super) fn answered_place(&mut self, placed: &Placed) {
-        self.placed(placed.number, placed.endpoint.parse().ok());
+    pub(super) fn handle_placed(&mut self, placed: &Placed) {
+        self.reply_placement(placed.number, placed.endpoint.parse().ok());
     }
 
     /// Has this node choose for all that wait for a node that is lost.
-    pub(super) fn lost_booker(&mut self, booker: SocketAddr) {
-        let theirs = self.places.iter().filter(|(_, p)| p.booker == booker);
+    pub(super) fn decline_placements(&mut self, booker: SocketAddr) {
+        let theirs = self.placements.iter().filter(|(_, p)| p.booker == booker);
         let numbers: Vec<u64> = theirs.map(|(&n, _)| n).collect();
         for number in numbers {
-            self.placed(number, None);
+            self.reply_placement(number, None);
         }
     }
 
-    pub(super) fn noted(&mut self, number: u64, note: Note) {
-        let ended = matches!(note, Note::Ended { .. });
-        let Some(place) = self.places.get(&number) else {
+    pub(super) fn handle_booking_event(&mut self, number: u64, event: BookingEvent) {
+        let ended = matches!(event, BookingEvent::Ended { .. });
+        let Some(placement) = self.placements.get(&number) else {
             return;
         };
-        if place.booker == self.shared.settings.listen.peers {
-            let id = BookingId { link: OWN, number };
-            let bookings = self.bookings.get_mut(&(place.service.clone(), place.shard));
+        if placement.booker == self.shared.settings.listen.peers {
+            let id = BookingId {
+                link: OWN_LINK,
+                number,
+            };
+            let bookings = self
+                .bookings
+                .get_mut(&(placement.service.clone(), placement.shard));
             if let Some(bookings) = bookings {
                 // Its own endpoints' health this node has noted already.
-                let _endpoint = match note {
-                    Note::Begun { .. } => bookings.read(id).cloned(),
-                    Note::Ended { .. } => bookings.end(id),
+                let _endpoint = match event {
+                    BookingEvent::FirstEvent { .. } => bookings.read(id).cloned(),
+                    BookingEvent::Ended { .. } => bookings.end(id),
                 };
             }
         } else {
-            let frame = note_frame(number, note);
-            let booker = place.booker;
+            let frame = note_frame(number, event);
+            let booker = placement.booker;
             if self.peers.contains_key(&booker) {
                 self.send(booker, Body::PlaceNote(frame));
             }
         }
         if ended {
-            self.places.remove(&number);
+            self.placements.remove(&number);
         }
     }
 
@@ -177,7 +186,7 @@
         service: &PoolName,
         shard: Shard,
         id: BookingId,
-        wish: &Wish,
+        request: &Wish,
     ) -> Option<EndpointId> {
         let now = self.shared.now();
         let key = (service.clone(), shard);
@@ -186,32 +195,32 @@
         }
         let bookings = self.bookings.entry(key).or_default();
         let directory = self.shared.directory();
-        bookings.place(now, &directory, (service, shard), id, wish)
+        bookings.place(now, &directory, (service, shard), id, request)
     }
 
-    pub(super) fn asked_place(&mut self, link: LinkNumber, ask: &PlaceAsk) {
-        let number = ask.number;
+    pub(super) fn handle_place_request(&mut self, link: LinkNumber, frame: &PlaceAsk) {
+        let number = frame.number;
         let id = BookingId {
             link: link.0 + 1,
             number,
         };
         let shard = Shard {
-            index: ask.shard,
-            count: ask.shards,
+            index: frame.shard,
+            count: frame.shards,
         };
-        let endpoint = ask.service.parse::<PoolName>().ok().and_then(|service| {
-            let wish = wish_of(ask);
-            self.book(&service, shard, id, &wish)
+        let endpoint = frame.service.parse::<PoolName>().ok().and_then(|service| {
+            let request = request_of(frame);
+            self.book(&service, shard, id, &request)
         });
         let endpoint = endpoint.map(|e| e.to_string()).unwrap_or_default();
-        if let Some(caller) = self.callers.get(&link) {
-            let _full = caller
+        if let Some(inbound) = self.inbound.get(&link) {
+            let _full = inbound
                 .sender
                 .send(Body::Placed(Placed { number, endpoint }));
         }
     }
 
-    pub(super) fn asked_note(&mut self, link: LinkNumber, note: &PlaceNote) {
+    pub(super) fn handle_place_note(&mut self, link: LinkNumber, note: &PlaceNote) {
         let now = self.shared.now();
         let id = BookingId {
             link: link.0 + 1,
@@ -239,36 +248,36 @@
     }
 }
 
-fn ask_frame(number: u64, place: &Place, wish: Wish) -> PlaceAsk {
+fn place_frame(number: u64, placement: &Placement, request: Wish) -> PlaceAsk {
     PlaceAsk {
         number,
-        service: place.service.to_string(),
-        shard: place.shard.index,
-        shards: place.shard.count,
-        prefix: wish.prefix,
-        shared: wish.shared,
-        own: wish.own,
-        domain: wish.domain.map(|d| d.to_string()).unwrap_or_default(),
-        afar: wish.afar,
-        avoid: wish.avoid.iter().map(ToString::to_string).collect(),
+        service: placement.service.to_string(),
+        shard: placement.shard.index,
+        shards: placement.shard.count,
+        prefix: request.prefix,
+        shared: request.shared,
+        own: request.own,
+        domain: request.domain.map(|d| d.to_string()).unwrap_or_default(),
+        afar: request.afar,
+        avoid: request.avoid.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn wish_of(ask: &PlaceAsk) -> Wish {
+fn request_of(frame: &PlaceAsk) -> Wish {
     Wish {
-        prefix: ask.prefix,
-        shared: ask.shared,
-        own: ask.own,
-        domain: ask.domain.parse().ok(),
-        afar: ask.afar,
-        avoid: ask.avoid.iter().filter_map(|e| e.parse().ok()).collect(),
+        prefix: frame.prefix,
+        shared: frame.shared,
+        own: frame.own,
+        domain: frame.domain.parse().ok(),
+        afar: frame.afar,
+        avoid: frame.avoid.iter().filter_map(|e| e.parse().ok()).collect(),
     }
 }
 
-fn note_frame(number: u64, note: Note) -> PlaceNote {
-    let (pace, ended, failed) = match note {
-        Note::Begun { pace } => (Some((pace * 100.0) as u32), false, false),
-        Note::Ended { failed } => (None, true, failed),
+fn note_frame(number: u64, event: BookingEvent) -> PlaceNote {
+    let (pace, ended, failed) = match event {
+        BookingEvent::FirstEvent { pace } => (Some((pace * 100.0) as u32), false, false),
+        BookingEvent::Ended { failed } => (None, true, failed),
     };
     PlaceNote {
         number,
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -26,15 +26,15 @@
 use super::calls;
 use super::convert;
 use super::messages::Message;
+use super::run::BUSY_POLL_INTERVAL;
 use super::run::Delivered;
 use super::run::Origin;
-use super::run::SYNC_BUSY;
 use super::run::ServiceQueue;
 use super::run::State;
 use crate::shared::Shared;
 
 impl ServiceQueue {
-    fn note_delivered(&mut self, now: Time, node: SocketAddr, end: &JobEnd) {
+    fn record_delivered(&mut self, now: Time, node: SocketAddr, end: &JobEnd) {
         self.delivered.retain(|_, d| d.until > now);
         let until = now + self.queue.keep();
         for (_, handle, endpoint) in &end.made {
@@ -49,20 +49,25 @@
 }
 
 impl State {
-    pub(super) fn queue(&mut self, service: &PoolName, job: Job, origin: Origin) -> Option<JobId> {
+    pub(super) fn enqueue(
+        &mut self,
+        service: &PoolName,
+        job: Job,
+        origin: Origin,
+    ) -> Option<JobId> {
         let now = self.shared.now();
-        let refused = |r| !self.shared.crashes().may_go_on(now, r);
-        if job.fingerprint.is_some_and(refused) {
+        let quarantined = |r| !self.shared.crashes().may_go_on(now, r);
+        if job.fingerprint.is_some_and(quarantined) {
             return None;
         }
-        let owned = self.open(service)?;
+        let owned = self.open_queue(service)?;
         let id = owned.queue.submit(job);
         owned.origins.insert(id, origin);
         Some(id)
     }
 
     /// Returns the queue of a service, a new one if there is none yet.
-    pub(super) fn open(&mut self, service: &PoolName) -> Option<&mut ServiceQueue> {
+    pub(super) fn open_queue(&mut self, service: &PoolName) -> Option<&mut ServiceQueue> {
         if !self.queues.contains_key(service) {
             let catalog = self.shared.catalog.get();
             let found = catalog.as_ref().as_ref()?.service(service)?.pieces.clone();
@@ -79,7 +84,7 @@
         self.queues.get_mut(service)
     }
 
-    pub(super) fn set_endpoints(&mut self) {
+    pub(super) fn update_endpoints(&mut self) {
         let catalog = self.shared.catalog.get();
         for (service, owned) in &mut self.queues {
             let found = catalog.as_ref().as_ref().and_then(|c| c.service(service));
@@ -91,23 +96,23 @@
     }
 
     /// Makes the calls that are due and passes on the jobs that ended.
-    pub(super) fn turn(&mut self) {
+    pub(super) fn process_due(&mut self) {
         let now = self.shared.now();
-        self.submit_early();
-        self.take_early();
-        self.catch_up();
-        self.look_at_reader(now);
+        self.submit_unrouted();
+        self.retry_unaccepted();
+        self.request_config();
+        self.poll_reader(now);
         let mut ends = Vec::new();
         for (service, owned) in &mut self.queues {
-            let sends = owned.queue.poll(now);
+            let batches = owned.queue.poll(now);
             let waiting = owned.queue.waiting();
-            for send in sends {
-                start(
+            for batch in batches {
+                start_call(
                     &self.shared,
                     &self.inbox,
                     &self.scope,
                     service,
-                    send,
+                    batch,
                     waiting,
                 );
             }
@@ -117,37 +122,37 @@
                 let service = service.clone();
                 self.scope.spawn(async move {
                     let endpoint = entry.id.clone();
-                    calls::give_back(shared, entry, &handles).await;
-                    let dropped = Message::Dropped {
+                    calls::release_results(shared, entry, &handles).await;
+                    let released = Message::ResultsReleased {
                         service,
                         endpoint,
                         handles,
                     };
-                    let _closed = inbox.try_send(dropped);
+                    let _closed = inbox.try_send(released);
                 });
             }
             for end in owned.queue.take_ends() {
                 if let Some(origin) = owned.origins.remove(&end.job) {
                     if let Origin::Peer { link, .. } = origin
-                        && let Some(node) = self.callers.get(&link).and_then(|c| c.node)
+                        && let Some(node) = self.inbound.get(&link).and_then(|l| l.node)
                     {
-                        owned.note_delivered(now, node, &end);
+                        owned.record_delivered(now, node, &end);
                     }
                     ends.push((origin, end));
                 }
             }
         }
         for (origin, end) in ends {
-            self.ended(origin, end);
+            self.handle_job_end(origin, end);
         }
-        if now.since(self.synced) >= SYNC_BUSY {
-            self.synced = now;
-            self.clear_departed(now);
-            self.sync_around(now);
+        if now.since(self.polled_at) >= BUSY_POLL_INTERVAL {
+            self.polled_at = now;
+            self.release_departed(now);
+            self.poll_peers(now);
         }
     }
 
-    pub(super) fn ended(&mut self, origin: Origin, end: JobEnd) {
+    pub(super) fn handle_job_end(&mut self, origin: Origin, end: JobEnd) {
         let results = end.made.into_iter();
         let results = results.map(|(item, handle, endpoint)| StageResult {
             item,
@@ -158,57 +163,57 @@
             Origin::Own(number) => number,
             Origin::Peer { job, .. } => JobNumber(job),
         };
-        let done = JobResult {
+        let result = JobResult {
             number,
             results: results.collect(),
-            failure: end.failure.as_ref().map(failure),
+            failure: end.failure.as_ref().map(failure_of),
             backlog: end.backlog,
         };
         match origin {
-            Origin::Own(_) => self.done(done),
+            Origin::Own(_) => self.finish_job(result),
             Origin::Peer { link, .. } => {
-                if let Some(caller) = self.callers.get(&link) {
-                    let _full = caller
+                if let Some(inbound) = self.inbound.get(&link) {
+                    let _full = inbound
                         .sender
-                        .send(Body::PieceJobEnd(convert::end_frame(&done)));
+                        .send(Body::PieceJobEnd(convert::job_end_frame(&result)));
                 }
             }
         }
     }
 }
 
-fn start(
+fn start_call(
     shared: &Arc<Shared>,
     inbox: &Sender<Message>,
     scope: &Scope,
     service: &PoolName,
-    send: PieceCall,
+    batch: PieceCall,
     waiting: usize,
 ) {
     log::info!(
         event = "pieces-sent",
         service = service.as_str(),
-        call = send.call,
-        endpoint = send.entry.id.to_string().as_str(),
-        pieces = send.items.len(),
-        expected_ms = send.expected.as_millis() as u64,
+        call = batch.call,
+        endpoint = batch.entry.id.to_string().as_str(),
+        pieces = batch.items.len(),
+        expected_ms = batch.expected.as_millis() as u64,
         waiting,
-        requests = requests(&send).as_str();
+        requests = request_ids(&batch).as_str();
         ""
     );
     let shared = Arc::clone(shared);
     let inbox = inbox.clone();
     let service = service.clone();
     scope.spawn(async move {
-        let call = send.call;
-        let began = shared.now();
-        let endpoint = send.entry.id.to_string();
-        let result = calls::run_pieces(Arc::clone(&shared), send).await;
-        log_result(
+        let call = batch.call;
+        let started_at = shared.now();
+        let endpoint = batch.entry.id.to_string();
+        let result = calls::run_batch(Arc::clone(&shared), batch).await;
+        log_call(
             &service,
             call,
             &endpoint,
-            shared.now().since(began),
+            shared.now().since(started_at),
             &result,
         );
         let ended = Message::CallEnded {
@@ -220,14 +225,14 @@
     });
 }
 
-fn log_result(service: &PoolName, call: u64, endpoint: &str, took: Duration, result: &CallResult) {
-    let (made, full, other) = match result {
+fn log_call(service: &PoolName, call: u64, endpoint: &str, elapsed: Duration, result: &CallResult) {
+    let (produced, full, other) = match result {
         CallResult::Answered(outcomes) => {
             let count =
                 |wanted: fn(&Outcome) -> bool| outcomes.iter().filter(|o| wanted(o)).count();
-            let made = count(|o| matches!(o, Outcome::Made(_)));
+            let produced = count(|o| matches!(o, Outcome::Made(_)));
             let full = count(|o| matches!(o, Outcome::Full));
-            (made, full, outcomes.len() - made - full)
+            (produced, full, outcomes.len() - produced - full)
         }
         CallResult::Refused | CallResult::WrongEndpoint | CallResult::Broken => (0, 0, 0),
     };
@@ -240,15 +245,15 @@
     let service = service.as_str();
     metrics::counter!("snipeyoke_piece_calls_total", "service" => service.to_owned(), "result" => name).increment(1);
     metrics::histogram!("snipeyoke_piece_call_seconds", "service" => service.to_owned())
-        .record(took);
+        .record(elapsed);
     log::info!(
         event = "pieces-ended",
         service,
         call,
         endpoint,
         result = name,
-        took_ms = took.as_millis() as u64,
-        made,
+        took_ms = elapsed.as_millis() as u64,
+        made = produced,
         full,
         other;
         ""
@@ -256,8 +261,8 @@
 }
 
 /// Returns the requests of a call, each once.
-fn requests(send: &PieceCall) -> String {
-    let mut names: Vec<&str> = send.items.iter().map(|i| i.request.as_str()).collect();
+fn request_ids(batch: &PieceCall) -> String {
+    let mut names: Vec<&str> = batch.items.iter().map(|i| i.request.as_str()).collect();
     names.dedup();
     names.join(",")
 }
@@ -271,7 +276,7 @@
     queue.set_endpoints(entries.filter(|e| e.service == *service));
 }
 
-const fn failure(outcome: &Outcome) -> JobFailure {
+const fn failure_of(outcome: &Outcome) -> JobFailure {
     match outcome {
         Outcome::Late => JobFailure::Late,
         Outcome::Gone => JobFailure::Gone,
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -37,17 +37,17 @@
 use super::links;
 use super::messages::LinkNumber;
 use super::messages::Message;
-use super::places;
+use super::placement;
 use crate::shared::Shared;
 
 /// The time between two looks at a node that holds this node's jobs.
-pub(super) const SYNC_BUSY: Duration = Duration::from_millis(250);
+pub(super) const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The pause between two looks whether the owners are known, at a start.
-const EARLY_PAUSE: Duration = Duration::from_millis(10);
+const OWNERS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The most messages that are taken before the queues are synced at.
-const BURST: usize = 64;
+const MESSAGES_MAX: usize = 64;
 
 /// Where a job came from.
 #[derive(Debug, Clone, Copy)]
@@ -71,25 +71,25 @@
     pub(super) service: PoolName,
     pub(super) job: Job,
     pub(super) reply: Sender<JobResult>,
-    pub(super) place: Place,
+    pub(super) owner: JobOwner,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Place {
-    Here(JobId),
-    At(SocketAddr),
+pub(super) enum JobOwner {
+    Local(JobId),
+    Remote(SocketAddr),
 }
 
 /// A link that another node opened.
 #[derive(Debug)]
-pub(super) struct Caller {
+pub(super) struct InboundLink {
     pub(super) sender: LinkSender,
     /// The address on which the node is reached, once it told it.
     pub(super) node: Option<SocketAddr>,
     /// The last news of other nodes that it was told.
-    pub(super) told: u64,
+    pub(super) sent_changes: u64,
     /// The last news of requests that it was told.
-    pub(super) verdicts: u64,
+    pub(super) sent_verdicts: u64,
 }
 
 /// A result that was handed to another node.
@@ -103,7 +103,7 @@
 
 /// Another node's job that waits for this node's configuration.
 #[derive(Debug)]
-pub(super) struct EarlyAsked {
+pub(super) struct UnacceptedJob {
     pub(super) link: LinkNumber,
     pub(super) number: u64,
     pub(super) service: PoolName,
@@ -116,8 +116,8 @@
 pub(super) struct Peer {
     pub(super) sender: Option<LinkSender>,
     /// When the first look was sent that no frame has followed.
-    pub(super) asked: Option<Time>,
-    pub(super) synced: Time,
+    pub(super) unanswered_since: Option<Time>,
+    pub(super) polled_at: Time,
 }
 
 /// Runs the dispatcher until the process ends.
@@ -128,39 +128,39 @@
         scope,
         queues: BTreeMap::new(),
         pending: BTreeMap::new(),
-        early: Vec::new(),
-        early_asked: Vec::new(),
+        unrouted: Vec::new(),
+        unaccepted: Vec::new(),
         peers: BTreeMap::new(),
-        callers: BTreeMap::new(),
+        inbound: BTreeMap::new(),
         departed: BTreeMap::new(),
-        synced: Time::ZERO,
-        turn: 0,
-        returned: Returned::default(),
-        places: BTreeMap::new(),
+        polled_at: Time::ZERO,
+        poll_index: 0,
+        released: Returned::default(),
+        placements: BTreeMap::new(),
         bookings: BTreeMap::new(),
         assembly: Assembly::default(),
-        endpoints_asked: None,
-        ends: Ends::default(),
+        endpoints_request: None,
+        endpoint_loss: Ends::default(),
         reports: VecDeque::new(),
     };
     loop {
         let wake = state.wake();
-        let left = wake.since(state.shared.now());
+        let remaining = wake.since(state.shared.now());
         let message = async { messages.recv().await.ok() };
         let timer = async {
-            Timer::after(left).await;
+            Timer::after(remaining).await;
             None
         };
         if let Some(message) = message.or(timer).await {
-            state.take(message);
+            state.handle_message(message);
         }
-        for _ in 0..BURST {
+        for _ in 0..MESSAGES_MAX {
             let Ok(message) = messages.try_recv() else {
                 break;
             };
-            state.take(message);
+            state.handle_message(message);
         }
-        state.turn();
+        state.process_due();
     }
 }
 
@@ -171,27 +171,27 @@
     pub(super) queues: BTreeMap<PoolName, ServiceQueue>,
     pub(super) pending: BTreeMap<JobNumber, PendingJob>,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
-    pub(super) callers: BTreeMap<LinkNumber, Caller>,
+    pub(super) inbound: BTreeMap<LinkNumber, InboundLink>,
     /// Jobs from before this node could tell who owns their service.
-    pub(super) early: Vec<(JobNumber, PoolName, Job, Sender<JobResult>)>,
+    pub(super) unrouted: Vec<(JobNumber, PoolName, Job, Sender<JobResult>)>,
     /// Other nodes' jobs from before this node had a configuration.
-    pub(super) early_asked: Vec<EarlyAsked>,
+    pub(super) unaccepted: Vec<UnacceptedJob>,
     /// Nodes whose last link ended, and when.
     pub(super) departed: BTreeMap<SocketAddr, Time>,
-    pub(super) synced: Time,
-    pub(super) turn: usize,
+    pub(super) polled_at: Time,
+    pub(super) poll_index: usize,
     /// This node's requests that are booked at some node.
-    pub(super) places: BTreeMap<u64, places::Place>,
+    pub(super) placements: BTreeMap<u64, placement::Placement>,
     /// The bookings that meet here.
     pub(super) bookings: BTreeMap<(PoolName, Shard), Bookings>,
     /// What owners may not have heard of yet.
-    pub(super) returned: Returned,
+    pub(super) released: Returned,
     /// The record that comes in slices from a neighbour.
     pub(super) assembly: Assembly,
     /// The neighbour that was asked for what it knows of endpoints, and when.
-    pub(super) endpoints_asked: Option<(SocketAddr, Time)>,
+    pub(super) endpoints_request: Option<(SocketAddr, Time)>,
     /// The endpoints whose connections broke of late.
-    pub(super) ends: Ends,
+    pub(super) endpoint_loss: Ends,
     /// What this node told of the ends of endpoints of late.
     pub(super) reports: VecDeque<Report>,
 }
@@ -200,18 +200,18 @@
     pub(super) fn wake(&self) -> Time {
         let now = self.shared.now();
         let queues = self.queues.values().map(|c| c.queue.wake(now));
-        let look = self.synced + SYNC_BUSY;
-        let copy = self.shared.catch_up().wake();
-        let early = if self.early.is_empty() && self.early_asked.is_empty() {
+        let poll = self.polled_at + BUSY_POLL_INTERVAL;
+        let config = self.shared.catch_up().wake();
+        let waiting = if self.unrouted.is_empty() && self.unaccepted.is_empty() {
             Time::NEVER
         } else {
-            now + EARLY_PAUSE
+            now + OWNERS_CHECK_INTERVAL
         };
-        let due = look.min(copy).min(self.look_at()).min(early);
-        queues.fold(due, Time::min)
+        let deadline = poll.min(config).min(self.reader_poll_at()).min(waiting);
+        queues.fold(deadline, Time::min)
     }
 
-    pub(super) fn take(&mut self, message: Message) {
+    pub(super) fn handle_message(&mut self, message: Message) {
         match message {
             Message::Submit {
                 number,
@@ -220,28 +220,34 @@
                 reply,
             } => self.submit(number, service, job, reply),
             Message::Cancel { number } => self.cancel(number),
-            Message::GiveBack { service, results } => self.give_back(&service, results),
-            Message::Place {
+            Message::ReleaseResults { service, results } => self.release_results(&service, results),
+            Message::RequestPlacement {
                 number,
                 service,
-                wish,
+                request,
                 reply,
-            } => self.place(number, service, wish, reply),
-            Message::Noted { number, note } => self.noted(number, note),
-            Message::Broke {
-                run,
+            } => self.request_placement(number, service, request, reply),
+            Message::BookingEvent { number, event } => self.handle_booking_event(number, event),
+            Message::ConnectionBroke {
+                incarnation,
                 address,
                 request,
-            } => self.broke(run, address, request),
-            Message::GivenUp { run, request } => {
+            } => self.handle_connection_broke(incarnation, address, request),
+            Message::RequestAbandoned {
+                incarnation,
+                request,
+            } => {
                 let now = self.shared.now();
-                self.ends.given_up(now, &run, request);
+                self.endpoint_loss.given_up(now, &incarnation, request);
             }
-            Message::Refused { run, address } => self.refused(run, address),
-            Message::Looked { run, ended } => self.looked(&run, ended),
-            Message::Verdict(verdict) => self.tell_all(verdict),
-            Message::EndpointsChanged => self.set_endpoints(),
-            Message::ConfigGrew | Message::Leaving => self.tell_callers(),
+            Message::ConnectionRefused {
+                incarnation,
+                address,
+            } => self.handle_connection_refused(incarnation, address),
+            Message::Probed { incarnation, ended } => self.handle_probe(&incarnation, ended),
+            Message::Verdict(verdict) => self.announce_verdict(verdict),
+            Message::EndpointsChanged => self.update_endpoints(),
+            Message::ConfigChanged | Message::Leaving => self.announce_state(),
             Message::CallEnded {
                 service,
                 call,
@@ -251,7 +257,7 @@
                     owned.queue.ended(self.shared.now(), call, result);
                 }
             }
-            Message::Dropped {
+            Message::ResultsReleased {
                 service,
                 endpoint,
                 handles,
@@ -260,20 +266,20 @@
                     owned.queue.dropped(&endpoint, &handles);
                 }
             }
-            Message::Accepted { link, sender } => {
-                let caller = Caller {
+            Message::InboundOpened { link, sender } => {
+                let inbound = InboundLink {
                     sender,
                     node: None,
-                    told: 0,
-                    verdicts: 0,
+                    sent_changes: 0,
+                    sent_verdicts: 0,
                 };
-                self.callers.insert(link, caller);
+                self.inbound.insert(link, inbound);
             }
-            Message::Asked { link, body } => self.asked(link, body),
-            Message::Hung { link } => self.hung(link),
-            Message::Connected { peer, sender } => self.connected(peer, sender),
-            Message::Answered { peer, body } => self.answered(peer, body),
-            Message::Lost { peer } => self.broken(peer),
+            Message::InboundFrame { link, body } => self.handle_request(link, body),
+            Message::InboundClosed { link } => self.handle_inbound_closed(link),
+            Message::OutboundOpened { peer, sender } => self.handle_connected(peer, sender),
+            Message::OutboundFrame { peer, body } => self.handle_response(peer, body),
+            Message::OutboundClosed { peer } => self.handle_outbound_closed(peer),
         }
     }
 
@@ -285,12 +291,12 @@
         reply: Sender<JobResult>,
     ) {
         if !self.shared.knows_owners() {
-            self.early.push((number, service, job, reply));
+            self.unrouted.push((number, service, job, reply));
             return;
         }
         let owner = self.shared.owners().owner(self.shared.now(), &service);
-        let place = if owner == self.shared.settings.listen.peers {
-            let Some(id) = self.queue(&service, job.clone(), Origin::Own(number)) else {
+        let job_owner = if owner == self.shared.settings.listen.peers {
+            let Some(id) = self.enqueue(&service, job.clone(), Origin::Own(number)) else {
                 let failure = Some(JobFailure::Failed);
                 let results = Vec::new();
                 let _gone = reply.try_send(JobResult {
@@ -301,125 +307,125 @@
                 });
                 return;
             };
-            Place::Here(id)
+            JobOwner::Local(id)
         } else {
-            Place::At(owner)
+            JobOwner::Remote(owner)
         };
-        let ticket = PendingJob {
+        let pending = PendingJob {
             service,
             job,
             reply,
-            place,
+            owner: job_owner,
         };
-        if place == Place::At(owner) {
-            self.send_job(owner, number, &ticket);
+        if job_owner == JobOwner::Remote(owner) {
+            self.send_job(owner, number, &pending);
         }
-        self.pending.insert(number, ticket);
+        self.pending.insert(number, pending);
     }
 
-    pub(super) fn send_job(&mut self, owner: SocketAddr, number: JobNumber, ticket: &PendingJob) {
+    pub(super) fn send_job(&mut self, owner: SocketAddr, number: JobNumber, pending: &PendingJob) {
         let now = self.shared.now();
-        let frame = convert::job_frame(now, number, ticket.service.as_str(), &ticket.job);
-        log::debug!(event = "pieces-handed-over", request = ticket.job.request.as_str(), stage = ticket.job.stage, owner = owner.to_string().as_str(); "");
+        let frame = convert::job_frame(now, number, pending.service.as_str(), &pending.job);
+        log::debug!(event = "pieces-handed-over", request = pending.job.request.as_str(), stage = pending.job.stage, owner = owner.to_string().as_str(); "");
         // Without a link yet, the job goes out once it is there.
         self.send(owner, Body::PieceJob(frame));
-        let synced = self.peers.get(&owner).map_or(now, |p| p.synced);
-        if now.since(synced) >= SYNC_BUSY {
-            self.sync(owner);
+        let polled_at = self.peers.get(&owner).map_or(now, |p| p.polled_at);
+        if now.since(polled_at) >= BUSY_POLL_INTERVAL {
+            self.poll(owner);
         }
     }
 
     /// Sends a frame to a node, if the link to it is up; begins one if not.
     pub(super) fn send(&mut self, peer: SocketAddr, body: Body) {
-        if let Some(known) = self.peers.get(&peer) {
-            if let Some(sender) = &known.sender {
+        if let Some(link) = self.peers.get(&peer) {
+            if let Some(sender) = &link.sender {
                 // A full queue means a silent peer, which is found by its
                 // silence.
                 let _full = sender.send(body);
             }
             return;
         }
-        self.begin(peer);
+        self.open_link(peer);
     }
 
     /// Begins a link to a node.
-    pub(super) fn begin(&mut self, peer: SocketAddr) {
+    pub(super) fn open_link(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
-        let begun = Peer {
+        let link = Peer {
             sender: None,
-            asked: Some(now),
-            synced: now,
+            unanswered_since: Some(now),
+            polled_at: now,
         };
-        self.peers.insert(peer, begun);
+        self.peers.insert(peer, link);
         let dial = links::dial(peer, self.inbox.clone(), self.scope.clone());
         self.scope.spawn(dial);
     }
 
-    pub(super) fn connected(&mut self, peer: SocketAddr, sender: LinkSender) {
+    pub(super) fn handle_connected(&mut self, peer: SocketAddr, sender: LinkSender) {
         let now = self.shared.now();
-        let Some(known) = self.peers.get_mut(&peer) else {
+        let Some(link) = self.peers.get_mut(&peer) else {
             sender.close();
             return;
         };
-        known.sender = Some(sender);
-        known.asked = None;
-        let waiting = self
+        link.sender = Some(sender);
+        link.unanswered_since = None;
+        let held = self
             .pending
             .iter()
-            .filter(|(_, t)| t.place == Place::At(peer));
-        let frames: Vec<PieceJob> = waiting
+            .filter(|(_, t)| t.owner == JobOwner::Remote(peer));
+        let frames: Vec<PieceJob> = held
             .map(|(&n, t)| convert::job_frame(now, n, t.service.as_str(), &t.job))
             .collect();
         for frame in frames {
             self.send(peer, Body::PieceJob(frame));
         }
-        self.give_back_missed(peer);
-        self.sync(peer);
-        self.ask_once_connected(peer);
-        self.report_connected(peer);
+        self.release_missed(peer);
+        self.poll(peer);
+        self.retry_config_request(peer);
+        self.send_recent(peer);
     }
 
     /// Hands in the jobs that waited until the owners are known.
-    pub(super) fn submit_early(&mut self) {
-        if !self.early.is_empty() && self.shared.knows_owners() {
-            for (number, service, job, reply) in std::mem::take(&mut self.early) {
+    pub(super) fn submit_unrouted(&mut self) {
+        if !self.unrouted.is_empty() && self.shared.knows_owners() {
+            for (number, service, job, reply) in std::mem::take(&mut self.unrouted) {
                 self.submit(number, service, job, reply);
             }
         }
     }
 
     pub(super) fn cancel(&mut self, number: JobNumber) {
-        self.early.retain(|(early, ..)| *early != number);
-        let Some(ticket) = self.pending.remove(&number) else {
+        self.unrouted.retain(|(unrouted, ..)| *unrouted != number);
+        let Some(pending) = self.pending.remove(&number) else {
             return;
         };
         let now = self.shared.now();
-        match ticket.place {
-            Place::Here(id) => {
-                if let Some(owned) = self.queues.get_mut(&ticket.service) {
+        match pending.owner {
+            JobOwner::Local(id) => {
+                if let Some(owned) = self.queues.get_mut(&pending.service) {
                     owned.origins.remove(&id);
                     owned.queue.cancel(now, id);
                 }
             }
-            Place::At(owner) => {
+            JobOwner::Remote(owner) => {
                 let job = number.0;
                 self.send(owner, Body::PieceCancel(PieceCancel { job }));
             }
         }
     }
 
-    pub(super) fn give_back(&mut self, service: &PoolName, results: Results) {
+    pub(super) fn release_results(&mut self, service: &PoolName, results: Results) {
         let now = self.shared.now();
         let owner = self.shared.owners().owner(now, service);
         if owner == self.shared.settings.listen.peers {
-            if let Some(owned) = self.open(service) {
+            if let Some(owned) = self.open_queue(service) {
                 for (endpoint, handle) in results {
                     owned.queue.give_back(now, &endpoint, handle);
                 }
             }
             return;
         }
-        self.returned.note(now, owner, service, &results);
+        self.released.note(now, owner, service, &results);
         let results = results
             .into_iter()
             .map(|(endpoint, handle)| snipeyoke_wire::PieceResult {
@@ -435,19 +441,19 @@
     }
 
     /// Gives back once more what a node may have missed, to whoever owns it now.
-    pub(super) fn give_back_missed(&mut self, peer: SocketAddr) {
+    pub(super) fn release_missed(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
-        let heard = self.shared.owners().heard_at(peer);
-        let missed = self.returned.take_missed(now, peer, heard);
+        let heard_at = self.shared.owners().heard_at(peer);
+        let missed = self.released.take_missed(now, peer, heard_at);
         for (service, results) in missed {
             log::info!(event = "results-given-back-again", peer = peer.to_string().as_str(), service = service.as_str(), results = results.len(); "");
-            self.give_back(&service, results);
+            self.release_results(&service, results);
         }
     }
 
-    pub(super) fn done(&mut self, done: JobResult) {
-        if let Some(ticket) = self.pending.remove(&done.number) {
-            let _gone = ticket.reply.try_send(done);
+    pub(super) fn finish_job(&mut self, result: JobResult) {
+        if let Some(pending) = self.pending.remove(&result.number) {
+            let _gone = pending.reply.try_send(result);
         }
     }
 }
