--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -18,16 +18,16 @@
 use crate::dialect::Verdict;
 use crate::shared::Shared;
 
-/// The largest answer to a call for pieces, in bytes.
+/// The largest response to a batch call, in bytes.
 const RESPONSE_BYTES_MAX: usize = 1 << 20;
 
-/// The longest time to give results back.
+/// The time-out of a call that releases results.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time on top of a call's own limit, for the way there and back.
+/// The time on top of a call's own limit, for transit in both directions.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(200);
 
-/// Makes a call for pieces.
+/// Sends a batch to an endpoint and returns the result.
 pub(super) async fn run_batch(shared: Arc<Shared>, batch: PieceCall) -> CallResult {
     let request = shared.dialect.run_pieces(&batch.entry.id, &batch.items);
     let response = async {
@@ -55,7 +55,7 @@
     CallResult::Broken
 }
 
-/// Notes that the connection of a call broke before its whole answer.
+/// Reports that the connection of a call broke before the whole response.
 fn report_break(shared: &Shared, batch: &PieceCall) {
     let incarnation = Incarnation {
         endpoint: batch.entry.id.clone(),
@@ -102,9 +102,9 @@
     )
 }
 
-/// Tells an endpoint that results are not needed any more.
+/// Releases results at an endpoint.
 ///
-/// It is told once: a result that is not dropped lapses by itself.
+/// There is no retry: a result that is not released expires by itself.
 pub(super) async fn release_results(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
     let request = shared.dialect.give_back(handles);
     let released = async {
--- a/gateway/src/dispatch/config_transfer.rs
+++ b/gateway/src/dispatch/config_transfer.rs
@@ -1,4 +1,4 @@
-//! Records of the configuration that go from node to node.
+//! Transfer of configuration records between nodes.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use crate::registry::Topic;
 
 impl State {
-    /// Asks a neighbour for a copy, if it is time for one.
+    /// Requests missing configuration records from a peer, if a request is due.
     pub(super) fn request_config(&mut self) {
         let now = self.shared.now();
         let owners = self.shared.owners();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Asks again where a link to the neighbour has just come up.
+    /// Repeats the request to a peer whose link has just come up.
     pub(super) fn retry_config_request(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
         if self.shared.catch_up().moved(now, peer) {
@@ -49,7 +49,7 @@
         );
     }
 
-    /// Answers a neighbour that asks for a slice.
+    /// Responds to a peer's request for a slice.
     pub(super) fn handle_record_request(&self, link: LinkNumber, request: &RecordAsk) {
         let Some(inbound) = self.inbound.get(&link) else {
             return;
@@ -73,11 +73,11 @@
         let _full = inbound.sender.send(Body::RecordSlice(frame));
     }
 
-    /// Takes in a slice and asks for the next one.
+    /// Applies a slice and requests the next one.
     pub(super) fn handle_slice(&mut self, peer: SocketAddr, frame: RecordSlice) {
         let now = self.shared.now();
         self.shared.told_config(peer, Offset(frame.next), 0);
-        // A slice that was asked of a neighbour given up since.
+        // The peer is no longer the source of the configuration.
         if !self.shared.catch_up().moved(now, peer) {
             return;
         }
@@ -100,8 +100,8 @@
         }
     }
 
-    // Asked again at once, it would send the same again, as fast as the link
-    // carries it. The next look at it says anew what it has.
+    // An immediate retry would receive the same slice, as fast as the link
+    // allows. The next poll of the peer returns what it has.
     fn reject_slice(&self, peer: SocketAddr) {
         log::warn!(event = "config-slice-unusable", node = peer.to_string().as_str(), record_max = RECORD_MAX, remedy = "run the same release on all nodes, keep the configuration below the largest record"; "");
         self.shared.catch_up().forget(peer);
--- a/gateway/src/dispatch/convert.rs
+++ b/gateway/src/dispatch/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between jobs and their frames.
+//! Conversions between dispatcher types and wire frames.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use super::JobResult;
 use super::StageResult;
 
-/// Writes a job for another node.
+/// Converts a job to its frame.
 pub(super) fn job_frame(now: Time, number: JobNumber, service: &str, job: &Job) -> PieceJob {
     let micros = |at: Time| at.since(now).as_micros() as u64;
     let inputs = match &job.work {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads a job of another node.
+/// Converts a frame to a job.
 pub(super) fn job_of(now: Time, frame: PieceJob) -> Job {
     let after = |micros: u64| now + Duration::from_micros(micros);
     let work = if frame.inputs.is_empty() {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Writes the end of a job for the node that handed it in.
+/// Converts a job's outcome to a frame for the node that submitted it.
 pub(super) fn job_end_frame(result: &JobResult) -> PieceJobEnd {
     let results = result.results.iter().map(|r| snipeyoke_wire::PieceResult {
         piece: r.item,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Reads the end of a job; results of unreadable endpoints are left out.
+/// Converts a frame to a job's outcome; omits results whose endpoint is invalid.
 pub(super) fn job_result_of(frame: PieceJobEnd) -> JobResult {
     let results = frame.made.into_iter().filter_map(|r| {
         Some(StageResult {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Writes a record for a neighbour.
+/// Converts a record to its frame.
 pub(super) fn record_frame(record: Record) -> KeyedRecord {
     KeyedRecord {
         key: record.key,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Reads a neighbour's record.
+/// Converts a frame to a record.
 pub(super) fn record_of(frame: KeyedRecord) -> Record {
     Record {
         key: frame.key,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Writes that an endpoint ended under a request.
+/// Converts the crash of an endpoint under a request to its frame.
 pub(super) fn endpoint_end_frame(
     request: Fingerprint,
     incarnation: &Incarnation,
@@ -146,8 +146,8 @@
     }
 }
 
-/// Reads that an endpoint ended under a request, and how long ago; `None` if it
-/// can't be read.
+/// Converts a frame to a request, the endpoint that crashed, and the crash's
+/// age; `None` if the frame is invalid.
 pub(super) fn endpoint_end_of(frame: &EndpointEnd) -> Option<(Fingerprint, Incarnation, Duration)> {
     let incarnation = Incarnation {
         endpoint: frame.endpoint.parse().ok()?,
@@ -157,7 +157,7 @@
     Some((fingerprint(&frame.request)?, incarnation, age))
 }
 
-/// Writes a verdict on a request.
+/// Converts a verdict on a request to its frame.
 pub(super) fn quarantine_frame(verdict: &Verdict) -> Quarantine {
     Quarantine {
         request: bytes_of(verdict.request),
@@ -167,7 +167,7 @@
     }
 }
 
-/// Reads a verdict on a request; `None` if it can't be read.
+/// Converts a frame to a verdict on a request; `None` if the frame is invalid.
 pub(super) fn verdict_of(frame: &Quarantine) -> Option<Verdict> {
     Some(Verdict {
         request: fingerprint(&frame.request)?,
--- a/gateway/src/dispatch/crashes.rs
+++ b/gateway/src/dispatch/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end.
+//! Detection of requests that crash endpoints.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,24 +22,25 @@
 use super::messages::Message;
 use super::run::State;
 
-/// The longest time to connect to an endpoint whose connection broke.
+/// The connect time-out of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The pause before the second look at an endpoint that accepts connections.
+/// The pause before the second probe of an endpoint that still accepts
+/// connections.
 ///
-/// A process that dies closes its connections in any order with its listener.
+/// A dying process closes its connections and its listener in any order.
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a report is told again to nodes that count from now on.
+/// How long a report is resent to nodes that start to count crashes.
 const REPORT_RESEND_PERIOD: Duration = Duration::from_secs(5);
 
-/// The most reports that are kept for this.
+/// The most reports that are kept for resending.
 const REPORTS_MAX: usize = 256;
 
-/// The latest verdicts that a node is told once a link to it is up.
+/// The number of latest verdicts sent to a node when a link to it comes up.
 const VERDICTS_ON_CONNECT: usize = 16;
 
-/// The end of an endpoint under a request, as it was told.
+/// The reported crash of an endpoint while it processed a request.
 #[derive(Debug, Clone)]
 pub(super) struct Report {
     at: Time,
@@ -93,14 +94,14 @@
         }
     }
 
-    /// Tells whether an endpoint has announced its end.
+    /// Returns whether an endpoint has announced that it is leaving.
     fn is_leaving(&self, incarnation: &Incarnation) -> bool {
         let directory = self.shared.directory();
         let entry = directory.get(&incarnation.endpoint).map(Endpoint::entry);
         entry.is_some_and(|e| e.born == incarnation.born && e.draining)
     }
 
-    /// Counts an end, and tells the nodes that count for the request.
+    /// Counts a crash and reports it to the nodes that count for the request.
     fn record_crash(&mut self, at: Time, incarnation: &Incarnation, request: Fingerprint) {
         metrics::counter!("snipeyoke_crash_strikes_total").increment(1);
         log::warn!(event = "endpoint-ended", endpoint = incarnation.to_string().as_str(), fingerprint = request.to_string().as_str(); "");
@@ -125,12 +126,12 @@
         for node in counters.into_iter().filter(|n| *n != own && to(n)) {
             let age = now.since(report.at);
             let frame = convert::endpoint_end_frame(report.request, &report.incarnation, age);
-            // Without a link yet, it goes out once it is there.
+            // If the link is not up yet, `send_recent` sends the report.
             self.send(node, Body::EndpointEnd(frame));
         }
     }
 
-    /// Tells a node what could not be sent before the link was up.
+    /// Sends the recent reports and verdicts to a node whose link came up.
     pub(super) fn send_recent(&mut self, peer: SocketAddr) {
         for report in self.recent() {
             self.send_report(&report, |node| *node == peer);
@@ -144,7 +145,9 @@
         }
     }
 
-    /// Tells the nodes that count now, after one that may have counted is lost.
+    /// Resends the recent reports to the nodes that count now.
+    ///
+    /// Called after a node was lost that may have counted.
     pub(super) fn resend_reports(&mut self) {
         for report in self.recent() {
             self.send_report(&report, |_| true);
@@ -158,7 +161,7 @@
         self.reports.iter().cloned().collect()
     }
 
-    /// Takes in that an endpoint ended under another node's request.
+    /// Counts the crash of an endpoint that another node reported.
     pub(super) fn handle_endpoint_end(&mut self, frame: &EndpointEnd) {
         let Some((request, incarnation, age)) = convert::endpoint_end_of(frame) else {
             log::warn!(event = "endpoint-end-unreadable", remedy = "run the same release on all nodes"; "");
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Takes in a verdict of another node.
+    /// Applies a verdict of another node.
     pub(super) fn handle_verdict(&mut self, frame: &Quarantine) {
         let Some(verdict) = convert::verdict_of(frame) else {
             log::warn!(event = "quarantine-unreadable", remedy = "run the same release on all nodes"; "");
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Tells all nodes what this one has found of a request.
+    /// Announces this node's verdict on a request to all nodes.
     pub(super) fn announce_verdict(&mut self, verdict: Verdict) {
         if verdict.left.is_zero() {
             log::info!(event = "quarantine-lifted", fingerprint = verdict.request.to_string().as_str(), why = "answered"; "");
@@ -250,10 +253,10 @@
     log::info!(event = "quarantine-learned", fingerprint = fingerprint.as_str(), left_ms = verdict.left.as_millis() as u64; "");
 }
 
-/// Tells whether an endpoint whose connection broke has ended.
+/// Probes whether an endpoint whose connection broke has ended.
 ///
-/// Its host refuses connections then. One that does not answer may be cut off,
-/// which no request is the cause of.
+/// The host of an ended endpoint refuses connections. An endpoint that does not
+/// respond may be partitioned, which no request causes.
 async fn probe(incarnation: Incarnation, address: SocketAddr, inbox: Sender<Message>) {
     let mut ended = is_refused(address).await;
     if !ended {
--- a/gateway/src/dispatch/inbound.rs
+++ b/gateway/src/dispatch/inbound.rs
@@ -1,4 +1,4 @@
-//! What other nodes request of the dispatcher.
+//! Requests from other nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,24 +30,24 @@
 use super::run::UnacceptedJob;
 use crate::shared::Shared;
 
-/// How long a node may be without a link before it counts as gone.
+/// How long a node may be without a link before it counts as departed.
 ///
-/// A link that was reset is opened again within a connect's time of 400 ms.
+/// A link that was reset is reopened within the connect time-out of 400 ms.
 const DEPARTED_AFTER: Duration = Duration::from_millis(800);
 
-/// How long a node without a configuration keeps the jobs of others.
+/// How long a node without a configuration holds the jobs of other nodes.
 ///
 /// It has one within a tenth of a second of its start, unless registry and
-/// neighbours are away; then the jobs are better refused.
+/// peers are unreachable; then the jobs are refused.
 const UNACCEPTED_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// The most changes of endpoints that a node is told without asking for them.
+/// The most changed endpoints sent to a node that did not request the full list.
 ///
-/// What changes between two looks, also while a service is replaced. A whole list
-/// of hundreds fills the link for a tenth of a second.
+/// Covers the changes between two polls, also while a service is replaced. A
+/// full list of hundreds occupies the link for a tenth of a second.
 const CHANGES_MAX: usize = 64;
 
-/// The most verdicts on requests in an answer; the next one has more.
+/// The most verdicts on requests in a response; the next response has more.
 const VERDICTS_MAX: usize = 64;
 
 impl State {
@@ -78,8 +78,8 @@
             self.refuse_job(link, number);
             return;
         };
-        // A node that has just started is taken for the owner before it knows the
-        // service. Refused at once, the job would fail at its inbound.
+        // A starting node may count as the owner before it knows the service.
+        // Refusing the job at once would fail it at its submitter.
         if self.shared.catalog.get().is_none() {
             let since = now;
             self.unaccepted.push(UnacceptedJob {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes up the jobs of others that waited for this node's configuration.
+    /// Accepts the jobs that waited for this node's configuration.
     pub(super) fn retry_unaccepted(&mut self) {
         if self.unaccepted.is_empty() {
             return;
@@ -155,11 +155,11 @@
         }
     }
 
-    /// Gives back what nodes held that are gone for good.
+    /// Releases the results of nodes that have departed.
     ///
-    /// A node that was killed gives nothing back: its results would take the
-    /// endpoints' memory until they lapse, and the nodes that live find no
-    /// room. One whose link was reset is back at once and still needs them.
+    /// A killed node releases nothing: its results would occupy the endpoints'
+    /// memory until they expire, and leave no room for the nodes that are alive.
+    /// A node whose link was reset reconnects at once and still needs them.
     pub(super) fn release_departed(&mut self, now: Time) {
         let gone = |_: &SocketAddr, at: &mut Time| now.since(*at) > DEPARTED_AFTER;
         let departed: Vec<SocketAddr> =
@@ -234,7 +234,8 @@
             reply.known = known_nodes(&self.shared, &owners, now, inbound.sent_changes);
             let changes = owners.news();
             drop(owners);
-            // A full queue is that of a silent node; its next link begins anew.
+            // The queue is full only if the node is silent; its next link starts
+            // over.
             if inbound.sender.send(Body::SyncReply(reply)).is_ok() {
                 inbound.sent_changes = changes;
                 inbound.sent_verdicts = last;
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Returns what this node says of itself, without other nodes.
+    /// Returns this node's own state, without what it knows of other nodes.
     fn sync_reply(&self, poll: Option<&SyncRequest>) -> SyncReply {
         let now = self.shared.now();
         let micros = |age: Duration| age.as_micros() as u64;
@@ -275,7 +276,7 @@
         reply
     }
 
-    /// Tells all nodes that look at this one what it says of itself.
+    /// Announces this node's own state to all nodes that poll it.
     pub(super) fn announce_state(&self) {
         let reply = self.sync_reply(None);
         for inbound in self.inbound.values() {
@@ -284,7 +285,7 @@
     }
 }
 
-/// Returns this node and the news that it has of others.
+/// Returns this node and the nodes that changed since the change `sent`.
 fn known_nodes(shared: &Shared, owners: &Owners, now: Time, sent: u64) -> Vec<KnownNode> {
     let own = (shared.settings.listen.peers, Some(shared.settings.power));
     let all = owners.news_since(now, sent).chain([own]);
--- a/gateway/src/dispatch/links.rs
+++ b/gateway/src/dispatch/links.rs
@@ -16,12 +16,12 @@
 use super::messages::LinkNumber;
 use super::messages::Message;
 
-/// How long each try to connect to another node takes at most.
+/// The time-out of each attempt to connect to another node.
 ///
-/// A host that is just starting loses the first packet of a connection, and the
-/// system sends the next one a second later. Tried anew, a node that has come up
-/// meanwhile is reached at once. Answers come within a few milliseconds, and
-/// within the last limit also from another region.
+/// A starting host loses the first packet of a connection, and the system
+/// resends it only a second later. A new attempt reaches the node as soon as it
+/// is up. Nodes respond within a few milliseconds; the last time-out also covers
+/// other regions.
 const CONNECT_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(80),
     Duration::from_millis(120),
@@ -30,10 +30,10 @@
 
 /// The pause after a failed accept.
 ///
-/// Accept fails when descriptors run out; trying again at once would spin.
+/// Accept fails when descriptors run out; an immediate retry would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes links from other nodes.
+/// Accepts links from other nodes.
 pub(crate) async fn accept(listener: Async<TcpListener>, dispatcher: Dispatcher, scope: Scope) {
     let mut next = 0;
     loop {
@@ -102,7 +102,8 @@
         if let Ok(stream) = link::connect(peer, timeout).await {
             return Some(stream);
         }
-        // A port that nobody listens on yet answers at once.
+        // A port without a listener refuses at once; wait out the attempt's
+        // time-out.
         timer.await;
     }
     None
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher's task is told.
+//! Messages to the dispatcher's task.
 
 use std::net::SocketAddr;
 
@@ -18,14 +18,14 @@
 use super::JobResult;
 use super::placement::BookingEvent;
 
-/// Numbers the links that other nodes opened.
+/// The number of a link that another node opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LinkNumber(pub(crate) u64);
 
-/// An event for the dispatcher.
+/// A message to the dispatcher's task.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// A request of this node hands in a job.
+    /// A request of this node submits a job.
     Submit {
         number: JobNumber,
         service: PoolName,
@@ -39,14 +39,14 @@
         service: PoolName,
         results: Vec<(EndpointId, String)>,
     },
-    /// A request of this node asks for an endpoint.
+    /// A request of this node needs a booked endpoint.
     RequestPlacement {
         number: u64,
         service: PoolName,
         request: Wish,
         reply: Sender<Option<EndpointId>>,
     },
-    /// Something became of a booked request of this node.
+    /// A booked request of this node has progressed or ended.
     BookingEvent { number: u64, event: BookingEvent },
     /// The connection of a request of this node to an endpoint broke.
     ConnectionBroke {
@@ -54,7 +54,7 @@
         address: SocketAddr,
         request: Fingerprint,
     },
-    /// A request of this node was given up while an endpoint had it.
+    /// A request of this node was abandoned while an endpoint was processing it.
     RequestAbandoned {
         incarnation: Incarnation,
         request: Fingerprint,
@@ -64,26 +64,26 @@
         incarnation: Incarnation,
         address: SocketAddr,
     },
-    /// A look at an endpoint whose connection broke tells whether it has ended.
+    /// The probe of an endpoint whose connection broke has completed.
     Probed {
         incarnation: Incarnation,
         ended: bool,
     },
-    /// All other nodes are to know this of a request.
+    /// This node has reached a verdict that all other nodes need.
     Verdict(Verdict),
-    /// The endpoints changed.
+    /// The set of endpoints changed.
     EndpointsChanged,
     /// This node has a newer configuration.
     ConfigChanged,
-    /// This node leaves.
+    /// This node is leaving.
     Leaving,
-    /// A call for pieces ended.
+    /// A batch call ended.
     CallEnded {
         service: PoolName,
         call: u64,
         result: CallResult,
     },
-    /// An endpoint was told to drop results.
+    /// The call to an endpoint that releases results has ended.
     ResultsReleased {
         service: PoolName,
         endpoint: EndpointId,
@@ -94,17 +94,17 @@
         link: LinkNumber,
         sender: LinkSender,
     },
-    /// A frame came over a link that another node opened.
+    /// A frame arrived over a link that another node opened.
     InboundFrame { link: LinkNumber, body: Body },
-    /// A link that another node opened is gone.
+    /// A link that another node opened was closed.
     InboundClosed { link: LinkNumber },
     /// A link that this node opened is up.
     OutboundOpened {
         peer: SocketAddr,
         sender: LinkSender,
     },
-    /// A frame came over a link that this node opened.
+    /// A frame arrived over a link that this node opened.
     OutboundFrame { peer: SocketAddr, body: Body },
-    /// A link that this node opened failed.
+    /// A link that this node opened was closed or could not be established.
     OutboundClosed { peer: SocketAddr },
 }
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -1,7 +1,8 @@
-//! The dispatcher: takes stage jobs to the owner of their service, and back.
+//! The dispatcher sends stage jobs to the owners of their services and returns
+//! the results.
 //!
-//! One task of the traffic thread holds the queues of the services that this
-//! node owns, the jobs that others own, and the links to other nodes.
+//! One task on the traffic thread holds the work queues of the services that
+//! this node owns, the jobs sent to other owners, and the links between nodes.
 
 mod calls;
 mod config_transfer;
@@ -36,11 +37,11 @@
 pub(crate) use self::placement::Booking;
 pub(crate) use self::run::run;
 
-/// Numbers the jobs that this node's requests submit.
+/// The number of a job submitted by a request of this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct JobNumber(pub(crate) u64);
 
-/// A result and the endpoint that holds it.
+/// A result and the endpoint that stores it.
 #[derive(Debug, Clone)]
 pub(crate) struct StageResult {
     pub(crate) item: u32,
@@ -48,32 +49,32 @@
     pub(crate) endpoint: EndpointId,
 }
 
-/// Why a job did not get all its results.
+/// Why a job did not produce all its results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::FromStr)]
 pub(crate) enum JobFailure {
-    /// It could not be done in time.
+    /// The job could not be completed before its deadline.
     #[display("late")]
     Late,
-    /// An input is gone.
+    /// An input no longer exists.
     #[display("gone")]
     Gone,
-    /// The work failed.
+    /// The endpoint failed to process the job.
     #[display("failed")]
     Failed,
 }
 
-/// The end of a job.
+/// The outcome of a job.
 #[derive(Debug, Clone)]
 pub(crate) struct JobResult {
     pub(crate) number: JobNumber,
     pub(crate) results: Vec<StageResult>,
     pub(crate) failure: Option<JobFailure>,
-    /// How long what waits at the owner takes, if that is why.
+    /// Time to process the owner's backlog, if the backlog is the reason.
     pub(crate) backlog: Duration,
 }
 
-/// Where requests hand in their jobs; clones share the dispatcher.
+/// A handle to the dispatcher's task; clones send to the same task.
 #[derive(Debug, Clone)]
 pub(crate) struct Dispatcher {
     inbox: Sender<Message>,
@@ -81,14 +82,14 @@
 }
 
 impl Dispatcher {
-    /// Builds a dispatcher and the messages that its task takes.
+    /// Creates a dispatcher handle and the receiver for its task.
     pub(crate) fn new() -> (Self, Receiver<Message>) {
         let (inbox, messages) = async_channel::unbounded();
         let next = Arc::default();
         (Self { inbox, next }, messages)
     }
 
-    /// Hands in a job; its end comes over `reply`.
+    /// Submits a job; its outcome is sent over `reply`.
     pub(crate) fn submit(
         &self,
         service: PoolName,
@@ -105,9 +106,9 @@
         number
     }
 
-    /// Asks for the endpoint that a request is best sent to.
+    /// Requests a booked endpoint for a request.
     ///
-    /// Over the receiver comes `None` if this node has to choose by itself.
+    /// The receiver yields `None` if this node has to choose by itself.
     pub(crate) fn request_placement(
         &self,
         service: PoolName,
@@ -124,17 +125,17 @@
         (Booking::new(self.clone(), number), endpoint)
     }
 
-    /// Says that nobody waits for a job any more.
+    /// Cancels a job whose request no longer waits for it.
     pub(crate) fn cancel(&self, number: JobNumber) {
         self.send(Message::Cancel { number });
     }
 
-    /// Says that nobody needs these results any more.
+    /// Releases results that are no longer needed.
     pub(crate) fn release_results(&self, service: PoolName, results: Vec<(EndpointId, String)>) {
         self.send(Message::ReleaseResults { service, results });
     }
 
-    /// Says that the connection of a request to an endpoint broke.
+    /// Reports that the connection of a request to an endpoint broke.
     pub(crate) fn connection_broke(
         &self,
         incarnation: Incarnation,
@@ -148,7 +149,7 @@
         });
     }
 
-    /// Says that a request was given up while an endpoint had it.
+    /// Reports that a request was abandoned while an endpoint was processing it.
     pub(crate) fn request_abandoned(&self, incarnation: Incarnation, request: Fingerprint) {
         self.send(Message::RequestAbandoned {
             incarnation,
@@ -156,7 +157,7 @@
         });
     }
 
-    /// Says that an endpoint refused a connection.
+    /// Reports that an endpoint refused a connection.
     pub(crate) fn connection_refused(&self, incarnation: Incarnation, address: SocketAddr) {
         self.send(Message::ConnectionRefused {
             incarnation,
@@ -164,28 +165,28 @@
         });
     }
 
-    /// Says what all other nodes are to know of a request.
+    /// Announces a quarantine verdict on a request to all other nodes.
     pub(crate) fn announce_verdict(&self, verdict: Verdict) {
         self.send(Message::Verdict(verdict));
     }
 
-    /// Says that the endpoints changed.
+    /// Notifies the task that the set of endpoints changed.
     pub(crate) fn endpoints_changed(&self) {
         self.send(Message::EndpointsChanged);
     }
 
-    /// Says that this node has a newer configuration.
+    /// Announces to the other nodes that this node has a newer configuration.
     pub(crate) fn config_changed(&self) {
         self.send(Message::ConfigChanged);
     }
 
-    /// Says that this node leaves.
+    /// Announces to the other nodes that this node is leaving.
     pub(crate) fn announce_leaving(&self) {
         self.send(Message::Leaving);
     }
 
     fn send(&self, message: Message) {
-        // The dispatcher is gone only when the process ends; nobody waits then.
+        // The task ends only with the process; no request waits for it then.
         let _closed = self.inbox.try_send(message);
     }
 }
--- a/gateway/src/dispatch/peers.rs
+++ b/gateway/src/dispatch/peers.rs
@@ -1,4 +1,4 @@
-//! The links that this node opened, and what comes over them.
+//! Peers: polls, responses, and the links that this node opened.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use super::run::State;
 use crate::registry::Topic;
 
-/// The time between two looks at some other node.
+/// The interval between two polls of a node that holds no jobs of this node.
 ///
-/// A neighbour may know a newer configuration when the registry does not
-/// answer this node; two looks a second bring it well within two seconds.
+/// A peer may have a newer configuration when the registry does not respond to
+/// this node; two polls a second fetch it well within two seconds.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a node that was asked may be silent.
+/// How long a polled node may be silent.
 ///
-/// Looks are answered within milliseconds, and within some hundred on a slow
-/// host. Beyond this its jobs go to the next owner.
+/// Polls are answered within milliseconds, and within a few hundred on a slow
+/// host. After this its jobs go to the next owner.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(750);
 
 impl State {
@@ -91,13 +91,13 @@
         polling.take(now, &mut self.shared.owners(), (peer, sent), status);
     }
 
-    /// Takes in a neighbour's endpoints; tells whether this node has all of them.
+    /// Applies a peer's endpoints; returns whether this node has all of them.
     fn apply_endpoints(&self, peer: SocketAddr, reply: &mut SyncReply) -> bool {
         let next = Offset(reply.endpoints_next);
         if next == Offset(0) {
             return false;
         }
-        // An older neighbour has nothing that this node lacks.
+        // A peer that is behind has no records that this node lacks.
         if next > self.shared.replicas().endpoints.next() {
             let records = std::mem::take(&mut reply.endpoints);
             let records = records.into_iter().map(convert::record_of).collect();
@@ -108,8 +108,8 @@
         let same = replicas.endpoints.next() == next;
         let sum = self.shared.directory().sum();
         drop(replicas);
-        // Two copies that are complete up to the same record hold the same. If
-        // they don't, the registry knows which one is wrong.
+        // Two replicas at the same offset must be equal. If they differ, the
+        // registry decides which one is wrong.
         if same && sum != reply.endpoints_sum {
             log::warn!(event = "endpoints-differ", node = peer.to_string().as_str(), next = next.0; "");
             self.shared.differs();
@@ -118,7 +118,7 @@
         true
     }
 
-    /// Looks at the node that reads the registry for all, if it is time.
+    /// Polls the registry reader, if its poll is due.
     pub(super) fn poll_reader(&mut self, now: Time) {
         let mut polling = self.shared.upkeep();
         let reader = polling.look(now, &mut self.shared.owners());
@@ -128,12 +128,12 @@
         }
     }
 
-    /// Returns when to look at the node that reads for all.
+    /// Returns the time of the next poll of the registry reader.
     pub(super) fn reader_poll_at(&self) -> Time {
         self.shared.upkeep().look_at(self.shared.now())
     }
 
-    /// Looks at the nodes that hold jobs, and at some other one.
+    /// Polls the nodes that hold jobs, and one other node in turn.
     pub(super) fn poll_peers(&mut self, now: Time) {
         let mut busy: Vec<SocketAddr> = Vec::new();
         for pending in self.pending.values() {
@@ -202,20 +202,21 @@
         }
     }
 
-    /// Tells whether no neighbour's answer about endpoints is on its way.
+    /// Returns whether no request for the full list of endpoints is in flight.
     ///
-    /// Hundreds of endpoints fill a frame of a hundred kilobytes. Asked of all
-    /// neighbours in turn before the first answer is there, they fill the link.
+    /// Hundreds of endpoints fill a frame of a hundred kilobytes. Responses from
+    /// all peers at once would saturate the link.
     fn can_request_endpoints(&self, now: Time) -> bool {
         let in_flight = |(_, at): (SocketAddr, Time)| now.since(at) < RESPONSE_TIMEOUT;
         !self.endpoints_request.is_some_and(in_flight)
     }
 
-    /// Takes the end of a link: of one that was up another one is tried first.
+    /// Handles a closed link; one that was up is reopened before the peer is
+    /// dropped.
     ///
-    /// A connection that is reset says nothing about the node behind it. Passed
-    /// over at once by some nodes and not by others, each service would have
-    /// several owners, whose calls get in each other's way.
+    /// A reset connection does not show that the node failed. If only some nodes
+    /// dropped it at once, a service would have several owners, whose calls
+    /// conflict.
     pub(super) fn handle_outbound_closed(&mut self, peer: SocketAddr) {
         self.decline_placements(peer);
         let was_up = self.peers.get(&peer).is_some_and(|p| p.sender.is_some());
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Gives up a link; its jobs go to the next owner.
+    /// Drops a peer and submits its jobs to the next owner.
     pub(super) fn drop_peer(&mut self, peer: SocketAddr, why: &str) {
         let now = self.shared.now();
         if let Some(link) = self.peers.remove(&peer)
@@ -263,7 +264,7 @@
     }
 }
 
-/// Takes in a node that another one knows.
+/// Records a node that another node knows.
 pub(super) fn learn_node(owners: &mut Owners, now: Time, known: &KnownNode) {
     let Ok(address) = known.address.parse() else {
         return;
--- a/gateway/src/dispatch/placement.rs
+++ b/gateway/src/dispatch/placement.rs
@@ -1,4 +1,4 @@
-//! Bookings of a model's endpoints, on both sides.
+//! Bookings of a model's endpoints, on the requesting and the booking side.
 
 use std::net::SocketAddr;
 
@@ -18,35 +18,35 @@
 use super::messages::Message;
 use super::run::State;
 
-/// The link number of this node's own bookings; those of others begin at 1.
+/// The link number of this node's own bookings; inbound links begin at 1.
 const OWN_LINK: u64 = 0;
 
-/// A request of this node that is booked at some node.
+/// A request of this node and the node that books its endpoint.
 #[derive(Debug)]
 pub(super) struct Placement {
     service: PoolName,
     shard: Shard,
     booker: SocketAddr,
-    /// Where the endpoint is awaited, until it is known.
+    /// The channel on which the request waits for the endpoint, until it is sent.
     reply: Option<Sender<Option<EndpointId>>>,
 }
 
-/// What became of a booked request.
+/// A change in the state of a booked request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum BookingEvent {
-    /// Its first event came after so many times the expected time.
+    /// The first event of its response arrived.
     FirstEvent {
-        /// The ratio.
+        /// The ratio of the elapsed to the expected time.
         pace: f32,
     },
-    /// It has ended.
+    /// The request ended.
     Ended {
         /// Whether its endpoint failed.
         failed: bool,
     },
 }
 
-/// A request's booking, which ends when this is dropped.
+/// A request's booking; dropping it ends the booking.
 #[derive(Debug)]
 pub(crate) struct Booking {
     dispatcher: Dispatcher,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Notes that the first event came, after `pace` times the expected time.
+    /// Records that the first event arrived, after `pace` times the expected time.
     pub(crate) fn first_event(&self, pace: f32) {
         self.send(BookingEvent::FirstEvent { pace });
     }
 
-    /// Notes that the endpoint failed.
+    /// Records that the endpoint failed.
     pub(crate) const fn mark_failed(&mut self) {
         self.failed = true;
     }
@@ -88,7 +88,7 @@
 }
 
 impl State {
-    /// Asks for an endpoint; `reply` gets `None` if this node has to choose.
+    /// Requests an endpoint; `reply` gets `None` if this node has to choose.
     pub(super) fn request_placement(
         &mut self,
         number: u64,
@@ -121,14 +121,14 @@
         let frame = place_frame(number, &placement, request);
         let up = self.peers.get(&booker).is_some_and(|p| p.sender.is_some());
         self.placements.insert(number, placement);
-        // Without a link yet it only begins one, for the next request.
+        // Without a link, this only opens one for the next request.
         self.send(booker, Body::PlaceAsk(frame));
         if !up {
             self.reply_placement(number, None);
         }
     }
 
-    /// Hands an endpoint to the request that asked for it.
+    /// Sends an endpoint to the request that waits for it.
     fn reply_placement(&mut self, number: u64, endpoint: Option<EndpointId>) {
         let placement = self.placements.get_mut(&number);
         if let Some(reply) = placement.and_then(|p| p.reply.take()) {
@@ -140,7 +140,7 @@
         self.reply_placement(placed.number, placed.endpoint.parse().ok());
     }
 
-    /// Has this node choose for all that wait for a node that is lost.
+    /// Has this node choose for all requests that wait for a lost node.
     pub(super) fn decline_placements(&mut self, booker: SocketAddr) {
         let theirs = self.placements.iter().filter(|(_, p)| p.booker == booker);
         let numbers: Vec<u64> = theirs.map(|(&n, _)| n).collect();
@@ -163,7 +163,7 @@
                 .bookings
                 .get_mut(&(placement.service.clone(), placement.shard));
             if let Some(bookings) = bookings {
-                // Its own endpoints' health this node has noted already.
+                // This node has already updated its endpoints' health.
                 let _endpoint = match event {
                     BookingEvent::FirstEvent { .. } => bookings.read(id).cloned(),
                     BookingEvent::Ended { .. } => bookings.end(id),
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -1,4 +1,4 @@
-//! The queues of the services whose pieces meet at this node.
+//! The work queues of the services that this node owns.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
         Some(id)
     }
 
-    /// Returns the queue of a service, a new one if there is none yet.
+    /// Returns the queue of a service, creating it if needed.
     pub(super) fn open_queue(&mut self, service: &PoolName) -> Option<&mut ServiceQueue> {
         if !self.queues.contains_key(service) {
             let catalog = self.shared.catalog.get();
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Makes the calls that are due and passes on the jobs that ended.
+    /// Starts the calls and polls that are due and delivers the results of ended
+    /// jobs.
     pub(super) fn process_due(&mut self) {
         let now = self.shared.now();
         self.submit_unrouted();
@@ -260,7 +261,8 @@
     );
 }
 
-/// Returns the requests of a call, each once.
+/// Returns the ids of the requests in a batch; consecutive items of one request
+/// share an id.
 fn request_ids(batch: &PieceCall) -> String {
     let mut names: Vec<&str> = batch.items.iter().map(|i| i.request.as_str()).collect();
     names.dedup();
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -40,32 +40,32 @@
 use super::placement;
 use crate::shared::Shared;
 
-/// The time between two looks at a node that holds this node's jobs.
+/// The interval between two polls of a node that holds jobs of this node.
 pub(super) const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The pause between two looks whether the owners are known, at a start.
+/// The interval at which a starting node checks whether it knows the owners.
 const OWNERS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The most messages that are taken before the queues are synced at.
+/// The most messages handled before the work queues are processed.
 const MESSAGES_MAX: usize = 64;
 
-/// Where a job came from.
+/// The submitter of a job.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Origin {
     Own(JobNumber),
     Peer { link: LinkNumber, job: u64 },
 }
 
-/// The queue of a service whose pieces meet here.
+/// The work queue of a service that this node owns.
 #[derive(Debug)]
 pub(super) struct ServiceQueue {
     pub(super) queue: PieceQueue,
     pub(super) origins: BTreeMap<JobId, Origin>,
-    /// Results that other nodes have not given back, by handle.
+    /// Results delivered to other nodes and not yet released, by handle.
     pub(super) delivered: BTreeMap<String, Delivered>,
 }
 
-/// A job of one of this node's requests.
+/// A job submitted by a request of this node.
 #[derive(Debug)]
 pub(super) struct PendingJob {
     pub(super) service: PoolName,
@@ -84,24 +84,24 @@
 #[derive(Debug)]
 pub(super) struct InboundLink {
     pub(super) sender: LinkSender,
-    /// The address on which the node is reached, once it told it.
+    /// The node's listen address, once it has sent it.
     pub(super) node: Option<SocketAddr>,
-    /// The last news of other nodes that it was told.
+    /// The number of the last change to the known nodes that was sent.
     pub(super) sent_changes: u64,
-    /// The last news of requests that it was told.
+    /// The number of the last verdict that was sent.
     pub(super) sent_verdicts: u64,
 }
 
-/// A result that was handed to another node.
+/// A result that was delivered to another node.
 #[derive(Debug)]
 pub(super) struct Delivered {
-    /// The node's own address, which outlives its links.
+    /// The node's listen address, which outlives its links.
     pub(super) node: SocketAddr,
     pub(super) endpoint: EndpointId,
     pub(super) until: Time,
 }
 
-/// Another node's job that waits for this node's configuration.
+/// Another node's job that waits until this node has a configuration.
 #[derive(Debug)]
 pub(super) struct UnacceptedJob {
     pub(super) link: LinkNumber,
@@ -115,7 +115,7 @@
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) sender: Option<LinkSender>,
-    /// When the first look was sent that no frame has followed.
+    /// When the oldest poll was sent since the last frame arrived.
     pub(super) unanswered_since: Option<Time>,
     pub(super) polled_at: Time,
 }
@@ -172,27 +172,27 @@
     pub(super) pending: BTreeMap<JobNumber, PendingJob>,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
     pub(super) inbound: BTreeMap<LinkNumber, InboundLink>,
-    /// Jobs from before this node could tell who owns their service.
+    /// Jobs submitted before this node knew the owners of services.
     pub(super) unrouted: Vec<(JobNumber, PoolName, Job, Sender<JobResult>)>,
-    /// Other nodes' jobs from before this node had a configuration.
+    /// Other nodes' jobs received before this node had a configuration.
     pub(super) unaccepted: Vec<UnacceptedJob>,
-    /// Nodes whose last link ended, and when.
+    /// Nodes whose last inbound link closed, and when.
     pub(super) departed: BTreeMap<SocketAddr, Time>,
     pub(super) polled_at: Time,
     pub(super) poll_index: usize,
-    /// This node's requests that are booked at some node.
+    /// Placements of this node's requests, by number.
     pub(super) placements: BTreeMap<u64, placement::Placement>,
-    /// The bookings that meet here.
+    /// Bookings of the shards that this node owns.
     pub(super) bookings: BTreeMap<(PoolName, Shard), Bookings>,
-    /// What owners may not have heard of yet.
+    /// Released results that their owners may have missed.
     pub(super) released: Returned,
-    /// The record that comes in slices from a neighbour.
+    /// The configuration record being received in slices from a peer.
     pub(super) assembly: Assembly,
-    /// The neighbour that was asked for what it knows of endpoints, and when.
+    /// The peer that the full list of endpoints was requested from, and when.
     pub(super) endpoints_request: Option<(SocketAddr, Time)>,
-    /// The endpoints whose connections broke of late.
+    /// Endpoints whose connections broke recently.
     pub(super) endpoint_loss: Ends,
-    /// What this node told of the ends of endpoints of late.
+    /// Endpoint crashes that this node reported recently.
     pub(super) reports: VecDeque<Report>,
 }
 
@@ -327,7 +327,7 @@
         let now = self.shared.now();
         let frame = convert::job_frame(now, number, pending.service.as_str(), &pending.job);
         log::debug!(event = "pieces-handed-over", request = pending.job.request.as_str(), stage = pending.job.stage, owner = owner.to_string().as_str(); "");
-        // Without a link yet, the job goes out once it is there.
+        // If the link is not up yet, `handle_connected` sends the job.
         self.send(owner, Body::PieceJob(frame));
         let polled_at = self.peers.get(&owner).map_or(now, |p| p.polled_at);
         if now.since(polled_at) >= BUSY_POLL_INTERVAL {
@@ -335,12 +335,12 @@
         }
     }
 
-    /// Sends a frame to a node, if the link to it is up; begins one if not.
+    /// Sends a frame to a node if the link is up; opens a link if there is none.
     pub(super) fn send(&mut self, peer: SocketAddr, body: Body) {
         if let Some(link) = self.peers.get(&peer) {
             if let Some(sender) = &link.sender {
-                // A full queue means a silent peer, which is found by its
-                // silence.
+                // The queue is full only if the peer is silent; the response
+                // time-out handles that.
                 let _full = sender.send(body);
             }
             return;
@@ -348,7 +348,7 @@
         self.open_link(peer);
     }
 
-    /// Begins a link to a node.
+    /// Starts to open a link to a node.
     pub(super) fn open_link(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
         let link = Peer {
@@ -385,7 +385,7 @@
         self.send_recent(peer);
     }
 
-    /// Hands in the jobs that waited until the owners are known.
+    /// Submits the jobs that waited until the owners were known.
     pub(super) fn submit_unrouted(&mut self) {
         if !self.unrouted.is_empty() && self.shared.knows_owners() {
             for (number, service, job, reply) in std::mem::take(&mut self.unrouted) {
@@ -440,7 +440,7 @@
         self.send(owner, Body::PieceUnneeded(frame));
     }
 
-    /// Gives back once more what a node may have missed, to whoever owns it now.
+    /// Releases results once more that a node may have missed, at the current owner.
     pub(super) fn release_missed(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
         let heard_at = self.shared.owners().heard_at(peer);
