--- a/gateway/src/dispatch/crashes.rs
+++ b/gateway/src/dispatch/crashes.rs
@@ -184,15 +184,15 @@
         let request = *request;
         let now = self.shared.now();
         let mut crashes = self.shared.crashes();
-        let mut ends: Vec<String> = crashes.ends(request).map(ToString::to_string).collect();
+        let mut endpoints: Vec<String> = crashes.ends(request).map(ToString::to_string).collect();
         let verdict = crashes.told_end(now, *at, request, incarnation);
         drop(crashes);
         let Some(verdict) = verdict else {
             return;
         };
-        ends.push(incarnation.to_string());
+        endpoints.push(incarnation.to_string());
         metrics::counter!("snipeyoke_quarantines_total").increment(1);
-        log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = ends.join(",").as_str(), span_ms = verdict.span.as_millis() as u64, left_ms = verdict.left.as_millis() as u64; "");
+        log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = endpoints.join(",").as_str(), span_ms = verdict.span.as_millis() as u64, left_ms = verdict.left.as_millis() as u64; "");
         self.announce_verdict(verdict);
         self.refuse_jobs(request);
     }
--- a/gateway/src/dispatch/inbound.rs
+++ b/gateway/src/dispatch/inbound.rs
@@ -81,13 +81,13 @@
         // A starting node may count as the owner before it knows the service.
         // Refusing the job at once would fail it at its submitter.
         if self.shared.catalog.get().is_none() {
-            let since = now;
+            let received_at = now;
             self.unaccepted.push(UnacceptedJob {
                 link,
                 number,
                 service,
                 job,
-                since,
+                received_at,
             });
             return;
         }
@@ -111,7 +111,7 @@
         for waiting in std::mem::take(&mut self.unaccepted) {
             if configured {
                 self.accept_job(waiting.link, waiting.number, &waiting.service, waiting.job);
-            } else if now.since(waiting.since) < UNACCEPTED_WAIT_MAX {
+            } else if now.since(waiting.received_at) < UNACCEPTED_WAIT_MAX {
                 self.unaccepted.push(waiting);
             } else {
                 self.refuse_job(waiting.link, waiting.number);
@@ -144,8 +144,8 @@
 
     pub(super) fn handle_inbound_closed(&mut self, link: LinkNumber) {
         let node = self.inbound.remove(&link).and_then(|l| l.node);
-        let gone = |node: &SocketAddr| self.inbound.values().all(|l| l.node != Some(*node));
-        if let Some(node) = node.filter(gone) {
+        let unlinked = |node: &SocketAddr| self.inbound.values().all(|l| l.node != Some(*node));
+        if let Some(node) = node.filter(unlinked) {
             self.departed.insert(node, self.shared.now());
         }
         self.cancel_jobs(|origin| matches!(origin, Origin::Peer { link: l, .. } if *l == link));
@@ -161,15 +161,18 @@
     /// memory until they expire, and leave no room for the nodes that are alive.
     /// A node whose link was reset reconnects at once and still needs them.
     pub(super) fn release_departed(&mut self, now: Time) {
-        let gone = |_: &SocketAddr, at: &mut Time| now.since(*at) > DEPARTED_AFTER;
-        let departed: Vec<SocketAddr> =
-            self.departed.extract_if(.., gone).map(|(n, _)| n).collect();
+        let expired = |_: &SocketAddr, at: &mut Time| now.since(*at) > DEPARTED_AFTER;
+        let departed: Vec<SocketAddr> = self
+            .departed
+            .extract_if(.., expired)
+            .map(|(n, _)| n)
+            .collect();
         if departed.is_empty() {
             return;
         }
         for owned in self.queues.values_mut() {
-            let theirs = |_: &String, d: &mut Delivered| departed.contains(&d.node);
-            let found: Vec<_> = owned.delivered.extract_if(.., theirs).collect();
+            let orphaned = |_: &String, d: &mut Delivered| departed.contains(&d.node);
+            let found: Vec<_> = owned.delivered.extract_if(.., orphaned).collect();
             for (handle, delivered) in found {
                 owned.queue.give_back(now, &delivered.endpoint, handle);
             }
@@ -266,8 +269,8 @@
             return reply;
         };
         let changes = replicas.endpoints.since(Offset(poll.endpoints_next));
-        let few = |all: &Vec<Record>| all.len() <= CHANGES_MAX && poll.endpoints_next > 0;
-        if let Some(changes) = changes.filter(|all| poll.stale || few(all)) {
+        let is_small = |all: &Vec<Record>| all.len() <= CHANGES_MAX && poll.endpoints_next > 0;
+        if let Some(changes) = changes.filter(|all| poll.stale || is_small(all)) {
             reply.endpoints = changes.into_iter().map(convert::record_frame).collect();
             reply.endpoints_next = replicas.endpoints.next().0;
             reply.endpoints_age_us = polling.of(Kept::Endpoints).age(now).map(micros);
--- a/gateway/src/dispatch/peers.rs
+++ b/gateway/src/dispatch/peers.rs
@@ -42,8 +42,8 @@
         self.shared.owners().heard(now, peer);
         match body {
             Body::PieceJobEnd(end) => {
-                let held = self.pending.get(&JobNumber(end.job));
-                if held.is_some_and(|t| t.owner == JobOwner::Remote(peer)) {
+                let pending = self.pending.get(&JobNumber(end.job));
+                if pending.is_some_and(|p| p.owner == JobOwner::Remote(peer)) {
                     self.finish_job(convert::job_result_of(end));
                 }
             }
@@ -148,8 +148,8 @@
                 .is_some_and(|at| now.since(at) > RESPONSE_TIMEOUT)
         };
         let found = self.peers.iter().filter(|(_, p)| silent(p));
-        let lost: Vec<SocketAddr> = found.map(|(&peer, _)| peer).collect();
-        for peer in lost {
+        let silent_peers: Vec<SocketAddr> = found.map(|(&peer, _)| peer).collect();
+        for peer in silent_peers {
             self.drop_peer(peer, "silent");
         }
         for &peer in &busy {
@@ -225,8 +225,8 @@
             return;
         }
         self.peers.remove(&peer);
-        let holds = |t: &PendingJob| t.owner == JobOwner::Remote(peer);
-        let jobs = self.pending.values().filter(|t| holds(t)).count();
+        let holds = |p: &PendingJob| p.owner == JobOwner::Remote(peer);
+        let jobs = self.pending.values().filter(|p| holds(p)).count();
         log::info!(event = "link-lost", peer = peer.to_string().as_str(), jobs; "");
         if jobs > 0 {
             self.open_link(peer);
@@ -251,7 +251,7 @@
         let held = self
             .pending
             .iter()
-            .filter(|(_, t)| t.owner == JobOwner::Remote(peer));
+            .filter(|(_, p)| p.owner == JobOwner::Remote(peer));
         let numbers: Vec<JobNumber> = held.map(|(&n, _)| n).collect();
         log::info!(event = "node-lost", peer = peer.to_string().as_str(), why, jobs = numbers.len(); "");
         self.release_missed(peer);
--- a/gateway/src/dispatch/placement.rs
+++ b/gateway/src/dispatch/placement.rs
@@ -142,8 +142,8 @@
 
     /// Has this node choose for all requests that wait for a lost node.
     pub(super) fn decline_placements(&mut self, booker: SocketAddr) {
-        let theirs = self.placements.iter().filter(|(_, p)| p.booker == booker);
-        let numbers: Vec<u64> = theirs.map(|(&n, _)| n).collect();
+        let affected = self.placements.iter().filter(|(_, p)| p.booker == booker);
+        let numbers: Vec<u64> = affected.map(|(&n, _)| n).collect();
         for number in numbers {
             self.reply_placement(number, None);
         }
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -35,13 +35,13 @@
 
 impl ServiceQueue {
     fn record_delivered(&mut self, now: Time, node: SocketAddr, end: &JobEnd) {
-        self.delivered.retain(|_, d| d.until > now);
-        let until = now + self.queue.keep();
+        self.delivered.retain(|_, d| d.expires_at > now);
+        let expires_at = now + self.queue.keep();
         for (_, handle, endpoint) in &end.made {
             let delivered = Delivered {
                 node,
                 endpoint: endpoint.clone(),
-                until,
+                expires_at,
             };
             self.delivered.insert(handle.clone(), delivered);
         }
@@ -103,7 +103,7 @@
         self.retry_unaccepted();
         self.request_config();
         self.poll_reader(now);
-        let mut ends = Vec::new();
+        let mut ended_jobs = Vec::new();
         for (service, owned) in &mut self.queues {
             let batches = owned.queue.poll(now);
             let waiting = owned.queue.waiting();
@@ -139,11 +139,11 @@
                     {
                         owned.record_delivered(now, node, &end);
                     }
-                    ends.push((origin, end));
+                    ended_jobs.push((origin, end));
                 }
             }
         }
-        for (origin, end) in ends {
+        for (origin, end) in ended_jobs {
             self.handle_job_end(origin, end);
         }
         if now.since(self.polled_at) >= BUSY_POLL_INTERVAL {
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -98,7 +98,7 @@
     /// The node's listen address, which outlives its links.
     pub(super) node: SocketAddr,
     pub(super) endpoint: EndpointId,
-    pub(super) until: Time,
+    pub(super) expires_at: Time,
 }
 
 /// Another node's job that waits until this node has a configuration.
@@ -108,7 +108,7 @@
     pub(super) number: u64,
     pub(super) service: PoolName,
     pub(super) job: Job,
-    pub(super) since: Time,
+    pub(super) received_at: Time,
 }
 
 /// A link to another node.
@@ -199,15 +199,18 @@
 impl State {
     pub(super) fn wake(&self) -> Time {
         let now = self.shared.now();
-        let queues = self.queues.values().map(|c| c.queue.wake(now));
-        let poll = self.polled_at + BUSY_POLL_INTERVAL;
-        let config = self.shared.catch_up().wake();
-        let waiting = if self.unrouted.is_empty() && self.unaccepted.is_empty() {
+        let queues = self.queues.values().map(|q| q.queue.wake(now));
+        let next_poll = self.polled_at + BUSY_POLL_INTERVAL;
+        let next_request = self.shared.catch_up().wake();
+        let next_check = if self.unrouted.is_empty() && self.unaccepted.is_empty() {
             Time::NEVER
         } else {
             now + OWNERS_CHECK_INTERVAL
         };
-        let deadline = poll.min(config).min(self.reader_poll_at()).min(waiting);
+        let deadline = next_poll
+            .min(next_request)
+            .min(self.reader_poll_at())
+            .min(next_check);
         queues.fold(deadline, Time::min)
     }
 
@@ -372,9 +375,9 @@
         let held = self
             .pending
             .iter()
-            .filter(|(_, t)| t.owner == JobOwner::Remote(peer));
+            .filter(|(_, p)| p.owner == JobOwner::Remote(peer));
         let frames: Vec<PieceJob> = held
-            .map(|(&n, t)| convert::job_frame(now, n, t.service.as_str(), &t.job))
+            .map(|(&n, p)| convert::job_frame(now, n, p.service.as_str(), &p.job))
             .collect();
         for frame in frames {
             self.send(peer, Body::PieceJob(frame));
