--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -14,7 +14,7 @@
 
 use crate::call::Call;
 use crate::call::CallError;
-use crate::call::call;
+use crate::call::send_request;
 use crate::dialect::Verdict;
 use crate::shared::Shared;
 
@@ -29,10 +29,10 @@
 
 /// Sends a batch to an endpoint and returns the result.
 pub(super) async fn run_batch(shared: Arc<Shared>, batch: PieceCall) -> CallResult {
-    let request = shared.dialect.run_pieces(&batch.entry.id, &batch.items);
+    let request = shared.dialect.batch_request(&batch.entry.id, &batch.items);
     let response = async {
         let sent = Flag::default();
-        match call(&shared.traffic, batch.entry.address, request, &sent).await {
+        match send_request(&shared.traffic, batch.entry.address, request, &sent).await {
             Ok(call) => read_response(&shared, &batch, call).await,
             Err(error) => {
                 if !error.is_not_sent() {
@@ -69,7 +69,7 @@
 }
 
 async fn read_response(shared: &Shared, batch: &PieceCall, mut call: Call) -> CallResult {
-    let response = shared.dialect.answer(&call.head);
+    let response = shared.dialect.parse_response(&call.head);
     match response.verdict {
         Verdict::WrongEndpoint => return CallResult::WrongEndpoint,
         Verdict::NotRun => return CallResult::Refused,
@@ -92,7 +92,7 @@
     if !call.head.status.is_success() {
         return CallResult::Broken;
     }
-    let outcomes = shared.dialect.piece_outcomes(&body);
+    let outcomes = shared.dialect.parse_outcomes(&body);
     outcomes.map_or_else(
         || {
             log::warn!(event = "pieces-unreadable", endpoint = batch.entry.id.to_string().as_str(); "");
@@ -106,9 +106,10 @@
 ///
 /// There is no retry: a result that is not released expires by itself.
 pub(super) async fn release_results(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
-    let request = shared.dialect.give_back(handles);
+    let request = shared.dialect.release_request(handles);
     let released = async {
-        let Ok(mut call) = call(&shared.traffic, entry.address, request, &Flag::default()).await
+        let Ok(mut call) =
+            send_request(&shared.traffic, entry.address, request, &Flag::default()).await
         else {
             return false;
         };
--- a/gateway/src/dispatch/config_transfer.rs
+++ b/gateway/src/dispatch/config_transfer.rs
@@ -76,7 +76,7 @@
     /// Applies a slice and requests the next one.
     pub(super) fn handle_slice(&mut self, peer: SocketAddr, frame: RecordSlice) {
         let now = self.shared.now();
-        self.shared.told_config(peer, Offset(frame.next), 0);
+        self.shared.on_peer_config(peer, Offset(frame.next), 0);
         // The peer is no longer the source of the configuration.
         if !self.shared.catch_up().moved(now, peer) {
             return;
--- a/gateway/src/dispatch/inbound.rs
+++ b/gateway/src/dispatch/inbound.rs
@@ -216,13 +216,13 @@
             learn_node(&mut self.shared.owners(), now, &known);
             self.departed.remove(&address);
             let next = Offset(poll.config_next);
-            self.shared.told_config(address, next, 0);
+            self.shared.on_peer_config(address, next, 0);
             if let Some(inbound) = self.inbound.get_mut(&link) {
                 inbound.node = Some(address);
             }
         }
         if poll.brief {
-            self.shared.upkeep().looked_at(now);
+            self.shared.registry_polling().looked_at(now);
         }
         let mut reply = self.sync_reply(Some(poll));
         let Some(inbound) = self.inbound.get_mut(&link) else {
@@ -254,9 +254,9 @@
     fn sync_reply(&self, poll: Option<&SyncRequest>) -> SyncReply {
         let now = self.shared.now();
         let micros = |age: Duration| age.as_micros() as u64;
-        let polling = *self.shared.upkeep();
+        let polling = *self.shared.registry_polling();
         let mut reply = SyncReply {
-            leaving: self.shared.aside.is_set(),
+            leaving: self.shared.out_of_rotation.is_set(),
             unread: polling.is_unread(now),
             config_age_us: polling.of(Kept::Config).age(now).map(micros),
             stamp: poll.map_or(0, |p| p.stamp),
--- a/gateway/src/dispatch/peers.rs
+++ b/gateway/src/dispatch/peers.rs
@@ -71,7 +71,7 @@
         }
         self.shared.budget().share(count);
         let next = Offset(reply.config_next);
-        self.shared.told_config(peer, next, reply.config_bytes);
+        self.shared.on_peer_config(peer, next, reply.config_bytes);
         if self.endpoints_request.is_some_and(|(node, _)| node == peer) {
             self.endpoints_request = None;
         }
@@ -87,7 +87,7 @@
             endpoints: age(reply.endpoints_age_us).filter(|_| has_endpoints),
         };
         let sent = Time::from_micros(reply.stamp);
-        let mut polling = self.shared.upkeep();
+        let mut polling = self.shared.registry_polling();
         polling.take(now, &mut self.shared.owners(), (peer, sent), status);
     }
 
@@ -112,7 +112,7 @@
         // registry decides which one is wrong.
         if same && sum != reply.endpoints_sum {
             log::warn!(event = "endpoints-differ", node = peer.to_string().as_str(), next = next.0; "");
-            self.shared.differs();
+            self.shared.on_endpoints_differ();
             return false;
         }
         true
@@ -120,7 +120,7 @@
 
     /// Polls the registry reader, if its poll is due.
     pub(super) fn poll_reader(&mut self, now: Time) {
-        let mut polling = self.shared.upkeep();
+        let mut polling = self.shared.registry_polling();
         let reader = polling.look(now, &mut self.shared.owners());
         drop(polling);
         if let Some(reader) = reader {
@@ -130,7 +130,7 @@
 
     /// Returns the time of the next poll of the registry reader.
     pub(super) fn reader_poll_at(&self) -> Time {
-        self.shared.upkeep().look_at(self.shared.now())
+        self.shared.registry_polling().look_at(self.shared.now())
     }
 
     /// Polls the nodes that hold jobs, and one other node in turn.
@@ -242,7 +242,7 @@
             sender.close();
         }
         self.shared.owners().silent(now, peer);
-        self.shared.upkeep().lost(peer);
+        self.shared.registry_polling().lost(peer);
         self.decline_placements(peer);
         self.shared.catch_up().forget(peer);
         if self.endpoints_request.is_some_and(|(node, _)| node == peer) {
