--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -18,59 +18,59 @@
 use crate::dialect::Verdict;
 use crate::shared::Shared;
 
-/// The largest answer to a call for pieces, in bytes.
-const ANSWER_MAX: usize = 1 << 20;
+/// The largest response to a batch call, in bytes.
+const RESPONSE_BYTES_MAX: usize = 1 << 20;
 
-/// The longest time to give results back.
-const GIVE_BACK_LIMIT: Duration = Duration::from_secs(1);
+/// The time-out of a call that releases results.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time on top of a call's own limit, for the way there and back.
-const WAY: Duration = Duration::from_millis(200);
+/// The time on top of a call's own limit, for transit in both directions.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(200);
 
-/// Makes a call for pieces.
-pub(super) async fn run_pieces(shared: Arc<Shared>, send: BatchCall) -> CallResult {
-    let request = shared.dialect.batch_request(&send.entry.id, &send.items);
-    let answered = async {
-        let handed = Flag::default();
-        match send_request(&shared.traffic, send.entry.address, request, &handed).await {
-            Ok(call) => read(&shared, &send, call).await,
+/// Sends a batch to an endpoint and returns the result.
+pub(super) async fn run_batch(shared: Arc<Shared>, batch: BatchCall) -> CallResult {
+    let request = shared.dialect.batch_request(&batch.entry.id, &batch.items);
+    let response = async {
+        let sent = Flag::default();
+        match send_request(&shared.traffic, batch.entry.address, request, &sent).await {
+            Ok(call) => read_response(&shared, &batch, call).await,
             Err(error) => {
                 if !error.is_not_sent() {
-                    note_break(&shared, &send);
+                    report_break(&shared, &batch);
                 }
-                broken(&send.entry, &error)
+                log_broken(&batch.entry, &error)
             }
         }
     };
-    let over = async {
-        Timer::after(send.timeout + WAY).await;
-        log::warn!(event = "pieces-silent", endpoint = send.entry.id.to_string().as_str(), pieces = send.items.len(); "");
+    let timeout = async {
+        Timer::after(batch.timeout + TRANSIT_MARGIN).await;
+        log::warn!(event = "pieces-silent", endpoint = batch.entry.id.to_string().as_str(), pieces = batch.items.len(); "");
         CallResult::Broken
     };
-    answered.or(over).await
+    response.or(timeout).await
 }
 
-fn broken(entry: &Entry, error: &CallError) -> CallResult {
+fn log_broken(entry: &Entry, error: &CallError) -> CallResult {
     log::warn!(event = "pieces-failed", endpoint = entry.id.to_string().as_str(), error = error.to_string().as_str(); "");
     CallResult::Broken
 }
 
-/// Notes that the connection of a call broke before its whole answer.
-fn note_break(shared: &Shared, send: &BatchCall) {
-    let run = Incarnation {
-        endpoint: send.entry.id.clone(),
-        born: send.entry.born,
+/// Reports that the connection of a call broke before the whole response.
+fn report_break(shared: &Shared, batch: &BatchCall) {
+    let incarnation = Incarnation {
+        endpoint: batch.entry.id.clone(),
+        born: batch.entry.born,
     };
-    let requests = send.items.iter().filter_map(|i| i.fingerprint);
+    let requests = batch.items.iter().filter_map(|i| i.fingerprint);
     for request in requests.collect::<BTreeSet<_>>() {
         let dispatcher = &shared.dispatcher;
-        dispatcher.connection_broke(run.clone(), send.entry.address, request);
+        dispatcher.connection_broke(incarnation.clone(), batch.entry.address, request);
     }
 }
 
-async fn read(shared: &Shared, send: &BatchCall, mut call: Call) -> CallResult {
-    let answer = shared.dialect.parse_response(&call.head);
-    match answer.verdict {
+async fn read_response(shared: &Shared, batch: &BatchCall, mut call: Call) -> CallResult {
+    let response = shared.dialect.parse_response(&call.head);
+    match response.verdict {
         Verdict::WrongEndpoint => return CallResult::WrongEndpoint,
         Verdict::NotRun => return CallResult::Refused,
         Verdict::Ran => {}
@@ -78,13 +78,13 @@
     let mut body = Vec::new();
     loop {
         match call.next().await {
-            Ok(Some(bytes)) if body.len() + bytes.len() <= ANSWER_MAX => {
+            Ok(Some(bytes)) if body.len() + bytes.len() <= RESPONSE_BYTES_MAX => {
                 body.extend_from_slice(&bytes);
             }
             Ok(None) => break,
             Ok(Some(_)) => return CallResult::Broken,
             Err(_) => {
-                note_break(shared, send);
+                report_break(shared, batch);
                 return CallResult::Broken;
             }
         }
@@ -95,19 +95,19 @@
     let outcomes = shared.dialect.parse_outcomes(&body);
     outcomes.map_or_else(
         || {
-            log::warn!(event = "pieces-unreadable", endpoint = send.entry.id.to_string().as_str(); "");
+            log::warn!(event = "pieces-unreadable", endpoint = batch.entry.id.to_string().as_str(); "");
             CallResult::Broken
         },
         CallResult::Answered,
     )
 }
 
-/// Tells an endpoint that results are not needed any more.
+/// Releases results at an endpoint.
 ///
-/// It is told once: a result that is not dropped lapses by itself.
-pub(super) async fn give_back(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
+/// There is no retry: a result that is not released expires by itself.
+pub(super) async fn release_results(shared: Arc<Shared>, entry: Entry, handles: &[String]) {
     let request = shared.dialect.release_request(handles);
-    let told = async {
+    let released = async {
         let Ok(mut call) =
             send_request(&shared.traffic, entry.address, request, &Flag::default()).await
         else {
@@ -116,11 +116,11 @@
         while let Ok(Some(_)) = call.next().await {}
         call.head.status.is_success()
     };
-    let over = async {
-        Timer::after(GIVE_BACK_LIMIT).await;
+    let timeout = async {
+        Timer::after(RELEASE_TIMEOUT).await;
         false
     };
-    if !told.or(over).await {
+    if !released.or(timeout).await {
         log::info!(event = "give-back-failed", endpoint = entry.id.to_string().as_str(), results = handles.len(); "");
     }
 }
--- a/gateway/src/dispatch/convert.rs
+++ b/gateway/src/dispatch/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between jobs and their frames.
+//! Conversions between dispatcher types and wire frames.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use super::JobResult;
 use super::StageResult;
 
-/// Writes a job for another node.
+/// Converts a job to its frame.
 pub(super) fn job_frame(now: Time, number: JobNumber, service: &str, job: &Job) -> PieceJob {
     let micros = |at: Time| at.since(now).as_micros() as u64;
     let inputs = match &job.input {
@@ -53,9 +53,9 @@
     }
 }
 
-/// Reads a job of another node.
+/// Converts a frame to a job.
 pub(super) fn job_of(now: Time, frame: PieceJob) -> Job {
-    let later = |micros: u64| now + Duration::from_micros(micros);
+    let after = |micros: u64| now + Duration::from_micros(micros);
     let work = if frame.inputs.is_empty() {
         StageInput::Key
     } else {
@@ -70,31 +70,31 @@
         input: work,
         key: frame.key,
         result_bytes: Bytes(frame.each),
-        target: later(frame.goal_us),
-        deadline: later(frame.due_us),
+        target: after(frame.goal_us),
+        deadline: after(frame.due_us),
         result_domain: frame.domain.parse().ok(),
         priority: u8::try_from(frame.priority).unwrap_or(u8::MAX),
         input_source: near.map(|domain| (domain, Bytes(frame.inputs_bytes))),
     }
 }
 
-/// Writes the end of a job for the node that handed it in.
-pub(super) fn end_frame(done: &JobResult) -> PieceJobEnd {
-    let results = done.results.iter().map(|r| snipeyoke_wire::PieceResult {
+/// Converts a job's outcome to a frame for the node that submitted it.
+pub(super) fn job_end_frame(result: &JobResult) -> PieceJobEnd {
+    let results = result.results.iter().map(|r| snipeyoke_wire::PieceResult {
         piece: r.item,
         handle: r.handle.clone(),
         endpoint: r.endpoint.to_string(),
     });
     PieceJobEnd {
-        job: done.number.0,
+        job: result.number.0,
         made: results.collect(),
-        failure: done.failure.map(|f| f.to_string()).unwrap_or_default(),
-        backlog_ms: done.backlog.as_millis() as u64,
+        failure: result.failure.map(|f| f.to_string()).unwrap_or_default(),
+        backlog_ms: result.backlog.as_millis() as u64,
     }
 }
 
-/// Reads the end of a job; results of unreadable endpoints are left out.
-pub(super) fn done_of(frame: PieceJobEnd) -> JobResult {
+/// Converts a frame to a job's outcome; omits results whose endpoint is invalid.
+pub(super) fn job_result_of(frame: PieceJobEnd) -> JobResult {
     let results = frame.made.into_iter().filter_map(|r| {
         Some(StageResult {
             item: r.piece,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Writes a record for a neighbour.
+/// Converts a record to its frame.
 pub(super) fn record_frame(record: Record) -> KeyedRecord {
     KeyedRecord {
         key: record.key,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Reads a neighbour's record.
+/// Converts a frame to a record.
 pub(super) fn record_of(frame: KeyedRecord) -> Record {
     Record {
         key: frame.key,
@@ -132,32 +132,32 @@
     }
 }
 
-/// Writes that an endpoint ended under a request.
-pub(super) fn end_of_endpoint_frame(
+/// Converts the crash of an endpoint under a request to its frame.
+pub(super) fn endpoint_end_frame(
     request: Fingerprint,
-    run: &Incarnation,
+    incarnation: &Incarnation,
     age: Duration,
 ) -> EndpointEnd {
     EndpointEnd {
         request: bytes_of(request),
-        endpoint: run.endpoint.to_string(),
-        born: run.born,
+        endpoint: incarnation.endpoint.to_string(),
+        born: incarnation.born,
         age_ms: age.as_millis() as u64,
     }
 }
 
-/// Reads that an endpoint ended under a request, and how long ago; `None` if it
-/// can't be read.
-pub(super) fn end_of_endpoint(frame: &EndpointEnd) -> Option<(Fingerprint, Incarnation, Duration)> {
-    let run = Incarnation {
+/// Converts a frame to a request, the endpoint that crashed, and the crash's
+/// age; `None` if the frame is invalid.
+pub(super) fn endpoint_end_of(frame: &EndpointEnd) -> Option<(Fingerprint, Incarnation, Duration)> {
+    let incarnation = Incarnation {
         endpoint: frame.endpoint.parse().ok()?,
         born: frame.born,
     };
     let age = Duration::from_millis(frame.age_ms);
-    Some((fingerprint(&frame.request)?, run, age))
+    Some((fingerprint(&frame.request)?, incarnation, age))
 }
 
-/// Writes a verdict on a request.
+/// Converts a verdict on a request to its frame.
 pub(super) fn quarantine_frame(verdict: &Verdict) -> Quarantine {
     Quarantine {
         request: bytes_of(verdict.request),
@@ -167,7 +167,7 @@
     }
 }
 
-/// Reads a verdict on a request; `None` if it can't be read.
+/// Converts a frame to a verdict on a request; `None` if the frame is invalid.
 pub(super) fn verdict_of(frame: &Quarantine) -> Option<Verdict> {
     Some(Verdict {
         request: fingerprint(&frame.request)?,
--- a/gateway/src/dispatch/links.rs
+++ b/gateway/src/dispatch/links.rs
@@ -16,13 +16,13 @@
 use super::messages::LinkNumber;
 use super::messages::Message;
 
-/// How long each try to connect to another node takes at most.
+/// The time-out of each attempt to connect to another node.
 ///
-/// A host that is just starting loses the first packet of a connection, and the
-/// system sends the next one a second later. Tried anew, a node that has come up
-/// meanwhile is reached at once. Answers come within a few milliseconds, and
-/// within the last limit also from another region.
-const CONNECT_LIMITS: [Duration; 3] = [
+/// A starting host loses the first packet of a connection, and the system
+/// resends it only a second later. A new attempt reaches the node as soon as it
+/// is up. Nodes respond within a few milliseconds; the last time-out also covers
+/// other regions.
+const CONNECT_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(80),
     Duration::from_millis(120),
     Duration::from_millis(200),
@@ -30,10 +30,10 @@
 
 /// The pause after a failed accept.
 ///
-/// Accept fails when descriptors run out; trying again at once would spin.
+/// Accept fails when descriptors run out; an immediate retry would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes links from other nodes.
+/// Accepts links from other nodes.
 pub(crate) async fn accept(listener: Async<TcpListener>, dispatcher: Dispatcher, scope: Scope) {
     let mut next = 0;
     loop {
@@ -63,16 +63,16 @@
     scope.spawn(async move {
         let _ended = writer.run().await;
     });
-    let opened = Message::Accepted {
+    let opened = Message::InboundOpened {
         link: number,
         sender: sender.clone(),
     };
     let _closed = inbox.try_send(opened);
     while let Some(body) = next(&mut reader).await {
-        let _closed = inbox.try_send(Message::Asked { link: number, body });
+        let _closed = inbox.try_send(Message::InboundFrame { link: number, body });
     }
     sender.close();
-    let _closed = inbox.try_send(Message::Hung { link: number });
+    let _closed = inbox.try_send(Message::InboundClosed { link: number });
 }
 
 /// Opens a link to another node and reads it until it fails.
@@ -83,27 +83,28 @@
         scope.spawn(async move {
             let _ended = writer.run().await;
         });
-        let connected = Message::Connected {
+        let connected = Message::OutboundOpened {
             peer,
             sender: sender.clone(),
         };
         let _closed = inbox.try_send(connected);
         while let Some(body) = next(&mut reader).await {
-            let _closed = inbox.try_send(Message::Answered { peer, body });
+            let _closed = inbox.try_send(Message::OutboundFrame { peer, body });
         }
         sender.close();
     }
-    let _closed = inbox.try_send(Message::Lost { peer });
+    let _closed = inbox.try_send(Message::OutboundClosed { peer });
 }
 
 async fn connect(peer: SocketAddr) -> Option<Async<TcpStream>> {
-    for limit in CONNECT_LIMITS {
-        let over = Timer::after(limit);
-        if let Ok(stream) = link::connect(peer, limit).await {
+    for timeout in CONNECT_TIMEOUTS {
+        let timer = Timer::after(timeout);
+        if let Ok(stream) = link::connect(peer, timeout).await {
             return Some(stream);
         }
-        // A port that nobody listens on yet answers at once.
-        over.await;
+        // A port without a listener refuses at once; wait out the attempt's
+        // time-out.
+        timer.await;
     }
     None
 }
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher's task is told.
+//! Messages to the dispatcher's task.
 
 use std::net::SocketAddr;
 
@@ -16,16 +16,16 @@
 
 use super::JobNumber;
 use super::JobResult;
-use super::places::Note;
+use super::placement::BookingEvent;
 
-/// Numbers the links that other nodes opened.
+/// The number of a link that another node opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LinkNumber(pub(crate) u64);
 
-/// An event for the dispatcher.
+/// A message to the dispatcher's task.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// A request of this node hands in a job.
+    /// A request of this node submits a job.
     Submit {
         number: JobNumber,
         service: PoolName,
@@ -35,73 +35,76 @@
     /// A request of this node no longer waits for a job.
     Cancel { number: JobNumber },
     /// A request of this node no longer needs results.
-    GiveBack {
+    ReleaseResults {
         service: PoolName,
         results: Vec<(EndpointId, String)>,
     },
-    /// A request of this node asks for an endpoint.
-    Place {
+    /// A request of this node needs a booked endpoint.
+    RequestPlacement {
         number: u64,
         service: PoolName,
-        wish: Wish,
+        request: Wish,
         reply: Sender<Option<EndpointId>>,
     },
-    /// Something became of a booked request of this node.
-    Noted { number: u64, note: Note },
+    /// A booked request of this node has progressed or ended.
+    BookingEvent { number: u64, event: BookingEvent },
     /// The connection of a request of this node to an endpoint broke.
-    Broke {
-        run: Incarnation,
+    ConnectionBroke {
+        incarnation: Incarnation,
         address: SocketAddr,
         request: Fingerprint,
     },
-    /// A request of this node was given up while an endpoint had it.
-    GivenUp {
-        run: Incarnation,
+    /// A request of this node was abandoned while an endpoint was processing it.
+    RequestAbandoned {
+        incarnation: Incarnation,
         request: Fingerprint,
     },
     /// An endpoint refused a connection.
-    Refused {
-        run: Incarnation,
+    ConnectionRefused {
+        incarnation: Incarnation,
         address: SocketAddr,
     },
-    /// A look at an endpoint whose connection broke tells whether it has ended.
-    Looked { run: Incarnation, ended: bool },
-    /// All other nodes are to know this of a request.
+    /// The probe of an endpoint whose connection broke has completed.
+    Probed {
+        incarnation: Incarnation,
+        ended: bool,
+    },
+    /// This node has reached a verdict that all other nodes need.
     Verdict(Verdict),
-    /// The endpoints changed.
+    /// The set of endpoints changed.
     EndpointsChanged,
     /// This node has a newer configuration.
-    ConfigGrew,
-    /// This node leaves.
+    ConfigChanged,
+    /// This node is leaving.
     Leaving,
-    /// A call for pieces ended.
+    /// A batch call ended.
     CallEnded {
         service: PoolName,
         call: u64,
         result: CallResult,
     },
-    /// An endpoint was told to drop results.
-    Dropped {
+    /// The call to an endpoint that releases results has ended.
+    ResultsReleased {
         service: PoolName,
         endpoint: EndpointId,
         handles: Vec<String>,
     },
     /// Another node opened a link.
-    Accepted {
+    InboundOpened {
         link: LinkNumber,
         sender: LinkSender,
     },
-    /// A frame came over a link that another node opened.
-    Asked { link: LinkNumber, body: Body },
-    /// A link that another node opened is gone.
-    Hung { link: LinkNumber },
+    /// A frame arrived over a link that another node opened.
+    InboundFrame { link: LinkNumber, body: Body },
+    /// A link that another node opened was closed.
+    InboundClosed { link: LinkNumber },
     /// A link that this node opened is up.
-    Connected {
+    OutboundOpened {
         peer: SocketAddr,
         sender: LinkSender,
     },
-    /// A frame came over a link that this node opened.
-    Answered { peer: SocketAddr, body: Body },
-    /// A link that this node opened failed.
-    Lost { peer: SocketAddr },
+    /// A frame arrived over a link that this node opened.
+    OutboundFrame { peer: SocketAddr, body: Body },
+    /// A link that this node opened was closed or could not be established.
+    OutboundClosed { peer: SocketAddr },
 }
--- /dev/null
+++ b/gateway/src/dispatch/placement.rs
@@ -0,0 +1,288 @@
+//! Bookings of a model's endpoints, on the requesting and the booking side.
+
+use std::net::SocketAddr;
+
+use async_channel::Sender;
+use snipeyoke_lib::ids::EndpointId;
+use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::bookings::BookingId;
+use snipeyoke_lib::serving::bookings::Shard;
+use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_wire::PlaceAsk;
+use snipeyoke_wire::PlaceNote;
+use snipeyoke_wire::Placed;
+use snipeyoke_wire::frame::Body;
+
+use super::Dispatcher;
+use super::messages::LinkNumber;
+use super::messages::Message;
+use super::run::State;
+
+/// The link number of this node's own bookings; inbound links begin at 1.
+const OWN_LINK: u64 = 0;
+
+/// A request of this node and the node that books its endpoint.
+#[derive(Debug)]
+pub(super) struct Placement {
+    service: PoolName,
+    shard: Shard,
+    booker: SocketAddr,
+    /// The channel on which the request waits for the endpoint, until it is sent.
+    reply: Option<Sender<Option<EndpointId>>>,
+}
+
+/// A change in the state of a booked request.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum BookingEvent {
+    /// The first event of its response arrived.
+    FirstEvent {
+        /// The ratio of the elapsed to the expected time.
+        pace: f32,
+    },
+    /// The request ended.
+    Ended {
+        /// Whether its endpoint failed.
+        failed: bool,
+    },
+}
+
+/// A request's booking; dropping it ends the booking.
+#[derive(Debug)]
+pub(crate) struct Booking {
+    dispatcher: Dispatcher,
+    number: u64,
+    failed: bool,
+}
+
+impl Booking {
+    pub(super) const fn new(dispatcher: Dispatcher, number: u64) -> Self {
+        Self {
+            dispatcher,
+            number,
+            failed: false,
+        }
+    }
+
+    /// Records that the first event arrived, after `pace` times the expected time.
+    pub(crate) fn first_event(&self, pace: f32) {
+        self.send(BookingEvent::FirstEvent { pace });
+    }
+
+    /// Records that the endpoint failed.
+    pub(crate) const fn mark_failed(&mut self) {
+        self.failed = true;
+    }
+
+    fn send(&self, event: BookingEvent) {
+        let number = self.number;
+        self.dispatcher
+            .send(Message::BookingEvent { number, event });
+    }
+}
+
+impl Drop for Booking {
+    fn drop(&mut self) {
+        let failed = self.failed;
+        self.send(BookingEvent::Ended { failed });
+    }
+}
+
+impl State {
+    /// Requests an endpoint; `reply` gets `None` if this node has to choose.
+    pub(super) fn request_placement(
+        &mut self,
+        number: u64,
+        service: PoolName,
+        request: Wish,
+        reply: Sender<Option<EndpointId>>,
+    ) {
+        let now = self.shared.now();
+        let shard = self
+            .shared
+            .directory()
+            .shard(&service, request.prefix.unwrap_or(number));
+        let booker = self.shared.owners().booker(now, &service, shard);
+        let placement = Placement {
+            service,
+            shard,
+            booker,
+            reply: Some(reply),
+        };
+        if booker == self.shared.settings.listen.peers {
+            let id = BookingId {
+                link: OWN_LINK,
+                number,
+            };
+            let endpoint = self.book(&placement.service, shard, id, &request);
+            self.placements.insert(number, placement);
+            self.reply_placement(number, endpoint);
+            return;
+        }
+        let frame = place_frame(number, &placement, request);
+        let up = self.peers.get(&booker).is_some_and(|p| p.sender.is_some());
+        self.placements.insert(number, placement);
+        // Without a link, this only opens one for the next request.
+        self.send(booker, Body::PlaceAsk(frame));
+        if !up {
+            self.reply_placement(number, None);
+        }
+    }
+
+    /// Sends an endpoint to the request that waits for it.
+    fn reply_placement(&mut self, number: u64, endpoint: Option<EndpointId>) {
+        let placement = self.placements.get_mut(&number);
+        if let Some(reply) = placement.and_then(|p| p.reply.take()) {
+            let _gone = reply.try_send(endpoint);
+        }
+    }
+
+    pub(super) fn handle_placed(&mut self, placed: &Placed) {
+        self.reply_placement(placed.number, placed.endpoint.parse().ok());
+    }
+
+    /// Has this node choose for all requests that wait for a lost node.
+    pub(super) fn decline_placements(&mut self, booker: SocketAddr) {
+        let affected = self.placements.iter().filter(|(_, p)| p.booker == booker);
+        let numbers: Vec<u64> = affected.map(|(&n, _)| n).collect();
+        for number in numbers {
+            self.reply_placement(number, None);
+        }
+    }
+
+    pub(super) fn handle_booking_event(&mut self, number: u64, event: BookingEvent) {
+        let ended = matches!(event, BookingEvent::Ended { .. });
+        let Some(placement) = self.placements.get(&number) else {
+            return;
+        };
+        if placement.booker == self.shared.settings.listen.peers {
+            let id = BookingId {
+                link: OWN_LINK,
+                number,
+            };
+            let bookings = self
+                .bookings
+                .get_mut(&(placement.service.clone(), placement.shard));
+            if let Some(bookings) = bookings {
+                // This node has already updated its endpoints' health.
+                let _endpoint = match event {
+                    BookingEvent::FirstEvent { .. } => bookings.read(id).cloned(),
+                    BookingEvent::Ended { .. } => bookings.end(id),
+                };
+            }
+        } else {
+            let frame = note_frame(number, event);
+            let booker = placement.booker;
+            if self.peers.contains_key(&booker) {
+                self.send(booker, Body::PlaceNote(frame));
+            }
+        }
+        if ended {
+            self.placements.remove(&number);
+        }
+    }
+
+    fn book(
+        &mut self,
+        service: &PoolName,
+        shard: Shard,
+        id: BookingId,
+        request: &Wish,
+    ) -> Option<EndpointId> {
+        let now = self.shared.now();
+        let key = (service.clone(), shard);
+        if !self.bookings.contains_key(&key) {
+            log::info!(event = "bookings-owned", service = service.as_str(), part = shard.index, parts = shard.count; "");
+        }
+        let bookings = self.bookings.entry(key).or_default();
+        let directory = self.shared.directory();
+        bookings.place(now, &directory, (service, shard), id, request)
+    }
+
+    pub(super) fn handle_place_request(&mut self, link: LinkNumber, frame: &PlaceAsk) {
+        let number = frame.number;
+        let id = BookingId {
+            link: link.0 + 1,
+            number,
+        };
+        let shard = Shard {
+            index: frame.shard,
+            count: frame.shards,
+        };
+        let endpoint = frame.service.parse::<PoolName>().ok().and_then(|service| {
+            let request = request_of(frame);
+            self.book(&service, shard, id, &request)
+        });
+        let endpoint = endpoint.map(|e| e.to_string()).unwrap_or_default();
+        if let Some(inbound) = self.inbound.get(&link) {
+            let _full = inbound
+                .sender
+                .send(Body::Placed(Placed { number, endpoint }));
+        }
+    }
+
+    pub(super) fn handle_place_note(&mut self, link: LinkNumber, note: &PlaceNote) {
+        let now = self.shared.now();
+        let id = BookingId {
+            link: link.0 + 1,
+            number: note.number,
+        };
+        for bookings in self.bookings.values_mut() {
+            let endpoint = if note.ended {
+                bookings.end(id)
+            } else {
+                bookings.read(id).cloned()
+            };
+            let Some(endpoint) = endpoint else {
+                continue;
+            };
+            if let Some(health) = self.shared.directory().health_mut(&endpoint) {
+                if let Some(pace) = note.pace {
+                    health.record_response(now, pace as f32 / 100.0);
+                }
+                if note.failed {
+                    health.record_failure(now);
+                }
+            }
+            return;
+        }
+    }
+}
+
+fn place_frame(number: u64, placement: &Placement, request: Wish) -> PlaceAsk {
+    PlaceAsk {
+        number,
+        service: placement.service.to_string(),
+        shard: placement.shard.index,
+        shards: placement.shard.count,
+        prefix: request.prefix,
+        shared: request.shared,
+        own: request.own,
+        domain: request.domain.map(|d| d.to_string()).unwrap_or_default(),
+        afar: request.afar,
+        avoid: request.avoid.iter().map(ToString::to_string).collect(),
+    }
+}
+
+fn request_of(frame: &PlaceAsk) -> Wish {
+    Wish {
+        prefix: frame.prefix,
+        shared: frame.shared,
+        own: frame.own,
+        domain: frame.domain.parse().ok(),
+        afar: frame.afar,
+        avoid: frame.avoid.iter().filter_map(|e| e.parse().ok()).collect(),
+    }
+}
+
+fn note_frame(number: u64, event: BookingEvent) -> PlaceNote {
+    let (pace, ended, failed) = match event {
+        BookingEvent::FirstEvent { pace } => (Some((pace * 100.0) as u32), false, false),
+        BookingEvent::Ended { failed } => (None, true, failed),
+    };
+    PlaceNote {
+        number,
+        pace,
+        ended,
+        failed,
+    }
+}
