--- a/agent/src/orders.rs
+++ b/agent/src/orders.rs
@@ -7,8 +7,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::FencingNumber;
+use snipeyoke_lib::placement::GateOutcome;
 use snipeyoke_lib::placement::OrderId;
-use snipeyoke_lib::placement::Passed;
 use snipeyoke_runtime::link::LinkSender;
 use snipeyoke_wire::Order;
 use snipeyoke_wire::OrderReply;
@@ -22,8 +22,8 @@
 /// Checks an order, passes it on and answers it.
 pub(crate) async fn run(node: Arc<Node>, link: LinkSender, order: Order) {
     let (accepted, reason) = match check(&node, &order) {
-        Ok(Passed::Repeated) => (true, "repeated".to_owned()),
-        Ok(Passed::New) => pass_on(&node, &order).await,
+        Ok(GateOutcome::Repeated) => (true, "repeated".to_owned()),
+        Ok(GateOutcome::New) => pass_on(&node, &order).await,
         Err(reason) => (false, reason),
     };
     log::info!(target: "placement", event = "order", order = order.order, fence = order.fence, verb = order.verb.as_str(), model = order.model.as_str(), version = order.version.as_str(), accepted = accepted, reason = reason.as_str(); "");
@@ -41,7 +41,7 @@
     }
 }
 
-fn check(node: &Node, order: &Order) -> Result<Passed, String> {
+fn check(node: &Node, order: &Order) -> Result<GateOutcome, String> {
     let own = &node.settings.endpoint.pool;
     if order.pool != own.as_str() {
         return Err(format!(
@@ -49,7 +49,7 @@
         ));
     }
     let mut gate = node.orders.lock().unwrap_or_else(PoisonError::into_inner);
-    gate.pass(FencingNumber(order.fence), OrderId(order.order))
+    gate.check(FencingNumber(order.fence), OrderId(order.order))
         .map_err(|error| error.to_string())
 }
 
--- a/lib/benches/choose.rs
+++ b/lib/benches/choose.rs
@@ -18,10 +18,10 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::routing::CacheUpdate;
 use snipeyoke_lib::routing::Fleet;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::Need;
 use snipeyoke_lib::routing::PolicyKind;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::routing::choose;
 use snipeyoke_lib::time::Time;
 
@@ -55,7 +55,7 @@
 
 fn fleet(now: Time, pool: &PoolName) -> Fleet {
     let region = "r0".parse().expect("a name");
-    let mut fleet = Fleet::new(Home {
+    let mut fleet = Fleet::new(RouterLocation {
         domain: "d0".parse().expect("a name"),
         region: "r0".parse().expect("a name"),
     });
--- a/lib/examples/capacity.rs
+++ b/lib/examples/capacity.rs
@@ -55,10 +55,10 @@
 use snipeyoke_lib::record::Record;
 use snipeyoke_lib::record::RecordId;
 use snipeyoke_lib::routing::Fleet;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::Need;
 use snipeyoke_lib::routing::PolicyKind;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::time::WallTime;
 use snipeyoke_lib::units::Bytes;
@@ -266,7 +266,7 @@
     let domain: FailureDomain = name("hall-a");
     let region: Region = name("bergen");
     let pool: PoolName = name("ranger-llm");
-    let mut fleet = Fleet::new(Home {
+    let mut fleet = Fleet::new(RouterLocation {
         domain: domain.clone(),
         region: region.clone(),
     });
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use crate::chain::RequestSpec;
 use crate::chain::Shared;
-use crate::chain::Spec;
 use crate::chain::stage_need;
 use crate::outcome::Reason;
 use crate::time::Time;
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// Returns [`Refusal`] if a pool has no endpoint or the time is too short.
-pub fn admit(now: Time, spec: &Spec, shared: &mut Shared) -> Result<Duration, Refusal> {
+pub fn admit(now: Time, spec: &RequestSpec, shared: &mut Shared) -> Result<Duration, Refusal> {
     let mut total = 0.0;
     for index in 0..spec.pipeline.stages.len() {
         let best = best(now, spec, index, shared).ok_or(Refusal {
@@ -64,8 +64,8 @@
     Ok(Duration::try_from_secs_f64(total).unwrap_or_default())
 }
 
-fn best(now: Time, spec: &Spec, index: usize, shared: &mut Shared) -> Option<f32> {
+fn best(now: Time, spec: &RequestSpec, index: usize, shared: &mut Shared) -> Option<f32> {
     let pool = shared.fleet.pool_mut(&spec.pipeline.stages[index].pool)?;
     let need = stage_need(spec, index, 0, &shared.times, pool)?;
-    pool.best(now, &need)
+    pool.best_predicted(now, &need)
 }
--- a/lib/src/chain/attempt.rs
+++ b/lib/src/chain/attempt.rs
@@ -32,9 +32,9 @@
     pub(super) began: Time,
     pub(super) predicted: Duration,
     /// The time predicted for an endpoint that keeps its promises.
-    pub(super) plain: Duration,
+    pub(super) nominal: Duration,
     /// How full the endpoint was.
-    pub(super) crowd: f32,
+    pub(super) occupancy: f32,
     pub(super) state: State,
     /// Whether its frame was written.
     pub(super) sent: bool,
@@ -58,7 +58,7 @@
     /// The promise is without the endpoint's own verdict: measured against a
     /// prediction that expects a straggler to be slow, it would seem healthy.
     pub(super) fn ratio(&self, now: Time) -> f32 {
-        let plain = self.plain.as_secs_f32().max(0.001);
+        let plain = self.nominal.as_secs_f32().max(0.001);
         now.since(self.began).as_secs_f32() / plain
     }
 }
--- a/lib/src/chain/ending.rs
+++ b/lib/src/chain/ending.rs
@@ -88,7 +88,7 @@
     // known already gets the key at once. It costs no retry: attempts are
     // bounded, and nobody but the owner may take the call anyway.
     fn seek_owner(&mut self, reason: Reason, after: Option<Duration>, turn: &mut Turn<'_>) {
-        if self.spec.slot == self.refuser {
+        if self.spec.slot_owner == self.refuser {
             self.await_owner(reason, after, turn);
         } else {
             self.send(turn);
--- a/lib/src/chain/machine.rs
+++ b/lib/src/chain/machine.rs
@@ -3,8 +3,8 @@
 use super::Action;
 use super::Decision;
 use super::Event;
+use super::RequestSpec;
 use super::Shared;
-use super::Spec;
 use super::attempt::Attempt;
 use super::attempt::State;
 use super::select;
@@ -28,7 +28,7 @@
 /// Owns one accepted request until its one outcome.
 #[derive(Debug, Clone)]
 pub struct Chain {
-    pub(super) spec: Spec,
+    pub(super) spec: RequestSpec,
     pub(super) stage: usize,
     pub(super) attempts: Vec<Attempt>,
     pub(super) tokens: u32,
@@ -47,7 +47,7 @@
 impl Chain {
     /// Takes over an accepted request; nothing happens before [`Event::Start`].
     #[must_use]
-    pub const fn new(spec: Spec) -> Self {
+    pub const fn new(spec: RequestSpec) -> Self {
         Self {
             spec,
             stage: 0,
@@ -66,18 +66,18 @@
 
     /// Returns the request.
     #[must_use]
-    pub const fn spec(&self) -> &Spec {
+    pub const fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
     /// Names the endpoint that owns the key's slot now.
     ///
     /// Call it before each event: it is how a waiting chain hears of an owner.
-    pub fn own(&mut self, slot: Option<EndpointId>) {
+    pub fn set_owner(&mut self, slot: Option<EndpointId>) {
         if self.refuser != slot {
             self.refuser = None;
         }
-        self.spec.slot = slot;
+        self.spec.slot_owner = slot;
     }
 
     /// Returns the index of the stage that it is at.
@@ -220,7 +220,7 @@
             attempt: id,
             stage: self.stage,
             endpoint: picked.endpoint.clone(),
-            left: timing::latest(turn.now, self, turn.shared).since(now),
+            remaining: timing::latest(turn.now, self, turn.shared).since(now),
             priority: timing::priority(now, self, turn.shared),
             resume_from: self.tokens,
         });
@@ -233,8 +233,8 @@
             booking,
             began: now,
             predicted: picked.predicted,
-            plain: picked.plain,
-            crowd: picked.crowd,
+            nominal: picked.nominal,
+            occupancy: picked.occupancy,
             state: State::Open,
             sent: false,
             first: None,
--- a/lib/src/chain/mod.rs
+++ b/lib/src/chain/mod.rs
@@ -21,7 +21,7 @@
 pub use model::Action;
 pub use model::Event;
 pub use model::Prompt;
-pub use model::Spec;
+pub use model::RequestSpec;
 pub use model::Usage;
 pub(crate) use select::stage_need;
 pub use shared::Shared;
--- a/lib/src/chain/model.rs
+++ b/lib/src/chain/model.rs
@@ -25,12 +25,12 @@
     /// The length of the prompt.
     pub tokens: Tokens,
     /// The most tokens that the answer may have.
-    pub max: Tokens,
+    pub max_output: Tokens,
 }
 
 /// An accepted request.
 #[derive(Debug, Clone)]
-pub struct Spec {
+pub struct RequestSpec {
     /// The request's id.
     pub request: RequestId,
     /// The client account that sent it.
@@ -51,7 +51,7 @@
     ///
     /// The owner of the key's slot; without one such a stage is not sent, and
     /// waits a bounded time for the next owner.
-    pub slot: Option<EndpointId>,
+    pub slot_owner: Option<EndpointId>,
 }
 
 /// What an attempt used, as its agent reports it.
@@ -118,7 +118,7 @@
         /// The endpoint to send to.
         endpoint: EndpointId,
         /// The time after which its answer is of no use.
-        left: Duration,
+        remaining: Duration,
         /// The urgency; 0 is first.
         priority: u8,
         /// The tokens of the answer already held.
--- a/lib/src/chain/select.rs
+++ b/lib/src/chain/select.rs
@@ -4,8 +4,8 @@
 
 use super::Alternative;
 use super::Chain;
+use super::RequestSpec;
 use super::Shared;
-use super::Spec;
 use super::Usage;
 use super::attempt::Attempt;
 use super::timing;
@@ -33,8 +33,8 @@
     pub(super) endpoint: EndpointId,
     pub(super) why: Why,
     pub(super) predicted: Duration,
-    pub(super) plain: Duration,
-    pub(super) crowd: f32,
+    pub(super) nominal: Duration,
+    pub(super) occupancy: f32,
     pub(super) others: [Option<Alternative>; 2],
 }
 
@@ -48,7 +48,7 @@
 /// `held` is the number of tokens of the answer that are there already. The
 /// time, and what to avoid, are left open.
 pub(crate) fn stage_need<'a>(
-    spec: &'a Spec,
+    spec: &'a RequestSpec,
     index: usize,
     held: u32,
     times: &StageTimes,
@@ -72,8 +72,8 @@
     Some(need)
 }
 
-fn expected_output(spec: &Spec, index: usize, held: u32, times: &StageTimes) -> f32 {
-    let max = (spec.prompt.max.0 as f32).max(1.0);
+fn expected_output(spec: &RequestSpec, index: usize, held: u32, times: &StageTimes) -> f32 {
+    let max = (spec.prompt.max_output.0 as f32).max(1.0);
     let usual = times.get(&spec.name, index).and_then(StageTime::output);
     let whole = usual.unwrap_or(max * OUTPUT_FIRST).min(max);
     (whole - held as f32).max(1.0)
@@ -111,8 +111,8 @@
         endpoint: endpoint.id().clone(),
         why: choice.why,
         predicted: seconds(choice.predicted),
-        plain: seconds(choice.plain),
-        crowd: pool.crowd(choice.slot),
+        nominal: seconds(choice.nominal),
+        occupancy: pool.occupancy(choice.slot),
         others: choice.others.map(|other| other.map(named)),
     })
 }
@@ -120,7 +120,7 @@
 // Two agents that both take a key would both run the call. Only the owner of
 // the key's slot knows what became of it, so no other endpoint is asked.
 fn pick_owner(now: Time, chain: &Chain, pool: &Pool) -> Result<Picked, Reason> {
-    let owner = chain.spec.slot.as_ref();
+    let owner = chain.spec.slot_owner.as_ref();
     // Who refused the key is named until its next report comes. Asked again
     // before, it would use up the attempts that the next owner needs.
     let owner = owner.filter(|&o| chain.refuser.as_ref() != Some(o));
@@ -139,8 +139,8 @@
         endpoint: owner.clone(),
         why: Why::KeySlot,
         predicted: seconds(pool.predict(now, slot)),
-        plain: seconds(pool.predict(now, slot)),
-        crowd: pool.crowd(slot),
+        nominal: seconds(pool.predict(now, slot)),
+        occupancy: pool.occupancy(slot),
         others: [None, None],
     })
 }
@@ -179,9 +179,9 @@
     let took = now.since(attempt.began);
     let ratio = own_ratio(now, attempt, chain, shared);
     if let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) {
-        endpoint.health_mut().answered(now, ratio);
+        endpoint.health_mut().on_response(now, ratio);
     }
-    shared.fleet.worked(pool, attempt.slot, usage.work);
+    shared.fleet.observe_work(pool, attempt.slot, usage.work);
     if generates(chain.current()) {
         note_drag(now, attempt, pool, shared);
     }
@@ -197,10 +197,12 @@
 }
 
 fn note_drag(now: Time, attempt: &Attempt, pool: &PoolName, shared: &mut Shared) {
-    let slope = shared.fleet.pool(pool).map_or(0.0, Pool::drag);
-    let idle = attempt.ratio(now) * (1.0 + slope * attempt.crowd.min(1.0));
-    shared.fleet.dragged(pool, attempt.crowd, idle);
-    shared.fleet.missed(pool, attempt.ratio(now));
+    let slope = shared.fleet.pool(pool).map_or(0.0, Pool::batch_slowdown);
+    let idle = attempt.ratio(now) * (1.0 + slope * attempt.occupancy.min(1.0));
+    shared
+        .fleet
+        .observe_batch_slowdown(pool, attempt.occupancy, idle);
+    shared.fleet.observe_overrun(pool, attempt.ratio(now));
 }
 
 // When all endpoints are slower than promised, as with cold caches, the drag of
@@ -212,14 +214,14 @@
         return ratio;
     }
     let pool = shared.fleet.pool(&chain.current().pool);
-    ratio / pool.map_or(1.0, Pool::common)
+    ratio / pool.map_or(1.0, Pool::shared_slowdown)
 }
 
 /// Learns from an attempt that ended without an answer.
 pub(super) fn note_failure(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
     let pool = &chain.current().pool;
     if let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) {
-        endpoint.health_mut().failed(now);
+        endpoint.health_mut().on_failure(now);
     }
 }
 
@@ -236,11 +238,11 @@
         return;
     };
     match reason {
-        Reason::Overload | Reason::Limit | Reason::Deadline => endpoint.refused(),
-        Reason::Draining => endpoint.leaves(),
+        Reason::Overload | Reason::Limit | Reason::Deadline => endpoint.mark_full(),
+        Reason::Draining => endpoint.mark_draining(),
         // The slot moved; the endpoint is as well as before.
         Reason::NoLease => {}
-        _ => endpoint.health_mut().failed(now),
+        _ => endpoint.health_mut().on_failure(now),
     }
 }
 
@@ -249,6 +251,6 @@
     let pool = &chain.current().pool;
     let ratio = own_ratio(now, attempt, chain, shared);
     if let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) {
-        endpoint.health_mut().overdue(now, ratio);
+        endpoint.health_mut().on_overdue(now, ratio);
     }
 }
--- a/lib/src/chain/shared.rs
+++ b/lib/src/chain/shared.rs
@@ -12,8 +12,8 @@
 use crate::limits::Fairness;
 use crate::retry::RetryBudget;
 use crate::routing::Fleet;
-use crate::routing::Home;
 use crate::routing::Policy;
+use crate::routing::RouterLocation;
 
 /// The router-wide state behind the decisions of its chains.
 pub struct Shared {
@@ -38,7 +38,7 @@
 impl Shared {
     /// Builds the state of a router that has seen nothing yet.
     #[must_use]
-    pub fn new(home: Home, policy: Box<dyn Policy>, seed: u64) -> Self {
+    pub fn new(home: RouterLocation, policy: Box<dyn Policy>, seed: u64) -> Self {
         Self {
             fleet: Fleet::new(home),
             times: StageTimes::default(),
--- a/lib/src/placement/gate.rs
+++ b/lib/src/placement/gate.rs
@@ -8,7 +8,7 @@
 
 /// How an order passed the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passed {
+pub enum GateOutcome {
     /// Carry it out.
     New,
     /// It was carried out before: only confirm it.
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Returns an error for an older holder, or an older order of this one.
-    pub fn pass(&mut self, fence: FencingNumber, id: OrderId) -> Result<Passed, GateError> {
+    pub fn check(&mut self, fence: FencingNumber, id: OrderId) -> Result<GateOutcome, GateError> {
         if fence < self.highest {
             let highest = self.highest;
             return Err(GateError::OldFence {
@@ -89,13 +89,13 @@
         }
         self.observe(fence);
         match self.last {
-            Some(last) if id == last => return Ok(Passed::Repeated),
+            Some(last) if id == last => return Ok(GateOutcome::Repeated),
             // Two links may deliver out of order; the later order was planned
             // on more recent reports, so it stands.
             Some(last) if id < last => return Err(GateError::OldOrder { found: id, last }),
             _ => {}
         }
         self.last = Some(id);
-        Ok(Passed::New)
+        Ok(GateOutcome::New)
     }
 }
--- a/lib/src/placement/mod.rs
+++ b/lib/src/placement/mod.rs
@@ -11,7 +11,7 @@
 
 pub use gate::Gate;
 pub use gate::GateError;
-pub use gate::Passed;
+pub use gate::GateOutcome;
 pub use order::Build;
 pub use order::Decision;
 pub use order::Order;
@@ -19,8 +19,8 @@
 pub use order::Verb;
 pub use order::Why;
 pub use planner::Demand;
+pub use planner::DesiredModel;
 pub use planner::Engine;
 pub use planner::LoadState;
 pub use planner::Planner;
 pub use planner::PlannerSettings;
-pub use planner::Wish;
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -46,7 +46,7 @@
 
 /// What the pool should hold of one model.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
+pub struct DesiredModel {
     /// The version to run; other versions are replaced by it.
     pub version: String,
     /// The adapter to run with, if any.
@@ -152,7 +152,7 @@
     /// The caller passes none as soon as the lease can't be proven, as when the
     /// log is away past its term. Then nothing new is placed, and all that runs
     /// keeps running.
-    pub fn lease(&mut self, fence: Option<FencingNumber>) {
+    pub fn set_lease(&mut self, fence: Option<FencingNumber>) {
         if fence == self.fence {
             return;
         }
@@ -168,7 +168,7 @@
     pub fn plan(
         &mut self,
         now: Time,
-        wishes: &BTreeMap<ModelName, Wish>,
+        wishes: &BTreeMap<ModelName, DesiredModel>,
         demand: &BTreeMap<ModelName, Demand>,
         engines: &BTreeMap<EndpointId, Engine>,
     ) -> Vec<Decision> {
@@ -225,7 +225,7 @@
 
     fn by_need(
         &self,
-        wishes: &BTreeMap<ModelName, Wish>,
+        wishes: &BTreeMap<ModelName, DesiredModel>,
         demand: &BTreeMap<ModelName, Demand>,
         board: &BTreeMap<EndpointId, Engine>,
     ) -> Vec<Rolls> {
@@ -309,7 +309,7 @@
         &mut self,
         now: Time,
         fence: FencingNumber,
-        wishes: &BTreeMap<ModelName, Wish>,
+        wishes: &BTreeMap<ModelName, DesiredModel>,
         board: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
--- a/lib/src/placement/roll.rs
+++ b/lib/src/placement/roll.rs
@@ -6,8 +6,8 @@
 use super::order::Decision;
 use super::order::Order;
 use super::order::Why;
+use super::planner::DesiredModel;
 use super::planner::Engine;
-use super::planner::Wish;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
 use crate::ids::ModelName;
@@ -35,7 +35,7 @@
 impl Rolls {
     pub(super) fn new(
         model: &ModelName,
-        wish: &Wish,
+        wish: &DesiredModel,
         demand: f64,
         target: f64,
         board: &BTreeMap<EndpointId, Engine>,
--- a/lib/src/routing/baseline.rs
+++ b/lib/src/routing/baseline.rs
@@ -72,7 +72,7 @@
         slot,
         why,
         predicted: forecast.total,
-        plain: forecast.plain,
+        nominal: forecast.nominal,
         others: [None; 2],
     }
 }
--- a/lib/src/routing/drag.rs
+++ b/lib/src/routing/drag.rs
@@ -21,7 +21,7 @@
 /// The largest miss taken in for that, so that one straggler hardly shows.
 const COMMON_MAX: f32 = 2.5;
 
-/// A least-squares fit of `ratio = 1 + slope * crowd`, with fading weights.
+/// A least-squares fit of `ratio = 1 + slope * occupancy`, with fading weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Drag {
     across: f32,
@@ -43,21 +43,21 @@
 impl Drag {
     /// Takes in how long an answer took, in multiples of what an idle endpoint
     /// would have needed.
-    pub(super) const fn observe(&mut self, crowd: f32, ratio: f32) {
-        let crowd = crowd.clamp(0.0, 1.0);
+    pub(super) const fn observe(&mut self, occupancy: f32, ratio: f32) {
+        let occupancy = occupancy.clamp(0.0, 1.0);
         let ratio = ratio.clamp(0.0, RATIO_MAX);
-        self.across = KEPT * self.across + crowd * (ratio - 1.0);
-        self.along = KEPT * self.along + crowd * crowd;
+        self.across = KEPT * self.across + occupancy * (ratio - 1.0);
+        self.along = KEPT * self.along + occupancy * occupancy;
     }
 
     /// Takes in how many times its promised time an answer took.
-    pub(super) fn missed(&mut self, ratio: f32) {
+    pub(super) fn observe_overrun(&mut self, ratio: f32) {
         let ratio = ratio.clamp(0.0, COMMON_MAX);
         self.common += COMMON_WEIGHT * (ratio - self.common);
     }
 
     /// Returns how much longer than promised the answers of all endpoints take.
-    pub(super) const fn common(self) -> f32 {
+    pub(super) const fn shared_slowdown(self) -> f32 {
         self.common.max(1.0)
     }
 
--- a/lib/src/routing/endpoint.rs
+++ b/lib/src/routing/endpoint.rs
@@ -25,7 +25,7 @@
     /// The time at work that the call adds, which costs.
     pub(super) work: f32,
     /// The time to the answer of an endpoint that keeps its promises.
-    pub(super) plain: f32,
+    pub(super) nominal: f32,
     /// The time to the answer.
     pub(super) total: f32,
     /// The share of calls that fail.
@@ -157,12 +157,12 @@
     ///
     /// Its queue is longer than its last report says; it counts as one more
     /// full round of calls until the next report.
-    pub const fn refused(&mut self) {
+    pub const fn mark_full(&mut self) {
         self.reported += self.slots as u32;
     }
 
     /// Notes that the endpoint says that it takes no new work.
-    pub const fn leaves(&mut self) {
+    pub const fn mark_draining(&mut self) {
         self.draining = true;
     }
 
@@ -207,13 +207,13 @@
         }
     }
 
-    pub(super) fn worked(&mut self, seconds: f32) {
+    pub(super) fn observe_work(&mut self, seconds: f32) {
         let known = self.work.unwrap_or(seconds);
         self.work = Some(known + WORK_WEIGHT * (seconds - known));
     }
 
     /// Returns how full the endpoint is; above one, calls wait.
-    pub(super) fn crowd(&self) -> f32 {
+    pub(super) fn occupancy(&self) -> f32 {
         self.busy() as f32 / self.slots
     }
 
@@ -235,9 +235,9 @@
         };
         let wait = (busy + 1.0 - self.slots).max(0.0) / self.slots * mean;
         // Calls of one batch are in each other's way well before it is full.
-        let crowd = (busy / self.slots).min(1.0);
+        let occupancy = (busy / self.slots).min(1.0);
         let drag = if generates {
-            1.0 + usual.drag * crowd
+            1.0 + usual.drag * occupancy
         } else {
             1.0
         };
@@ -248,7 +248,7 @@
         Forecast {
             failing,
             work: (read + write / share) * slow,
-            plain: plain + self.overhead,
+            nominal: plain + self.overhead,
             total: plain * slow + self.overhead,
         }
     }
--- a/lib/src/routing/fleet.rs
+++ b/lib/src/routing/fleet.rs
@@ -5,9 +5,9 @@
 
 use super::CacheUpdate;
 use super::Endpoint;
-use super::Home;
 use super::LoadReport;
 use super::Pool;
+use super::RouterLocation;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
 use crate::ids::Incarnation;
@@ -41,7 +41,7 @@
 /// All endpoints as one router sees them.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    home: Home,
+    home: RouterLocation,
     pools: BTreeMap<PoolName, Pool>,
     places: BTreeMap<EndpointId, PoolName>,
     domains: Vec<FailureDomain>,
@@ -51,7 +51,7 @@
 impl Fleet {
     /// Builds an empty fleet for a router that stands at `home`.
     #[must_use]
-    pub const fn new(home: Home) -> Self {
+    pub const fn new(home: RouterLocation) -> Self {
         Self {
             home,
             pools: BTreeMap::new(),
@@ -73,7 +73,7 @@
         incarnation: Incarnation,
     ) {
         if self.places.get(&endpoint).is_some_and(|old| *old != pool) {
-            self.gone(&endpoint);
+            self.mark_unreachable(&endpoint);
         }
         let index = self.domain(domain);
         let overhead = self.overhead(domain, region);
@@ -115,14 +115,14 @@
     ///
     /// What is known of its cache stays for its return: links are replaced more
     /// often than caches are lost, and agents tell only what is new.
-    pub fn gone(&mut self, endpoint: &EndpointId) {
+    pub fn mark_unreachable(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
             pool.leave(slot);
         }
     }
 
     /// Notes that an endpoint leaves and takes no new work.
-    pub fn drain(&mut self, endpoint: &EndpointId) {
+    pub fn mark_draining(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
             pool.endpoints[slot].draining = true;
         }
@@ -197,25 +197,25 @@
 
     /// Notes how long a generation took, in multiples of the time predicted
     /// for an idle endpoint, and how full its batch was.
-    pub fn dragged(&mut self, pool: &PoolName, crowd: f32, ratio: f32) {
+    pub fn observe_batch_slowdown(&mut self, pool: &PoolName, occupancy: f32, ratio: f32) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.dragged(crowd, ratio);
+            pool.observe_batch_slowdown(occupancy, ratio);
         }
     }
 
     /// Notes how many times its promised time a generation took.
-    pub fn missed(&mut self, pool: &PoolName, ratio: f32) {
+    pub fn observe_overrun(&mut self, pool: &PoolName, ratio: f32) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.missed(ratio);
+            pool.observe_overrun(ratio);
         }
     }
 
     /// Notes the work time of a completed call.
-    pub fn worked(&mut self, pool: &PoolName, slot: usize, work: Duration) {
+    pub fn observe_work(&mut self, pool: &PoolName, slot: usize, work: Duration) {
         if let Some(pool) = self.pools.get_mut(pool)
             && slot < pool.endpoints.len()
         {
-            pool.worked(slot, work.as_secs_f32());
+            pool.observe_work(slot, work.as_secs_f32());
         }
     }
 
--- a/lib/src/routing/health.rs
+++ b/lib/src/routing/health.rs
@@ -40,7 +40,7 @@
 
 impl Health {
     /// Notes an answer, and how much longer than predicted it took.
-    pub fn answered(&mut self, now: Time, ratio: f32) {
+    pub fn on_response(&mut self, now: Time, ratio: f32) {
         self.settle(now);
         self.observe(ratio);
         self.failing -= WEIGHT * self.failing;
@@ -48,7 +48,7 @@
     }
 
     /// Notes that an answer is overdue by `ratio`, without an end in sight.
-    pub fn overdue(&mut self, now: Time, ratio: f32) {
+    pub fn on_overdue(&mut self, now: Time, ratio: f32) {
         self.settle(now);
         if ratio > self.ratio {
             self.observe(ratio);
@@ -56,7 +56,7 @@
     }
 
     /// Notes a failure, however fast it came.
-    pub fn failed(&mut self, now: Time) {
+    pub fn on_failure(&mut self, now: Time) {
         self.settle(now);
         self.failing += WEIGHT * (1.0 - self.failing);
         self.streak = (self.streak + 1).min(STREAK_MAX);
@@ -64,17 +64,17 @@
 
     /// Returns how much longer than predicted an answer takes.
     #[must_use]
-    pub fn slow(&self, now: Time) -> f32 {
+    pub fn slowdown(&self, now: Time) -> f32 {
         self.verdict(now).0
     }
 
     /// Returns the share of calls that fail.
     #[must_use]
-    pub fn failing(&self, now: Time) -> f32 {
+    pub fn failure_rate(&self, now: Time) -> f32 {
         self.verdict(now).1
     }
 
-    /// Returns [`Health::slow`] and [`Health::failing`] for one fade's price.
+    /// Returns [`Health::slowdown`] and [`Health::failure_rate`] for one fade's price.
     pub(super) fn verdict(&self, now: Time) -> (f32, f32) {
         let kept = self.kept(now);
         (1.0 + (self.ratio - 1.0) * kept, self.failing * kept)
--- a/lib/src/routing/policy.rs
+++ b/lib/src/routing/policy.rs
@@ -68,7 +68,7 @@
     /// The predicted seconds to the answer.
     pub predicted: f32,
     /// The predicted seconds if the endpoint keeps its promises.
-    pub plain: f32,
+    pub nominal: f32,
     /// The two next best, with their predicted seconds.
     pub others: [Option<(usize, f32)>; 2],
 }
--- a/lib/src/routing/pool.rs
+++ b/lib/src/routing/pool.rs
@@ -5,8 +5,8 @@
 
 use super::CacheUpdate;
 use super::Endpoint;
-use super::Holders;
 use super::Need;
+use super::PrefixIndex;
 use super::drag::Drag;
 use super::endpoint::Forecast;
 use super::endpoint::Usual;
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone)]
 pub struct Pool {
     pub(super) endpoints: Vec<Endpoint>,
-    pub(super) holders: Holders,
+    pub(super) prefix_index: PrefixIndex,
     pub(super) price: f32,
     pub(super) mean: f32,
     slots: BTreeMap<EndpointId, usize>,
@@ -50,7 +50,7 @@
     fn default() -> Self {
         Self {
             endpoints: Vec::new(),
-            holders: Holders::default(),
+            prefix_index: PrefixIndex::default(),
             price: 1.0,
             mean: 0.0,
             slots: BTreeMap::new(),
@@ -77,13 +77,13 @@
 
     /// Returns how full a slot's endpoint is; above one, calls wait.
     #[must_use]
-    pub fn crowd(&self, slot: usize) -> f32 {
-        self.endpoints[slot].crowd()
+    pub fn occupancy(&self, slot: usize) -> f32 {
+        self.endpoints[slot].occupancy()
     }
 
     /// Returns how much a full batch slows down each of its calls.
     #[must_use]
-    pub const fn drag(&self) -> f32 {
+    pub const fn batch_slowdown(&self) -> f32 {
         self.drag.slope()
     }
 
@@ -95,8 +95,8 @@
     }
 
     /// Predicts the seconds to an answer at the best endpoint, if there is one.
-    pub fn best(&mut self, now: Time, need: &Need<'_>) -> Option<f32> {
-        self.holders.measure(need.prefix, self.endpoints.len());
+    pub fn best_predicted(&mut self, now: Time, need: &Need<'_>) -> Option<f32> {
+        self.prefix_index.measure(need.prefix, self.endpoints.len());
         (0..self.endpoints.len())
             .filter(|&slot| self.allows(now, slot, need))
             .map(|slot| self.forecast(now, slot, need).total)
@@ -148,7 +148,7 @@
             return None;
         }
         if incarnation > old.incarnation {
-            self.holders.clear(slot);
+            self.prefix_index.clear(slot);
             self.endpoints[slot] = Endpoint::new(id.clone(), incarnation, life);
         } else {
             old.present = true;
@@ -175,7 +175,7 @@
             return Entered { slot, ousted: None };
         }
         self.absent.remove(&slot);
-        self.holders.clear(slot);
+        self.prefix_index.clear(slot);
         let old = std::mem::replace(&mut self.endpoints[slot], endpoint);
         self.slots.remove(&old.id);
         Entered {
@@ -199,37 +199,37 @@
         // prompts for blocks that it lost long ago. Starting again from nothing
         // costs a few prompts read twice.
         if renewed || update.gap || skipped {
-            self.holders.clear(slot);
+            self.prefix_index.clear(slot);
         }
         for &block in &update.added {
-            self.holders.add(slot, block);
+            self.prefix_index.add(slot, block);
         }
         for &block in &update.dropped {
-            self.holders.drop_block(slot, block);
+            self.prefix_index.drop_block(slot, block);
         }
     }
 
-    pub(super) fn worked(&mut self, slot: usize, seconds: f32) {
+    pub(super) fn observe_work(&mut self, slot: usize, seconds: f32) {
         self.work += WORK_WEIGHT * (seconds - self.work);
-        self.endpoints[slot].worked(seconds);
+        self.endpoints[slot].observe_work(seconds);
     }
 
     /// Learns how much a batch slows its calls down.
     ///
     /// `ratio` is the time taken over the time predicted without drag.
-    pub(super) const fn dragged(&mut self, crowd: f32, ratio: f32) {
-        self.drag.observe(crowd, ratio);
+    pub(super) const fn observe_batch_slowdown(&mut self, occupancy: f32, ratio: f32) {
+        self.drag.observe(occupancy, ratio);
     }
 
     /// Learns how many times its promised time an answer took.
-    pub(super) fn missed(&mut self, ratio: f32) {
-        self.drag.missed(ratio);
+    pub(super) fn observe_overrun(&mut self, ratio: f32) {
+        self.drag.observe_overrun(ratio);
     }
 
     /// Returns how much longer than promised the answers of all endpoints take.
     #[must_use]
-    pub const fn common(&self) -> f32 {
-        self.drag.common()
+    pub const fn shared_slowdown(&self) -> f32 {
+        self.drag.shared_slowdown()
     }
 
     fn usual(&self) -> Usual {
@@ -249,7 +249,7 @@
     }
 
     pub(super) fn cached(&self, slot: usize) -> u32 {
-        u32::from(self.holders.held(slot)) * BLOCK_TOKENS
+        u32::from(self.prefix_index.held(slot)) * BLOCK_TOKENS
     }
 
     pub(super) fn forecast(&self, now: Time, slot: usize, need: &Need<'_>) -> Forecast {
--- a/lib/src/routing/predicted.rs
+++ b/lib/src/routing/predicted.rs
@@ -27,7 +27,7 @@
 /// (1 - 0.95^128), and routers that look at others don't all find the same.
 const SAMPLE: usize = 128;
 
-/// The holders of the longest part of the prefix that are looked at besides.
+/// The prefix_index of the longest part of the prefix that are looked at besides.
 const DEEPEST: usize = 32;
 
 /// How many budgets a failed call counts for.
@@ -47,7 +47,7 @@
     slot: usize,
     score: f32,
     total: f32,
-    plain: f32,
+    nominal: f32,
 }
 
 impl Policy for Predicted {
@@ -66,13 +66,13 @@
         if count == 0 {
             return None;
         }
-        pool.holders.measure(need.prefix, count);
+        pool.prefix_index.measure(need.prefix, count);
         let start = rng.next_u32() as usize % count;
         let mut search = Search::new(now, need, pool);
         let step = count.div_ceil(SAMPLE);
         search.look((0..count).step_by(step).map(|i| (start + i) % count));
         if step > 1 {
-            search.look(pool.holders.deepest().take(DEEPEST));
+            search.look(pool.prefix_index.deepest().take(DEEPEST));
             if search.best[0].is_none() {
                 search.look(0..count);
             }
@@ -162,7 +162,7 @@
         slot,
         score: scale.lateness * lateness + scale.cost * work,
         total: forecast.total,
-        plain: forecast.plain,
+        nominal: forecast.nominal,
     }
 }
 
@@ -225,7 +225,7 @@
         slot: chosen.slot,
         why,
         predicted: chosen.total,
-        plain: chosen.plain,
+        nominal: chosen.nominal,
         others,
     })
 }
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -12,14 +12,14 @@
 /// The knowledge is a hint: events come late and with gaps, and a wrong hint
 /// costs a prompt read again, never a wrong answer.
 #[derive(Debug, Clone, Default)]
-pub struct Holders {
+pub struct PrefixIndex {
     blocks: BTreeMap<u64, Vec<u64>>,
     alive: Vec<u64>,
     deepest: Vec<u64>,
     held: Vec<u16>,
 }
 
-impl Holders {
+impl PrefixIndex {
     /// Notes that a slot holds a block.
     pub fn add(&mut self, slot: usize, block: u64) {
         if self.blocks.len() >= BLOCKS_MAX && !self.blocks.contains_key(&block) {
@@ -59,7 +59,7 @@
 
     /// Finds how many of the leading blocks each of `slots` slots holds.
     ///
-    /// The answer is read with [`Holders::held`].
+    /// The answer is read with [`PrefixIndex::held`].
     pub fn measure(&mut self, prefix: &[u64], slots: usize) {
         self.held.clear();
         self.held.resize(slots, 0);
--- a/lib/src/routing/report.rs
+++ b/lib/src/routing/report.rs
@@ -8,7 +8,7 @@
 
 /// Where a router stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Home {
+pub struct RouterLocation {
     /// The router's failure domain.
     pub domain: FailureDomain,
     /// The router's region.
--- a/lib/tests/chain_world.rs
+++ b/lib/tests/chain_world.rs
@@ -8,8 +8,8 @@
 use snipeyoke_lib::chain::Chain;
 use snipeyoke_lib::chain::Event;
 use snipeyoke_lib::chain::Prompt;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::chain::Shared;
-use snipeyoke_lib::chain::Spec;
 use snipeyoke_lib::config::Pipeline;
 use snipeyoke_lib::config::Stage;
 use snipeyoke_lib::config::StageRole;
@@ -17,9 +17,9 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::Incarnation;
 use snipeyoke_lib::ids::RequestId;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::PolicyKind;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Tokens;
 use uuid::Uuid;
@@ -34,7 +34,7 @@
 
 impl World {
     pub fn new(policy: PolicyKind, seed: u64) -> Self {
-        let home = Home {
+        let home = RouterLocation {
             domain: "a".parse().expect("a name"),
             region: "r".parse().expect("a name"),
         };
@@ -59,7 +59,7 @@
     }
 
     /// Moves time; every endpoint that still reports does so.
-    pub fn pass(&mut self, to: Time) {
+    pub fn advance(&mut self, to: Time) {
         self.now = self.now.max(to);
         for (endpoint, report) in &mut self.reports {
             report.seq += 1;
@@ -89,13 +89,13 @@
     }
 }
 
-pub fn spec(now: Time, stages: &[String], deadline_ms: u64) -> Spec {
+pub fn spec(now: Time, stages: &[String], deadline_ms: u64) -> RequestSpec {
     let pipeline = Pipeline {
         deadline_ms,
         stages: stages.iter().map(|s| stage(s)).collect(),
         weights: Weights::default(),
     };
-    Spec {
+    RequestSpec {
         request: RequestId(Uuid::nil()),
         account: "acme".parse().expect("a name"),
         kind: "ask".parse().expect("a name"),
@@ -105,9 +105,9 @@
         prompt: Prompt {
             prefix: Vec::new(),
             tokens: Tokens(640),
-            max: Tokens(100),
+            max_output: Tokens(100),
         },
         stream: false,
-        slot: None,
+        slot_owner: None,
     }
 }
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use snipeyoke_lib::admission::Refusal;
 use snipeyoke_lib::admission::admit;
-use snipeyoke_lib::chain::Spec;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::outcome::Reason;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::PolicyKind;
@@ -13,7 +13,7 @@
 use crate::chain_world::World;
 use crate::chain_world::spec;
 
-fn world(queued: u32) -> (World, Spec) {
+fn world(queued: u32) -> (World, RequestSpec) {
     let mut world = World::new(PolicyKind::Predicted, 1);
     let report = LoadReport {
         slots: 4,
@@ -28,7 +28,7 @@
     let pool = "gen".parse().expect("a name");
     for _ in 0..200 {
         let work = Duration::from_millis(500);
-        world.shared.fleet.worked(&pool, 0, work);
+        world.shared.fleet.observe_work(&pool, 0, work);
     }
     let stages = ["encode.enc".to_owned(), "generate.gen".to_owned()];
     let spec = spec(world.now, &stages, 3_000);
@@ -67,7 +67,10 @@
 #[test]
 fn refuses_a_pool_without_endpoints() {
     let (mut world, spec) = world(0);
-    world.shared.fleet.gone(&"e1".parse().expect("a name"));
+    world
+        .shared
+        .fleet
+        .mark_unreachable(&"e1".parse().expect("a name"));
     let refused = admit(world.now, &spec, &mut world.shared);
     assert_matches!(
         refused,
--- a/lib/tests/test_chain.rs
+++ b/lib/tests/test_chain.rs
@@ -104,20 +104,20 @@
         let mut report = report(case);
         report.seq = self.world.reports.get(&id).map_or(0, |r| r.seq);
         self.world.reports.insert(id, report);
-        self.world.pass(self.world.now);
+        self.world.advance(self.world.now);
         String::new()
     }
 
     fn gone(&mut self, case: &mut TestCase) -> String {
         let id: EndpointId = arg(case, "id").expect("id=");
         self.world.reports.remove(&id);
-        self.world.shared.fleet.gone(&id);
+        self.world.shared.fleet.mark_unreachable(&id);
         String::new()
     }
 
     fn owner(&mut self, case: &mut TestCase) -> String {
         let chain = self.chain.as_mut().expect("a request");
-        chain.own(arg(case, "id"));
+        chain.set_owner(arg(case, "id"));
         String::new()
     }
 
@@ -150,7 +150,7 @@
                 .as_ref()
                 .is_some_and(|id| sent.contains(&format!("to={id} ")));
             let after = if late { took * times } else { took };
-            self.world.pass(self.begin + after);
+            self.world.advance(self.begin + after);
             let usage = Usage {
                 work: took,
                 ..Usage::default()
@@ -169,7 +169,7 @@
         let now = self.world.now;
         let mut pools = self.world.shared.fleet.pools().values();
         let seen =
-            pools.find_map(|pool| Some(pool.endpoints()[pool.find(&id)?].health().slow(now)));
+            pools.find_map(|pool| Some(pool.endpoints()[pool.find(&id)?].health().slowdown(now)));
         let slow = seen.expect("an endpoint");
         format!("{slow:.1} times as slow as promised\n")
     }
@@ -179,7 +179,7 @@
         let deadline = arg(case, "deadline").unwrap_or(3_000);
         let mut spec = spec(self.world.now, &stages, deadline);
         spec.stream = flag(case, "stream");
-        spec.slot = arg(case, "slot");
+        spec.slot_owner = arg(case, "slot");
         self.begin = self.world.now;
         self.chain = Some(Chain::new(spec));
         self.wake = None;
@@ -238,10 +238,10 @@
             };
             assert!(wakes < 1_000, "time passes from wake to wake");
             self.wake = None;
-            self.world.pass(at);
+            self.world.advance(at);
             text.push_str(&self.feed(Event::Wake));
         }
-        self.world.pass(to);
+        self.world.advance(to);
         text
     }
 
@@ -268,12 +268,12 @@
             attempt,
             stage,
             endpoint,
-            left,
+            remaining,
             priority,
             resume_from,
         } => format!(
             "send {attempt} stage={stage} to={endpoint} left={} priority={priority} from={resume_from}",
-            left.as_millis()
+            remaining.as_millis()
         ),
         Action::Cancel { attempt } => format!("cancel {attempt}"),
         Action::Deliver { attempt, skip } => format!("deliver {attempt} skip={skip}"),
--- a/lib/tests/test_chain_random.rs
+++ b/lib/tests/test_chain_random.rs
@@ -262,7 +262,7 @@
         let stages: Vec<String> = stages.iter().map(|s| (*s).to_owned()).collect();
         let mut spec = spec(world.now, &stages, 3_000);
         spec.stream = true;
-        spec.slot = Some("desk0".parse().expect("a name"));
+        spec.slot_owner = Some("desk0".parse().expect("a name"));
         let once = spec.pipeline.stages.iter().map(|s| !s.idempotent).collect();
         let judge = Judge {
             truths: BTreeMap::new(),
@@ -270,7 +270,7 @@
             answer: Vec::new(),
             stage: 0,
             finish: None,
-            owner: spec.slot.clone(),
+            owner: spec.slot_owner.clone(),
             asked: None,
             refuser: None,
             wake: None,
@@ -312,7 +312,7 @@
             self.judge.refuser = None;
         }
         self.judge.owner.clone_from(&owner);
-        self.chain.own(owner);
+        self.chain.set_owner(owner);
     }
 
     fn pass(&mut self, to: Time) {
@@ -322,10 +322,10 @@
             };
             assert!(wakes < 1_000, "time passes from wake to wake");
             self.judge.wake = None;
-            self.world.pass(at);
+            self.world.advance(at);
             self.feed(&Event::Wake);
         }
-        self.world.pass(to);
+        self.world.advance(to);
     }
 
     fn pick(&self, number: usize) -> Option<AttemptId> {
@@ -340,7 +340,7 @@
                 let pool = ["enc", "gen", "desk"][number % 3];
                 let id = format!("{pool}{}", number / 3).parse().expect("a name");
                 self.world.reports.remove(&id);
-                self.world.shared.fleet.gone(&id);
+                self.world.shared.fleet.mark_unreachable(&id);
             }
             Step::Own(owner) => self.own(*owner),
             Step::Start => self.feed(&Event::Start),
--- a/lib/tests/test_fleet.rs
+++ b/lib/tests/test_fleet.rs
@@ -11,10 +11,10 @@
 use snipeyoke_lib::routing::CacheUpdate;
 use snipeyoke_lib::routing::Endpoint;
 use snipeyoke_lib::routing::Fleet;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::Need;
 use snipeyoke_lib::routing::PolicyKind;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::routing::Why;
 use snipeyoke_lib::routing::choose;
 use snipeyoke_lib::time::Time;
@@ -56,7 +56,7 @@
 
 fn back(world: &mut World, incarnation: u64) {
     let id: snipeyoke_lib::ids::EndpointId = "g1".parse().expect("a name");
-    world.shared.fleet.gone(&id);
+    world.shared.fleet.mark_unreachable(&id);
     world.shared.fleet.upsert(
         id.clone(),
         "gen".parse().expect("a name"),
@@ -102,7 +102,7 @@
     fn finds_each_endpoint_in_its_slot(
         steps in prop::collection::vec((0..4_u8, 0..6_u8, 0..2_u8), 1..60),
     ) {
-        let mut fleet = Fleet::new(Home {
+        let mut fleet = Fleet::new(RouterLocation {
             domain: "a".parse().expect("a name"),
             region: "r".parse().expect("a name"),
         });
@@ -120,7 +120,7 @@
                     prop_assert!(held.is_some(), "{id} is not in {pool}");
                     last.insert(id, pool);
                 }
-                2 => fleet.gone(&id),
+                2 => fleet.mark_unreachable(&id),
                 _ => {
                     let slot = fleet.pool(&pool).and_then(|p| p.find(&id));
                     let booking = slot.and_then(|s| fleet.book(Time::ZERO, &pool, s));
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -17,17 +17,17 @@
 use snipeyoke_lib::ids::ModelName;
 use snipeyoke_lib::placement::Build;
 use snipeyoke_lib::placement::Demand;
+use snipeyoke_lib::placement::DesiredModel;
 use snipeyoke_lib::placement::Engine;
 use snipeyoke_lib::placement::Gate;
 use snipeyoke_lib::placement::GateError;
+use snipeyoke_lib::placement::GateOutcome;
 use snipeyoke_lib::placement::LoadState;
 use snipeyoke_lib::placement::Order;
 use snipeyoke_lib::placement::OrderId;
-use snipeyoke_lib::placement::Passed;
 use snipeyoke_lib::placement::Planner;
 use snipeyoke_lib::placement::PlannerSettings;
 use snipeyoke_lib::placement::Verb;
-use snipeyoke_lib::placement::Wish;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
@@ -35,7 +35,7 @@
 struct Pool {
     now: Time,
     planner: Planner,
-    wishes: BTreeMap<ModelName, Wish>,
+    wishes: BTreeMap<ModelName, DesiredModel>,
     demand: BTreeMap<ModelName, Demand>,
     engines: BTreeMap<EndpointId, Engine>,
 }
@@ -149,7 +149,7 @@
             let least = number("least") as usize;
             pool.wishes.insert(
                 model,
-                Wish {
+                DesiredModel {
                     version,
                     adapter,
                     size: Bytes(10),
@@ -165,7 +165,7 @@
         }
         "lease" => pool
             .planner
-            .lease(arg("fence").parse().ok().map(FencingNumber)),
+            .set_lease(arg("fence").parse().ok().map(FencingNumber)),
         "plan" => {
             let (text, orders) = pool.plan();
             for order in orders {
@@ -197,19 +197,28 @@
     // log, so the old number is refused all the same.
     let mut gate = Gate::default();
     gate.observe(FencingNumber(9));
-    let refused = gate.pass(FencingNumber(4), OrderId(77));
+    let refused = gate.check(FencingNumber(4), OrderId(77));
     assert_matches!(refused, Err(error) if error.is_old_fence());
-    assert_eq!(gate.pass(FencingNumber(9), OrderId(1)), Ok(Passed::New));
     assert_eq!(
-        gate.pass(FencingNumber(9), OrderId(1)),
-        Ok(Passed::Repeated)
+        gate.check(FencingNumber(9), OrderId(1)),
+        Ok(GateOutcome::New)
+    );
+    assert_eq!(
+        gate.check(FencingNumber(9), OrderId(1)),
+        Ok(GateOutcome::Repeated)
+    );
+    assert_eq!(
+        gate.check(FencingNumber(9), OrderId(3)),
+        Ok(GateOutcome::New)
     );
-    assert_eq!(gate.pass(FencingNumber(9), OrderId(3)), Ok(Passed::New));
     assert_matches!(
-        gate.pass(FencingNumber(9), OrderId(2)),
+        gate.check(FencingNumber(9), OrderId(2)),
         Err(GateError::OldOrder { .. })
     );
-    assert_eq!(gate.pass(FencingNumber(12), OrderId(1)), Ok(Passed::New));
+    assert_eq!(
+        gate.check(FencingNumber(12), OrderId(1)),
+        Ok(GateOutcome::New)
+    );
     assert_eq!(gate.highest(), FencingNumber(12));
 }
 
@@ -288,8 +297,8 @@
         let model: ModelName = "m".parse().expect("a name");
         pool.demand.insert(model, Demand { engines: 2.0 });
         let mut older = pool.planner.clone();
-        older.lease(Some(FencingNumber(5)));
-        pool.planner.lease(Some(FencingNumber(8)));
+        older.set_lease(Some(FencingNumber(5)));
+        pool.planner.set_lease(Some(FencingNumber(8)));
         Self {
             pool,
             older,
@@ -301,7 +310,7 @@
     fn turn(&mut self, step: usize, older: bool, delay: usize) {
         self.pool.now = self.pool.now + Duration::from_secs(61);
         let version = if older { "1" } else { "2" };
-        let wish = Wish {
+        let wish = DesiredModel {
             version: version.to_owned(),
             adapter: None,
             size: Bytes(10),
@@ -334,7 +343,7 @@
 
     fn arrive(&mut self, order: &Order) {
         let gate = self.gates.entry(order.endpoint.clone()).or_default();
-        if gate.pass(order.fence, order.id) != Ok(Passed::New) {
+        if gate.check(order.fence, order.id) != Ok(GateOutcome::New) {
             return;
         }
         let engine = self.pool.engines.get_mut(&order.endpoint).expect("known");
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -10,8 +10,8 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::admission;
 use snipeyoke_lib::admission::Refusal;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::chain::Shared;
-use snipeyoke_lib::chain::Spec;
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::limits::AccountUse;
@@ -53,7 +53,12 @@
     /// # Errors
     ///
     /// Returns [`Refusal`] over a limit or past all hope for the deadline.
-    pub(crate) fn admit(&self, now: Time, spec: &Spec, shared: &mut Shared) -> Result<(), Refusal> {
+    pub(crate) fn admit(
+        &self,
+        now: Time,
+        spec: &RequestSpec,
+        shared: &mut Shared,
+    ) -> Result<(), Refusal> {
         let expected = expected(spec);
         let mut limiter = self.limiter();
         limiter
@@ -74,7 +79,7 @@
     }
 
     /// Notes the end of a request that was taken on.
-    pub(crate) fn done(&self, now: Time, spec: &Spec, used: Tokens) {
+    pub(crate) fn done(&self, now: Time, spec: &RequestSpec, used: Tokens) {
         self.limiter()
             .done(now, &spec.account, expected(spec), used);
     }
@@ -84,8 +89,8 @@
     }
 }
 
-fn expected(spec: &Spec) -> Tokens {
-    spec.prompt.tokens + spec.prompt.max
+fn expected(spec: &RequestSpec) -> Tokens {
+    spec.prompt.tokens + spec.prompt.max_output
 }
 
 /// Keeps the shares up to date until the router stops.
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -309,7 +309,7 @@
 
 fn part(node: &Node, peer: &Peer, link: &Arc<AgentLink>) {
     if node.agents.close(&peer.endpoint, link) {
-        node.shared().fleet.gone(&peer.endpoint);
+        node.shared().fleet.mark_unreachable(&peer.endpoint);
         node.slots().forget(&peer.endpoint);
         node.control.sight.part(&peer.endpoint);
     }
@@ -341,7 +341,7 @@
                     incarnation,
                 });
                 if let Some(peer) = peer {
-                    node.shared().fleet.drain(&peer.endpoint);
+                    node.shared().fleet.mark_draining(&peer.endpoint);
                 }
                 log::info!(event = "peer-leaves", link = entry.link.0, reason = goodbye.reason.as_str(); "");
             }
@@ -390,7 +390,7 @@
         link.reported.set();
     }
     if heartbeat.draining {
-        shared.fleet.drain(&peer.endpoint);
+        shared.fleet.mark_draining(&peer.endpoint);
     }
     drop(shared);
     let revision = heartbeat.config_revision;
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -6,7 +6,7 @@
 use std::sync::PoisonError;
 
 use snipeyoke_lib::chain::Decision;
-use snipeyoke_lib::chain::Spec;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::ids::AttemptId;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::RequestId;
@@ -50,7 +50,7 @@
 
 impl Records {
     /// Notes a request that is about to be driven; `stop` ends it.
-    pub(crate) fn begin(&self, now: Time, spec: &Spec, stop: Flag) {
+    pub(crate) fn begin(&self, now: Time, spec: &RequestSpec, stop: Flag) {
         let accepted = Accepted::of(now, spec, None);
         self.journal().on_accept(now, accepted);
         let running = Running {
@@ -61,7 +61,7 @@
     }
 
     /// Notes a decision of a request's chain.
-    pub(crate) fn route(&self, now: Time, spec: &Spec, decision: &Decision) {
+    pub(crate) fn route(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
         self.journal().on_route(now, spec, decision);
     }
 
--- a/router/src/door/chat.rs
+++ b/router/src/door/chat.rs
@@ -106,7 +106,7 @@
     let prompt = Prompt {
         prefix: model.map_or_else(Vec::new, |m| prefix::block_hashes(m.as_str(), &text)),
         tokens: Tokens(prefix::token_count(&text)),
-        max: Tokens(max),
+        max_output: Tokens(max),
     };
     let query = texts
         .last()
--- a/router/src/door/intake.rs
+++ b/router/src/door/intake.rs
@@ -13,7 +13,7 @@
 use sha2::Sha256;
 use snipeyoke_lib::admission::Refusal;
 use snipeyoke_lib::chain::Prompt;
-use snipeyoke_lib::chain::Spec;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::config::Pipeline;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::PipelineName;
@@ -188,7 +188,7 @@
         let slot = slot.and_then(|(once, stage)| node.owner(&stage.pool, once.slot));
         let now = node.clock.now();
         let deadline = now + bound.pipeline.deadline();
-        let spec = Spec {
+        let spec = RequestSpec {
             request: self.id,
             account: self.account,
             kind: bound.kind,
@@ -197,7 +197,7 @@
             deadline,
             prompt,
             stream,
-            slot,
+            slot_owner: slot,
         };
         let (send, up) = async_channel::unbounded();
         let gone = Flag::default();
@@ -225,7 +225,7 @@
 }
 
 /// Answers a request that was not taken on, at once.
-fn refuse(node: &Node, spec: &Spec, refusal: Refusal, up: &Sender<Up>) {
+fn refuse(node: &Node, spec: &RequestSpec, refusal: Refusal, up: &Sender<Up>) {
     let finish = Finish {
         outcome: Outcome::NotRun,
         reason: Some(refusal.reason),
--- a/router/src/drive/run.rs
+++ b/router/src/drive/run.rs
@@ -13,7 +13,7 @@
 use snipeyoke_lib::chain::Chain;
 use snipeyoke_lib::chain::Decision;
 use snipeyoke_lib::chain::Event;
-use snipeyoke_lib::chain::Spec;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::chain::Usage;
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::config::StageRole;
@@ -47,7 +47,7 @@
 /// A request as the door hands it over.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) spec: Spec,
+    pub(crate) spec: RequestSpec,
     pub(crate) config: Arc<Config>,
     pub(crate) work: Work,
     pub(crate) once: Option<Once>,
@@ -191,14 +191,14 @@
                 attempt,
                 stage,
                 endpoint,
-                left,
+                remaining,
                 priority,
                 resume_from,
             } => {
                 let send = Sending {
                     attempt,
                     stage,
-                    left,
+                    left: remaining,
                     priority,
                     resume: resume_from,
                 };
@@ -285,7 +285,11 @@
             once: once.map(|o| o.key.clone()),
             prefix: Vec::new(),
             prompt_tokens: if generates { spec.prompt.tokens.0 } else { 0 },
-            max_tokens: if generates { spec.prompt.max.0 } else { 0 },
+            max_tokens: if generates {
+                spec.prompt.max_output.0
+            } else {
+                0
+            },
             resume_from: send.resume,
             attempt: send.attempt.0,
         }
@@ -450,7 +454,8 @@
     /// Names the slot's present owner to the chain, which may wait for it.
     fn follow_owner(&mut self) {
         if let (Some(once), Some(stage)) = (&self.job.once, self.job.spec.pipeline.stages.last()) {
-            self.chain.own(self.node.owner(&stage.pool, once.slot));
+            self.chain
+                .set_owner(self.node.owner(&stage.pool, once.slot));
         }
     }
 
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -275,8 +275,8 @@
                 .fleet
                 .upsert(endpoint.clone(), pool.clone(), domain, region, life);
         }
-        (PeerState::Slow, _) if from == PeerState::Alive => shared.fleet.gone(endpoint),
-        (PeerState::CutOff | PeerState::Dead, _) => shared.fleet.gone(endpoint),
+        (PeerState::Slow, _) if from == PeerState::Alive => shared.fleet.mark_unreachable(endpoint),
+        (PeerState::CutOff | PeerState::Dead, _) => shared.fleet.mark_unreachable(endpoint),
         _ => {}
     }
 }
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -13,8 +13,8 @@
 use async_io::Timer;
 use derive_more::Display;
 use derive_more::Error;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::chain::Shared;
-use snipeyoke_lib::chain::Spec;
 use snipeyoke_lib::drain::Drain;
 use snipeyoke_lib::drain::DrainAction;
 use snipeyoke_lib::drain::DrainSettings;
@@ -27,11 +27,11 @@
 use snipeyoke_lib::log::LogStore;
 use snipeyoke_lib::once::KeySlot;
 use snipeyoke_lib::once::SlotMap;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LeastOutstanding;
 use snipeyoke_lib::routing::Policy;
 use snipeyoke_lib::routing::Predicted;
 use snipeyoke_lib::routing::RoundRobin;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Tokens;
 use snipeyoke_runtime::board::Fact;
@@ -163,14 +163,14 @@
     }
 
     /// Notes the end of a request that was taken on.
-    pub(crate) fn ended(&self, spec: &Spec, finish: &Finish) {
+    pub(crate) fn ended(&self, spec: &RequestSpec, finish: &Finish) {
         let used = Tokens(finish.prompt_tokens + finish.output_tokens);
         self.admission.done(self.clock.now(), spec, used);
         self.settled(spec, finish);
     }
 
     /// Notes the outcome of a request.
-    pub(crate) fn settled(&self, spec: &Spec, finish: &Finish) {
+    pub(crate) fn settled(&self, spec: &RequestSpec, finish: &Finish) {
         let reason = finish
             .reason
             .map_or_else(|| "-".to_owned(), |r| r.to_string());
@@ -344,7 +344,7 @@
 }
 
 fn node(raw: Raw, execs: &Execs, members: Members) -> Node {
-    let home = Home {
+    let home = RouterLocation {
         domain: raw.domain.clone(),
         region: raw.region.clone(),
     };
