--- a/lib/src/chain/attempt.rs
+++ b/lib/src/chain/attempt.rs
@@ -29,7 +29,7 @@
     pub(super) domain: u16,
     pub(super) endpoint: EndpointId,
     pub(super) booking: Option<Booking>,
-    pub(super) began: Time,
+    pub(super) started_at: Time,
     pub(super) predicted: Duration,
     /// The time predicted for an endpoint that keeps its promises.
     pub(super) nominal: Duration,
@@ -39,13 +39,13 @@
     /// Whether its frame was written.
     pub(super) sent: bool,
     /// The time of the first token, if one came.
-    pub(super) first: Option<Time>,
+    pub(super) first_token: Option<Time>,
     /// The time of the last sign of progress.
-    pub(super) progress: Time,
+    pub(super) last_progress: Time,
     /// When the attempt counts as late enough for a hedge.
-    pub(super) hedge: Time,
+    pub(super) hedge_at: Time,
     /// When the attempt is given up.
-    pub(super) patience: Time,
+    pub(super) timeout_at: Time,
 }
 
 impl Attempt {
@@ -57,8 +57,8 @@
     ///
     /// The promise is without the endpoint's own verdict: measured against a
     /// prediction that expects a straggler to be slow, it would seem healthy.
-    pub(super) fn ratio(&self, now: Time) -> f32 {
+    pub(super) fn elapsed_ratio(&self, now: Time) -> f32 {
         let plain = self.nominal.as_secs_f32().max(0.001);
-        now.since(self.began).as_secs_f32() / plain
+        now.since(self.started_at).as_secs_f32() / plain
     }
 }
--- a/lib/src/chain/decision.rs
+++ b/lib/src/chain/decision.rs
@@ -77,7 +77,7 @@
                     ("why", why.to_string()),
                     ("predicted_ms", millis(*predicted)),
                 ];
-                for (other, (name, time)) in others.iter().flatten().zip(OTHERS) {
+                for (other, (name, time)) in others.iter().flatten().zip(ALTERNATIVE_KEYS) {
                     pairs.push((name, other.endpoint.to_string()));
                     pairs.push((time, millis(other.predicted)));
                 }
@@ -104,7 +104,7 @@
 }
 
 /// The keys of the two next best endpoints and their predicted times.
-const OTHERS: [(&str, &str); 2] = [("best2", "best2_ms"), ("best3", "best3_ms")];
+const ALTERNATIVE_KEYS: [(&str, &str); 2] = [("best2", "best2_ms"), ("best3", "best3_ms")];
 
 impl fmt::Display for Decision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/lib/src/chain/ending.rs
+++ b/lib/src/chain/ending.rs
@@ -7,7 +7,7 @@
 use super::Decision;
 use super::attempt::State;
 use super::machine::ATTEMPTS_MAX;
-use super::machine::Turn;
+use super::machine::EventContext;
 use super::select;
 use super::timing;
 use crate::ids::AttemptId;
@@ -15,83 +15,93 @@
 use crate::outcome::Reason;
 
 /// The first pause before asking a full pool again; it doubles.
-const PAUSE_FIRST: Duration = Duration::from_millis(5);
+const OVERLOAD_BACKOFF: Duration = Duration::from_millis(5);
 
 /// The part of the time left in which a key waits for its slot's next owner.
 ///
 /// What remains is for the call itself: 250 ms of the deadline of 1 s that
 /// approvals have.
-const OWNER_PART: f32 = 0.75;
+const OWNER_WAIT_FRACTION: f32 = 0.75;
 
 /// The longest wait for a slot's next owner.
 ///
 /// A slot changes hands in about a second; one that has no owner for longer
 /// belonged to an agent that died, and its lease may run for minutes.
-const OWNER_WAIT: Duration = Duration::from_secs(3);
+const OWNER_WAIT_MAX: Duration = Duration::from_secs(3);
 
 /// The pause between two looks for a slot's next owner.
 ///
 /// Agents report their slots each half second, so that an earlier look sees
 /// nothing new; spread by jitter, waiting keys don't reach a new owner at once.
-const OWNER_PAUSE: Duration = Duration::from_millis(50);
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Chain {
     /// Tries the stage again where that is allowed, or gives the request up.
-    pub(super) fn retry(&mut self, reason: Reason, after: Option<Duration>, turn: &mut Turn<'_>) {
-        if self.open().next().is_some() {
+    pub(super) fn retry(
+        &mut self,
+        reason: Reason,
+        after: Option<Duration>,
+        ctx: &mut EventContext<'_>,
+    ) {
+        if self.open_attempts().next().is_some() {
             return;
         }
-        let tries = self.here().count();
-        if tries >= ATTEMPTS_MAX {
-            self.refuse(reason, after, turn);
+        let attempts = self.stage_attempts().count();
+        if attempts >= ATTEMPTS_MAX {
+            self.refuse(reason, after, ctx);
             return;
         }
-        if self.is_ownerless(reason) {
-            self.refuser = self.here().last().map(|a| a.endpoint.clone());
-            self.seek_owner(reason, after, turn);
+        if self.needs_other_owner(reason) {
+            self.refused_by = self.stage_attempts().last().map(|a| a.endpoint.clone());
+            self.retry_at_owner(reason, after, ctx);
             return;
         }
         // A drain moves work that nobody meant to fail; it is bounded by the
         // number of attempts. All else draws from the budget: without it, each
         // failure would add calls to a pool that fails because of its calls.
-        let free = reason == Reason::Draining;
-        if !free && !turn.shared.retry.take(&self.current().pool) {
-            self.refuse(Reason::RetryBudget, after, turn);
+        let exempt = reason == Reason::Draining;
+        if !exempt && !ctx.shared.retry.take(&self.current_stage().pool) {
+            self.refuse(Reason::RetryBudget, after, ctx);
             return;
         }
         if reason == Reason::Overload {
-            let pause = PAUSE_FIRST * (1 << tries);
-            let pause = timing::jitter(pause.max(after.unwrap_or_default()), turn.shared);
-            self.pause(pause, turn);
+            let backoff = OVERLOAD_BACKOFF * (1 << attempts);
+            let backoff = timing::jitter(backoff.max(after.unwrap_or_default()), ctx.shared);
+            self.schedule_retry(backoff, ctx);
         } else {
-            self.send(turn);
+            self.send(ctx);
         }
     }
 
     // A pause that ends too late for an answer would only hold the refusal back.
-    fn pause(&mut self, pause: Duration, turn: &mut Turn<'_>) {
-        let again = turn.now + pause;
-        if again >= timing::latest(turn.now, self, turn.shared) {
-            self.refuse(Reason::Overload, Some(pause), turn);
+    fn schedule_retry(&mut self, backoff: Duration, ctx: &mut EventContext<'_>) {
+        let retry_at = ctx.now + backoff;
+        if retry_at >= timing::stage_deadline(ctx.now, self, ctx.shared) {
+            self.refuse(Reason::Overload, Some(backoff), ctx);
             return;
         }
-        self.again = Some(again);
+        self.retry_at = Some(retry_at);
     }
 
     /// Tells whether only another owner of the key's slot can help.
-    pub(super) fn is_ownerless(&self, reason: Reason) -> bool {
+    pub(super) fn needs_other_owner(&self, reason: Reason) -> bool {
         let moves = matches!(reason, Reason::NoLease | Reason::Draining);
-        moves && !self.current().idempotent
+        moves && !self.current_stage().idempotent
     }
 
     // The refusal proves that the attempt did not run, so an owner that is
     // known already gets the key at once. It costs no retry: attempts are
     // bounded, and nobody but the owner may take the call anyway.
-    fn seek_owner(&mut self, reason: Reason, after: Option<Duration>, turn: &mut Turn<'_>) {
-        if self.spec.slot_owner == self.refuser {
-            self.await_owner(reason, after, turn);
+    fn retry_at_owner(
+        &mut self,
+        reason: Reason,
+        after: Option<Duration>,
+        ctx: &mut EventContext<'_>,
+    ) {
+        if self.spec.slot_owner == self.refused_by {
+            self.wait_for_owner(reason, after, ctx);
         } else {
-            self.send(turn);
+            self.send(ctx);
         }
     }
 
@@ -100,77 +110,82 @@
     /// While a slot changes hands nobody may run its keys. Refused at once,
     /// every planned restart would show to callers as failed approvals. The
     /// wait ends as soon as it can't help any more, and so does the request.
-    pub(super) fn await_owner(
+    pub(super) fn wait_for_owner(
         &mut self,
         reason: Reason,
         after: Option<Duration>,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
     ) {
-        let left = timing::latest(turn.now, self, turn.shared).since(turn.now);
-        let wait = left.mul_f32(OWNER_PART).min(OWNER_WAIT);
-        let until = *self.until.get_or_insert(turn.now + wait);
-        let again = turn.now + timing::jitter(OWNER_PAUSE, turn.shared);
-        if again >= until {
-            self.refuse(reason, after, turn);
+        let remaining = timing::stage_deadline(ctx.now, self, ctx.shared).since(ctx.now);
+        let wait = remaining.mul_f32(OWNER_WAIT_FRACTION).min(OWNER_WAIT_MAX);
+        let deadline = *self.owner_deadline.get_or_insert(ctx.now + wait);
+        let retry_at = ctx.now + timing::jitter(OWNER_POLL_INTERVAL, ctx.shared);
+        if retry_at >= deadline {
+            self.refuse(reason, after, ctx);
             return;
         }
-        self.again = Some(again);
+        self.retry_at = Some(retry_at);
     }
 
-    fn refuse(&mut self, reason: Reason, after: Option<Duration>, turn: &mut Turn<'_>) {
-        let after = after.unwrap_or_else(|| timing::come_back(turn.shared));
-        self.give_up(reason, Some(after), turn);
+    fn refuse(&mut self, reason: Reason, after: Option<Duration>, ctx: &mut EventContext<'_>) {
+        let after = after.unwrap_or_else(|| timing::retry_after(ctx.shared));
+        self.give_up(reason, Some(after), ctx);
     }
 
     /// Closes an attempt that ended.
-    pub(super) fn settle(&mut self, index: usize, state: State, turn: &mut Turn<'_>) {
-        self.release(index, state, turn);
+    pub(super) fn settle(&mut self, index: usize, state: State, ctx: &mut EventContext<'_>) {
+        self.release(index, state, ctx);
         let attempt = &self.attempts[index];
-        turn.out.push(Action::Decision(Decision::Settled {
+        ctx.out.push(Action::Decision(Decision::Settled {
             request: self.spec.request,
             stage: attempt.stage,
             attempt: attempt.id,
             endpoint: attempt.endpoint.clone(),
             predicted: attempt.predicted,
-            actual: turn.now.since(attempt.began),
+            actual: ctx.now.since(attempt.started_at),
         }));
     }
 
-    fn release(&mut self, index: usize, state: State, turn: &mut Turn<'_>) {
+    fn release(&mut self, index: usize, state: State, ctx: &mut EventContext<'_>) {
         let attempt = &mut self.attempts[index];
         attempt.state = state;
         if let Some(booking) = attempt.booking.take() {
             let pool = &self.spec.pipeline.stages[attempt.stage].pool;
-            turn.shared.fleet.release(pool, booking);
+            ctx.shared.fleet.release(pool, booking);
         }
     }
 
     /// Stops waiting for an attempt.
-    pub(super) fn drop_attempt(&mut self, index: usize, turn: &mut Turn<'_>) {
-        select::note_overdue(turn.now, &self.attempts[index], self, turn.shared);
-        self.release(index, State::Dropped, turn);
+    pub(super) fn drop_attempt(&mut self, index: usize, ctx: &mut EventContext<'_>) {
+        select::record_overdue(ctx.now, &self.attempts[index], self, ctx.shared);
+        self.release(index, State::Dropped, ctx);
         // An effect that has begun is not called off: it would end as unknown
         // where waiting for nobody gives an answer that the key remembers.
-        if self.current().idempotent {
-            turn.out.push(Action::Cancel {
+        if self.current_stage().idempotent {
+            ctx.out.push(Action::Cancel {
                 attempt: self.attempts[index].id,
             });
         }
     }
 
-    pub(super) fn drop_others(&mut self, winner: AttemptId, turn: &mut Turn<'_>) {
+    pub(super) fn drop_others(&mut self, winner: AttemptId, ctx: &mut EventContext<'_>) {
         for index in 0..self.attempts.len() {
             if self.attempts[index].is_open() && self.attempts[index].id != winner {
-                self.drop_attempt(index, turn);
+                self.drop_attempt(index, ctx);
             }
         }
     }
 
     /// Ends the request without an answer, at once.
-    pub(super) fn give_up(&mut self, reason: Reason, after: Option<Duration>, turn: &mut Turn<'_>) {
+    pub(super) fn give_up(
+        &mut self,
+        reason: Reason,
+        after: Option<Duration>,
+        ctx: &mut EventContext<'_>,
+    ) {
         for index in 0..self.attempts.len() {
             if self.attempts[index].is_open() {
-                self.drop_attempt(index, turn);
+                self.drop_attempt(index, ctx);
             }
         }
         // "Not run" is a promise about every attempt of every stage. One
@@ -181,7 +196,7 @@
         } else {
             Outcome::Unknown
         };
-        self.finish(outcome, Some(reason), after, turn);
+        self.finish(outcome, Some(reason), after, ctx);
     }
 
     pub(super) fn finish(
@@ -189,10 +204,10 @@
         outcome: Outcome,
         reason: Option<Reason>,
         retry_after: Option<Duration>,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
     ) {
         self.finished = true;
-        turn.out.push(Action::Finish {
+        ctx.out.push(Action::Finish {
             outcome,
             reason,
             retry_after,
--- a/lib/src/chain/machine.rs
+++ b/lib/src/chain/machine.rs
@@ -19,7 +19,7 @@
 pub(super) const ATTEMPTS_MAX: usize = 5;
 
 /// One event's handling: the time, what is shared, and the actions so far.
-pub(super) struct Turn<'a> {
+pub(super) struct EventContext<'a> {
     pub(super) now: Time,
     pub(super) shared: &'a mut Shared,
     pub(super) out: &'a mut Vec<Action>,
@@ -31,14 +31,14 @@
     pub(super) spec: RequestSpec,
     pub(super) stage: usize,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) tokens: u32,
-    pub(super) source: Option<AttemptId>,
-    pub(super) again: Option<Time>,
+    pub(super) held_tokens: u32,
+    pub(super) token_source: Option<AttemptId>,
+    pub(super) retry_at: Option<Time>,
     /// When the wait for the slot's next owner ends, once it began.
-    pub(super) until: Option<Time>,
+    pub(super) owner_deadline: Option<Time>,
     /// The endpoint that refused the key, until another owner was named.
-    pub(super) refuser: Option<EndpointId>,
-    pub(super) entered: Time,
+    pub(super) refused_by: Option<EndpointId>,
+    pub(super) stage_started: Time,
     pub(super) finished: bool,
     started: bool,
     wake: Option<Time>,
@@ -52,12 +52,12 @@
             spec,
             stage: 0,
             attempts: Vec::new(),
-            tokens: 0,
-            source: None,
-            again: None,
-            until: None,
-            refuser: None,
-            entered: Time::ZERO,
+            held_tokens: 0,
+            token_source: None,
+            retry_at: None,
+            owner_deadline: None,
+            refused_by: None,
+            stage_started: Time::ZERO,
             finished: false,
             started: false,
             wake: None,
@@ -74,8 +74,8 @@
     ///
     /// Call it before each event: it is how a waiting chain hears of an owner.
     pub fn set_owner(&mut self, slot: Option<EndpointId>) {
-        if self.refuser != slot {
-            self.refuser = None;
+        if self.refused_by != slot {
+            self.refused_by = None;
         }
         self.spec.slot_owner = slot;
     }
@@ -105,57 +105,57 @@
         if self.finished {
             return;
         }
-        let mut turn = Turn { now, shared, out };
-        self.dispatch(event, &mut turn);
+        let mut ctx = EventContext { now, shared, out };
+        self.dispatch(event, &mut ctx);
         if self.started && !self.finished {
-            self.check_time(&mut turn);
+            self.check_timers(&mut ctx);
         }
         if self.started && !self.finished {
-            self.ask_wake(&mut turn);
+            self.request_wake(&mut ctx);
         }
     }
 
-    fn dispatch(&mut self, event: Event, turn: &mut Turn<'_>) {
+    fn dispatch(&mut self, event: Event, ctx: &mut EventContext<'_>) {
         match event {
-            Event::Start => self.start(turn),
-            Event::Sent { attempt } => self.on_sent(attempt, turn),
+            Event::Start => self.start(ctx),
+            Event::Sent { attempt } => self.on_sent(attempt, ctx),
             Event::Chunk {
                 attempt,
                 index,
                 tokens,
-            } => self.on_chunk(attempt, index, tokens, turn),
+            } => self.on_chunk(attempt, index, tokens, ctx),
             Event::Ended {
                 attempt,
                 end,
                 usage,
-            } => self.on_ended(attempt, &end, usage, turn),
+            } => self.on_ended(attempt, &end, usage, ctx),
             Event::Wake => self.wake = None,
-            Event::CallerGone => self.give_up(Reason::CallerGone, None, turn),
-            Event::Stop => self.give_up(Reason::Stopped, None, turn),
+            Event::CallerGone => self.give_up(Reason::CallerGone, None, ctx),
+            Event::Stop => self.give_up(Reason::Stopped, None, ctx),
         }
     }
 
-    fn start(&mut self, turn: &mut Turn<'_>) {
+    fn start(&mut self, ctx: &mut EventContext<'_>) {
         if !self.started {
             self.started = true;
-            self.enter(0, turn);
+            self.start_stage(0, ctx);
         }
     }
 
-    pub(super) fn enter(&mut self, stage: usize, turn: &mut Turn<'_>) {
+    pub(super) fn start_stage(&mut self, stage: usize, ctx: &mut EventContext<'_>) {
         self.stage = stage;
-        self.entered = turn.now;
-        self.tokens = 0;
-        self.source = None;
-        self.again = None;
-        self.until = None;
-        self.refuser = None;
-        turn.shared.retry.earn(&self.current().pool);
-        turn.shared.hedge.earn();
-        self.send(turn);
-    }
-
-    pub(super) fn current(&self) -> &Stage {
+        self.stage_started = ctx.now;
+        self.held_tokens = 0;
+        self.token_source = None;
+        self.retry_at = None;
+        self.owner_deadline = None;
+        self.refused_by = None;
+        ctx.shared.retry.earn(&self.current_stage().pool);
+        ctx.shared.hedge.earn();
+        self.send(ctx);
+    }
+
+    pub(super) fn current_stage(&self) -> &Stage {
         &self.spec.pipeline.stages[self.stage]
     }
 
@@ -164,13 +164,13 @@
     }
 
     /// Returns the attempts at the current stage.
-    pub(super) fn here(&self) -> impl Iterator<Item = &Attempt> {
+    pub(super) fn stage_attempts(&self) -> impl Iterator<Item = &Attempt> {
         let stage = self.stage;
         self.attempts.iter().filter(move |a| a.stage == stage)
     }
 
-    pub(super) fn open(&self) -> impl Iterator<Item = &Attempt> {
-        self.here().filter(|a| a.is_open())
+    pub(super) fn open_attempts(&self) -> impl Iterator<Item = &Attempt> {
+        self.stage_attempts().filter(|a| a.is_open())
     }
 
     pub(super) fn find_open(&self, id: AttemptId) -> Option<usize> {
@@ -178,36 +178,36 @@
     }
 
     /// Sends a new attempt at the current stage, or gives the request up.
-    pub(super) fn send(&mut self, turn: &mut Turn<'_>) {
-        if turn.now >= timing::latest(turn.now, self, turn.shared) {
-            self.give_up(Reason::Deadline, None, turn);
+    pub(super) fn send(&mut self, ctx: &mut EventContext<'_>) {
+        if ctx.now >= timing::stage_deadline(ctx.now, self, ctx.shared) {
+            self.give_up(Reason::Deadline, None, ctx);
             return;
         }
         // An approval sent twice is invoiced twice. Only a proof for every
         // earlier attempt makes another one safe, whatever led here.
-        let may_have_run = self.here().any(|a| a.state != State::NotRun);
-        if !self.current().idempotent && may_have_run {
-            self.give_up(Reason::Connection, None, turn);
+        let may_have_run = self.stage_attempts().any(|a| a.state != State::NotRun);
+        if !self.current_stage().idempotent && may_have_run {
+            self.give_up(Reason::Connection, None, ctx);
             return;
         }
-        match select::pick(turn.now, self, turn.shared) {
-            Ok(picked) => self.send_to(picked, turn),
-            Err(_) if self.open().next().is_some() => {}
-            Err(reason) if self.is_ownerless(reason) => self.await_owner(reason, None, turn),
+        match select::pick(ctx.now, self, ctx.shared) {
+            Ok(picked) => self.send_to(picked, ctx),
+            Err(_) if self.open_attempts().next().is_some() => {}
+            Err(reason) if self.needs_other_owner(reason) => self.wait_for_owner(reason, None, ctx),
             Err(reason) => {
-                let after = timing::come_back(turn.shared);
-                self.give_up(reason, Some(after), turn);
+                let after = timing::retry_after(ctx.shared);
+                self.give_up(reason, Some(after), ctx);
             }
         }
     }
 
-    fn send_to(&mut self, picked: select::Picked, turn: &mut Turn<'_>) {
+    fn send_to(&mut self, picked: select::PickedEndpoint, ctx: &mut EventContext<'_>) {
         let id = AttemptId(self.attempts.len() as u64);
-        let now = turn.now;
-        let pool = &self.current().pool;
-        let booking = turn.shared.fleet.book(now, pool, picked.slot);
-        let limits = timing::limits(now, self, picked.predicted, turn.shared);
-        turn.out.push(Action::Decision(Decision::Chosen {
+        let now = ctx.now;
+        let pool = &self.current_stage().pool;
+        let booking = ctx.shared.fleet.book(now, pool, picked.slot);
+        let timers = timing::timers(now, self, picked.predicted, ctx.shared);
+        ctx.out.push(Action::Decision(Decision::Chosen {
             request: self.spec.request,
             stage: self.stage,
             attempt: id,
@@ -216,13 +216,13 @@
             predicted: picked.predicted,
             others: picked.others,
         }));
-        turn.out.push(Action::Send {
+        ctx.out.push(Action::Send {
             attempt: id,
             stage: self.stage,
             endpoint: picked.endpoint.clone(),
-            remaining: timing::latest(turn.now, self, turn.shared).since(now),
-            priority: timing::priority(now, self, turn.shared),
-            resume_from: self.tokens,
+            remaining: timing::stage_deadline(ctx.now, self, ctx.shared).since(now),
+            priority: timing::priority(now, self, ctx.shared),
+            resume_from: self.held_tokens,
         });
         self.attempts.push(Attempt {
             id,
@@ -231,24 +231,24 @@
             domain: picked.domain,
             endpoint: picked.endpoint,
             booking,
-            began: now,
+            started_at: now,
             predicted: picked.predicted,
             nominal: picked.nominal,
             occupancy: picked.occupancy,
             state: State::Open,
             sent: false,
-            first: None,
-            progress: now,
-            hedge: limits.hedge,
-            patience: limits.patience,
+            first_token: None,
+            last_progress: now,
+            hedge_at: timers.hedge_at,
+            timeout_at: timers.timeout_at,
         });
     }
 
-    fn ask_wake(&mut self, turn: &mut Turn<'_>) {
-        let at = timing::next_wake(turn.now, self, turn.shared);
+    fn request_wake(&mut self, ctx: &mut EventContext<'_>) {
+        let at = timing::next_wake(ctx.now, self, ctx.shared);
         if self.wake != Some(at) {
             self.wake = Some(at);
-            turn.out.push(Action::WakeAt(at));
+            ctx.out.push(Action::WakeAt(at));
         }
     }
 }
--- a/lib/src/chain/mod.rs
+++ b/lib/src/chain/mod.rs
@@ -12,8 +12,8 @@
 mod progress;
 mod select;
 mod shared;
+mod timers;
 mod timing;
-mod watch;
 
 pub use decision::Alternative;
 pub use decision::Decision;
--- a/lib/src/chain/progress.rs
+++ b/lib/src/chain/progress.rs
@@ -4,7 +4,7 @@
 use super::Chain;
 use super::Usage;
 use super::attempt::State;
-use super::machine::Turn;
+use super::machine::EventContext;
 use super::select;
 use super::timing;
 use crate::ids::AttemptId;
@@ -13,58 +13,67 @@
 use crate::outcome::Reason;
 
 impl Chain {
-    pub(super) fn on_sent(&mut self, id: AttemptId, turn: &mut Turn<'_>) {
+    pub(super) fn on_sent(&mut self, id: AttemptId, ctx: &mut EventContext<'_>) {
         let Some(index) = self.find_open(id) else {
             return;
         };
         // The wait for the connection is the router's, not the endpoint's.
         let predicted = self.attempts[index].predicted;
-        let limits = timing::limits(turn.now, self, predicted, turn.shared);
+        let timers = timing::timers(ctx.now, self, predicted, ctx.shared);
         let attempt = &mut self.attempts[index];
-        if !attempt.sent && attempt.first.is_none() {
+        if !attempt.sent && attempt.first_token.is_none() {
             attempt.sent = true;
-            attempt.began = turn.now;
-            attempt.progress = turn.now;
-            attempt.hedge = limits.hedge;
-            attempt.patience = limits.patience;
+            attempt.started_at = ctx.now;
+            attempt.last_progress = ctx.now;
+            attempt.hedge_at = timers.hedge_at;
+            attempt.timeout_at = timers.timeout_at;
         }
     }
 
-    pub(super) fn on_chunk(&mut self, id: AttemptId, first: u32, count: u32, turn: &mut Turn<'_>) {
+    pub(super) fn on_chunk(
+        &mut self,
+        id: AttemptId,
+        first: u32,
+        count: u32,
+        ctx: &mut EventContext<'_>,
+    ) {
         let Some(index) = self.find_open(id) else {
             return;
         };
-        self.note_progress(index, turn);
+        self.record_progress(index, ctx);
         // Two engines may word an answer differently, so tokens of two attempts
         // must not be mixed: the first to give one wins, others are cancelled.
-        if self.source != Some(id) {
-            self.source = Some(id);
-            self.drop_others(id, turn);
+        if self.token_source != Some(id) {
+            self.token_source = Some(id);
+            self.drop_others(id, ctx);
         }
         let end = first.saturating_add(count);
-        if first > self.tokens {
+        if first > self.held_tokens {
             // Tokens are missing before this chunk. Appending it would give the
             // caller an answer with a hole, so the rest is asked for elsewhere,
             // from the first missing token.
-            self.drop_attempt(index, turn);
-            self.retry(Reason::Connection, None, turn);
-        } else if end > self.tokens {
-            turn.out.push(Action::Deliver {
+            self.drop_attempt(index, ctx);
+            self.retry(Reason::Connection, None, ctx);
+        } else if end > self.held_tokens {
+            ctx.out.push(Action::Deliver {
                 attempt: id,
-                skip: self.tokens - first,
+                skip: self.held_tokens - first,
             });
-            self.tokens = end;
+            self.held_tokens = end;
         }
     }
 
-    fn note_progress(&mut self, index: usize, turn: &mut Turn<'_>) {
+    fn record_progress(&mut self, index: usize, ctx: &mut EventContext<'_>) {
         let attempt = &mut self.attempts[index];
-        attempt.progress = turn.now;
-        if attempt.first.is_none() {
-            attempt.first = Some(turn.now);
-            let took = turn.now.since(attempt.began);
-            let times = &mut turn.shared.times;
-            times.entry(&self.spec.name, self.stage).first.observe(took);
+        attempt.last_progress = ctx.now;
+        if attempt.first_token.is_none() {
+            attempt.first_token = Some(ctx.now);
+            let elapsed = ctx.now.since(attempt.started_at);
+            let times = &mut ctx.shared.times;
+            times
+                .entry(&self.spec.name, self.stage)
+                .first
+                .observe(elapsed);
         }
     }
 
@@ -73,29 +82,29 @@
         id: AttemptId,
         end: &AttemptEnd,
         usage: Usage,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
     ) {
         let Some(index) = self.find_open(id) else {
-            self.note_proof(id, end);
+            self.record_proof(id, end);
             return;
         };
         match end {
-            AttemptEnd::Completed => self.on_completed(index, usage, turn),
+            AttemptEnd::Completed => self.on_completed(index, usage, ctx),
             AttemptEnd::NotRun {
                 reason,
                 retry_after,
             } => {
-                self.settle(index, State::NotRun, turn);
-                select::note_refusal(turn.now, &self.attempts[index], *reason, self, turn.shared);
-                self.retry(*reason, *retry_after, turn);
+                self.settle(index, State::NotRun, ctx);
+                select::record_refusal(ctx.now, &self.attempts[index], *reason, self, ctx.shared);
+                self.retry(*reason, *retry_after, ctx);
             }
             AttemptEnd::Unknown { reason } => {
-                self.settle(index, State::Ran, turn);
-                select::note_failure(turn.now, &self.attempts[index], self, turn.shared);
-                if self.current().idempotent {
-                    self.retry(*reason, None, turn);
+                self.settle(index, State::Ran, ctx);
+                select::record_failure(ctx.now, &self.attempts[index], self, ctx.shared);
+                if self.current_stage().idempotent {
+                    self.retry(*reason, None, ctx);
                 } else {
-                    self.give_up(*reason, None, turn);
+                    self.give_up(*reason, None, ctx);
                 }
             }
         }
@@ -103,7 +112,7 @@
 
     // A cancelled attempt may still prove that it never ran, which decides
     // between the outcomes not-run and unknown.
-    fn note_proof(&mut self, id: AttemptId, end: &AttemptEnd) {
+    fn record_proof(&mut self, id: AttemptId, end: &AttemptEnd) {
         let dropped = self
             .attempts
             .iter_mut()
@@ -117,31 +126,31 @@
         }
     }
 
-    fn on_completed(&mut self, index: usize, usage: Usage, turn: &mut Turn<'_>) {
+    fn on_completed(&mut self, index: usize, usage: Usage, ctx: &mut EventContext<'_>) {
         let id = self.attempts[index].id;
-        let whole = self.is_whole(id, usage);
-        self.settle(index, State::Ran, turn);
-        if !whole {
-            self.retry(Reason::Connection, None, turn);
+        let complete = self.is_complete(id, usage);
+        self.settle(index, State::Ran, ctx);
+        if !complete {
+            self.retry(Reason::Connection, None, ctx);
             return;
         }
-        select::note_answer(turn.now, &self.attempts[index], usage, self, turn.shared);
-        self.drop_others(id, turn);
-        turn.out.push(Action::StageDone {
+        select::record_completion(ctx.now, &self.attempts[index], usage, self, ctx.shared);
+        self.drop_others(id, ctx);
+        ctx.out.push(Action::StageDone {
             stage: self.stage,
             attempt: id,
         });
         if self.is_last() {
-            self.finish(Outcome::Completed, None, None, turn);
+            self.finish(Outcome::Completed, None, None, ctx);
         } else {
-            self.enter(self.stage + 1, turn);
+            self.start_stage(self.stage + 1, ctx);
         }
     }
 
     /// Tells whether a completed attempt's answer has all its tokens.
-    fn is_whole(&self, id: AttemptId, usage: Usage) -> bool {
-        let streams = self.spec.stream && self.is_last() && select::generates(self.current());
-        let chunked = self.source == Some(id) || self.tokens > 0;
-        !(streams || chunked) || self.tokens >= usage.output.0
+    fn is_complete(&self, id: AttemptId, usage: Usage) -> bool {
+        let streams = self.spec.stream && self.is_last() && select::generates(self.current_stage());
+        let chunked = self.token_source == Some(id) || self.held_tokens > 0;
+        !(streams || chunked) || self.held_tokens >= usage.output.0
     }
 }
--- a/lib/src/chain/select.rs
+++ b/lib/src/chain/select.rs
@@ -23,11 +23,11 @@
 use crate::time::Time;
 
 /// The share of a prompt's limit that an answer is taken to have at first.
-const OUTPUT_FIRST: f32 = 0.5;
+const OUTPUT_INITIAL_FRACTION: f32 = 0.5;
 
 /// An endpoint picked for an attempt.
 #[derive(Debug, Clone)]
-pub(super) struct Picked {
+pub(super) struct PickedEndpoint {
     pub(super) slot: usize,
     pub(super) domain: u16,
     pub(super) endpoint: EndpointId,
@@ -56,7 +56,7 @@
 ) -> Option<Need<'a>> {
     let stage = &spec.pipeline.stages[index];
     let model = match &stage.model {
-        Some(name) if pool.has_models() => pool.model(name)?,
+        Some(name) if pool.has_models() => pool.model_bit(name)?,
         _ => 0,
     };
     let mut need = Need {
@@ -74,23 +74,33 @@
 
 fn expected_output(spec: &RequestSpec, index: usize, held: u32, times: &StageTimes) -> f32 {
     let max = (spec.prompt.max_output.0 as f32).max(1.0);
-    let usual = times.get(&spec.name, index).and_then(StageTime::output);
-    let whole = usual.unwrap_or(max * OUTPUT_FIRST).min(max);
-    (whole - held as f32).max(1.0)
+    let mean = times.get(&spec.name, index).and_then(StageTime::output);
+    let total = mean.unwrap_or(max * OUTPUT_INITIAL_FRACTION).min(max);
+    (total - held as f32).max(1.0)
 }
 
 /// Picks an endpoint for the next attempt at the chain's stage.
-pub(super) fn pick(now: Time, chain: &Chain, shared: &mut Shared) -> Result<Picked, Reason> {
-    let stage = chain.current();
-    let tried: Vec<usize> = chain.here().map(|a| a.slot).collect();
-    let domain = chain.here().last().map(|a| a.domain);
-    let budget = budget(now, chain, shared);
+pub(super) fn pick(
+    now: Time,
+    chain: &Chain,
+    shared: &mut Shared,
+) -> Result<PickedEndpoint, Reason> {
+    let stage = chain.current_stage();
+    let tried: Vec<usize> = chain.stage_attempts().map(|a| a.slot).collect();
+    let domain = chain.stage_attempts().last().map(|a| a.domain);
+    let budget = stage_budget(now, chain, shared);
     let pool = shared.fleet.pool_mut(&stage.pool);
     let pool = pool.ok_or(Reason::NoEndpoint)?;
     if !stage.idempotent {
         return pick_owner(now, chain, pool);
     }
-    let need = stage_need(&chain.spec, chain.stage, chain.tokens, &shared.times, pool);
+    let need = stage_need(
+        &chain.spec,
+        chain.stage,
+        chain.held_tokens,
+        &shared.times,
+        pool,
+    );
     let need = Need {
         budget,
         avoid: &tried,
@@ -100,30 +110,30 @@
     let policy = shared.policy.as_mut();
     let choice = routing::choose(policy, now, pool, &need, &mut shared.rng);
     let choice = choice.ok_or(Reason::NoEndpoint)?;
-    let named = |(slot, total): (usize, f32)| Alternative {
+    let alternative = |(slot, total): (usize, f32)| Alternative {
         endpoint: pool.endpoints()[slot].id().clone(),
-        predicted: seconds(total),
+        predicted: to_duration(total),
     };
     let endpoint = &pool.endpoints()[choice.slot];
-    Ok(Picked {
+    Ok(PickedEndpoint {
         slot: choice.slot,
         domain: endpoint.domain(),
         endpoint: endpoint.id().clone(),
         why: choice.why,
-        predicted: seconds(choice.predicted),
-        nominal: seconds(choice.nominal),
+        predicted: to_duration(choice.predicted),
+        nominal: to_duration(choice.nominal),
         occupancy: pool.occupancy(choice.slot),
-        others: choice.others.map(|other| other.map(named)),
+        others: choice.others.map(|other| other.map(alternative)),
     })
 }
 
 // Two agents that both take a key would both run the call. Only the owner of
 // the key's slot knows what became of it, so no other endpoint is asked.
-fn pick_owner(now: Time, chain: &Chain, pool: &Pool) -> Result<Picked, Reason> {
+fn pick_owner(now: Time, chain: &Chain, pool: &Pool) -> Result<PickedEndpoint, Reason> {
     let owner = chain.spec.slot_owner.as_ref();
     // Who refused the key is named until its next report comes. Asked again
     // before, it would use up the attempts that the next owner needs.
-    let owner = owner.filter(|&o| chain.refuser.as_ref() != Some(o));
+    let owner = owner.filter(|&o| chain.refused_by.as_ref() != Some(o));
     let owner = owner.ok_or(Reason::NoLease)?;
     let slot = pool.find(owner).ok_or(Reason::NoEndpoint)?;
     let endpoint = &pool.endpoints()[slot];
@@ -133,13 +143,13 @@
     if !endpoint.is_usable(now) {
         return Err(Reason::NoEndpoint);
     }
-    Ok(Picked {
+    Ok(PickedEndpoint {
         slot,
         domain: endpoint.domain(),
         endpoint: owner.clone(),
         why: Why::KeySlot,
-        predicted: seconds(pool.predict(now, slot)),
-        nominal: seconds(pool.predict(now, slot)),
+        predicted: to_duration(pool.predict(now, slot)),
+        nominal: to_duration(pool.predict(now, slot)),
         occupancy: pool.occupancy(slot),
         others: [None, None],
     })
@@ -149,92 +159,109 @@
 ///
 /// A hedge to the endpoint that already holds the call doubles its work and
 /// spends the budget of calls that another endpoint could still save.
-pub(super) fn has_other(now: Time, chain: &Chain, shared: &Shared) -> bool {
-    let Some(pool) = shared.fleet.pool(&chain.current().pool) else {
+pub(super) fn has_untried_endpoint(now: Time, chain: &Chain, shared: &Shared) -> bool {
+    let Some(pool) = shared.fleet.pool(&chain.current_stage().pool) else {
         return false;
     };
-    let untried = |slot: usize| chain.here().all(|a| a.slot != slot);
+    let untried = |slot: usize| chain.stage_attempts().all(|a| a.slot != slot);
     let mut endpoints = pool.endpoints().iter().enumerate();
     endpoints.any(|(slot, e)| e.is_usable(now) && untried(slot))
 }
 
-fn budget(now: Time, chain: &Chain, shared: &Shared) -> Duration {
-    let rest = timing::rest(now, chain, shared, chain.stage + 1, timing::USUAL);
+fn stage_budget(now: Time, chain: &Chain, shared: &Shared) -> Duration {
+    let rest = timing::time_from_stage(
+        now,
+        chain,
+        shared,
+        chain.stage + 1,
+        timing::TYPICAL_QUANTILE,
+    );
     (chain.spec.deadline - rest).since(now)
 }
 
-fn seconds(value: f32) -> Duration {
+fn to_duration(value: f32) -> Duration {
     Duration::try_from_secs_f32(value).unwrap_or(Duration::MAX)
 }
 
 /// Learns from a completed attempt.
-pub(super) fn note_answer(
+pub(super) fn record_completion(
     now: Time,
     attempt: &Attempt,
     usage: Usage,
     chain: &Chain,
     shared: &mut Shared,
 ) {
-    let pool = &chain.current().pool;
-    let took = now.since(attempt.began);
-    let ratio = own_ratio(now, attempt, chain, shared);
-    if let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) {
+    let pool = &chain.current_stage().pool;
+    let elapsed = now.since(attempt.started_at);
+    let ratio = endpoint_ratio(now, attempt, chain, shared);
+    if let Some(endpoint) = shared
+        .fleet
+        .endpoint_at(pool, attempt.slot, &attempt.endpoint)
+    {
         endpoint.health_mut().on_response(now, ratio);
     }
     shared.fleet.observe_work(pool, attempt.slot, usage.work);
-    if generates(chain.current()) {
-        note_drag(now, attempt, pool, shared);
+    if generates(chain.current_stage()) {
+        record_slowdown(now, attempt, pool, shared);
     }
     let entry = shared.times.entry(&chain.spec.name, chain.stage);
     entry.seen(now);
-    entry.took.observe(now.since(chain.entered));
-    if attempt.first.is_none() {
-        entry.first.observe(took);
+    entry.took.observe(now.since(chain.stage_started));
+    if attempt.first_token.is_none() {
+        entry.first.observe(elapsed);
     }
     if usage.output.0 > 0 {
         entry.observe_output(usage.output.0);
     }
 }
 
-fn note_drag(now: Time, attempt: &Attempt, pool: &PoolName, shared: &mut Shared) {
+fn record_slowdown(now: Time, attempt: &Attempt, pool: &PoolName, shared: &mut Shared) {
     let slope = shared.fleet.pool(pool).map_or(0.0, Pool::batch_slowdown);
-    let idle = attempt.ratio(now) * (1.0 + slope * attempt.occupancy.min(1.0));
+    let idle_ratio = attempt.elapsed_ratio(now) * (1.0 + slope * attempt.occupancy.min(1.0));
     shared
         .fleet
-        .observe_batch_slowdown(pool, attempt.occupancy, idle);
-    shared.fleet.observe_overrun(pool, attempt.ratio(now));
+        .observe_batch_slowdown(pool, attempt.occupancy, idle_ratio);
+    shared
+        .fleet
+        .observe_overrun(pool, attempt.elapsed_ratio(now));
 }
 
 // When all endpoints are slower than promised, as with cold caches, the drag of
 // the pool takes it up. Held against each endpoint too, it counted twice, and
 // admission refused what could be done in half the predicted time.
-fn own_ratio(now: Time, attempt: &Attempt, chain: &Chain, shared: &Shared) -> f32 {
-    let ratio = attempt.ratio(now);
-    if !generates(chain.current()) {
+fn endpoint_ratio(now: Time, attempt: &Attempt, chain: &Chain, shared: &Shared) -> f32 {
+    let ratio = attempt.elapsed_ratio(now);
+    if !generates(chain.current_stage()) {
         return ratio;
     }
-    let pool = shared.fleet.pool(&chain.current().pool);
+    let pool = shared.fleet.pool(&chain.current_stage().pool);
     ratio / pool.map_or(1.0, Pool::shared_slowdown)
 }
 
 /// Learns from an attempt that ended without an answer.
-pub(super) fn note_failure(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
-    let pool = &chain.current().pool;
-    if let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) {
+pub(super) fn record_failure(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
+    let pool = &chain.current_stage().pool;
+    if let Some(endpoint) = shared
+        .fleet
+        .endpoint_at(pool, attempt.slot, &attempt.endpoint)
+    {
         endpoint.health_mut().on_failure(now);
     }
 }
 
 /// Learns from an attempt that was refused with proof.
-pub(super) fn note_refusal(
+pub(super) fn record_refusal(
     now: Time,
     attempt: &Attempt,
     reason: Reason,
     chain: &Chain,
     shared: &mut Shared,
 ) {
-    let pool = &chain.current().pool;
-    let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) else {
+    let pool = &chain.current_stage().pool;
+    let Some(endpoint) = shared
+        .fleet
+        .endpoint_at(pool, attempt.slot, &attempt.endpoint)
+    else {
         return;
     };
     match reason {
@@ -247,10 +274,13 @@
 }
 
 /// Learns that an attempt takes longer than predicted, before it ends.
-pub(super) fn note_overdue(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
-    let pool = &chain.current().pool;
-    let ratio = own_ratio(now, attempt, chain, shared);
-    if let Some(endpoint) = shared.fleet.at(pool, attempt.slot, &attempt.endpoint) {
+pub(super) fn record_overdue(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
+    let pool = &chain.current_stage().pool;
+    let ratio = endpoint_ratio(now, attempt, chain, shared);
+    if let Some(endpoint) = shared
+        .fleet
+        .endpoint_at(pool, attempt.slot, &attempt.endpoint)
+    {
         endpoint.health_mut().on_overdue(now, ratio);
     }
 }
--- a/lib/src/placement/mod.rs
+++ b/lib/src/placement/mod.rs
@@ -7,7 +7,7 @@
 mod gate;
 mod order;
 mod planner;
-mod roll;
+mod rollout;
 
 pub use gate::Gate;
 pub use gate::GateError;
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -9,7 +9,7 @@
 use super::order::OrderId;
 use super::order::Verb;
 use super::order::Why;
-use super::roll::Rolls;
+use super::rollout::ModelRollout;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
 use crate::ids::FencingNumber;
@@ -54,7 +54,7 @@
     /// The memory of one copy.
     pub size: Bytes,
     /// The fewest copies, however small the demand.
-    pub least: usize,
+    pub min_copies: usize,
 }
 
 /// What is asked of one model now.
@@ -93,7 +93,7 @@
         self.builds.values().map(|b| b.1.0).sum()
     }
 
-    pub(super) fn has(&self, model: &ModelName) -> bool {
+    pub(super) fn has_model(&self, model: &ModelName) -> bool {
         self.builds.keys().any(|b| b.model == *model)
     }
 
@@ -117,7 +117,7 @@
 struct Pending {
     verb: Verb,
     size: Bytes,
-    since: Time,
+    ordered_at: Time,
 }
 
 /// Plans for one pool while its lease is held.
@@ -125,11 +125,11 @@
 pub struct Planner {
     settings: PlannerSettings,
     fence: Option<FencingNumber>,
-    next: OrderId,
+    last_id: OrderId,
     pending: BTreeMap<EndpointId, Pending>,
     surplus: BTreeMap<ModelName, Time>,
-    credit: f64,
-    credited: Time,
+    store_credit: f64,
+    credit_updated: Time,
 }
 
 impl Planner {
@@ -139,11 +139,11 @@
         Self {
             settings,
             fence: None,
-            next: OrderId::default(),
+            last_id: OrderId::default(),
             pending: BTreeMap::new(),
             surplus: BTreeMap::new(),
-            credit: settings.store_burst,
-            credited: Time::ZERO,
+            store_credit: settings.store_burst,
+            credit_updated: Time::ZERO,
         }
     }
 
@@ -158,7 +158,7 @@
         }
         self.fence = fence;
         // Orders and hold times of another claim are no base for this one.
-        self.next = OrderId::default();
+        self.last_id = OrderId::default();
         self.pending.clear();
         self.surplus.clear();
     }
@@ -168,7 +168,7 @@
     pub fn plan(
         &mut self,
         now: Time,
-        wishes: &BTreeMap<ModelName, DesiredModel>,
+        desired: &BTreeMap<ModelName, DesiredModel>,
         demand: &BTreeMap<ModelName, Demand>,
         engines: &BTreeMap<EndpointId, Engine>,
     ) -> Vec<Decision> {
@@ -176,25 +176,25 @@
             return Vec::new();
         };
         self.refill(now);
-        self.settle(now, engines);
-        let mut board = self.foresee(engines);
+        self.drop_settled(now, engines);
+        let mut projected = self.project(engines);
         let mut out = Vec::new();
-        for rolls in self.by_need(wishes, demand, &board) {
-            self.place(now, fence, &rolls, &mut board, &mut out);
+        for rollout in self.rollouts_by_shortfall(desired, demand, &projected) {
+            self.place_copies(now, fence, &rollout, &mut projected, &mut out);
         }
-        self.clear_unwished(now, fence, wishes, &mut board, &mut out);
-        self.set_roles(now, fence, &board, &mut out);
+        self.unload_undesired(now, fence, desired, &mut projected, &mut out);
+        self.set_roles(now, fence, &projected, &mut out);
         out
     }
 
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.credited).as_secs_f64() * self.settings.store_rate;
-        self.credit = (self.credit + earned).min(self.settings.store_burst);
-        self.credited = now;
+        let earned = now.since(self.credit_updated).as_secs_f64() * self.settings.store_rate;
+        self.store_credit = (self.store_credit + earned).min(self.settings.store_burst);
+        self.credit_updated = now;
     }
 
     /// Drops pending orders whose effect is reported, or that take too long.
-    fn settle(&mut self, now: Time, engines: &BTreeMap<EndpointId, Engine>) {
+    fn drop_settled(&mut self, now: Time, engines: &BTreeMap<EndpointId, Engine>) {
         let timeout = self.settings.order_timeout;
         self.pending.retain(|endpoint, pending| {
             let Some(engine) = engines.get(endpoint) else {
@@ -205,7 +205,7 @@
                 Verb::Unload(build) => !engine.builds.contains_key(build),
                 Verb::Role(role) => engine.roles.as_ref().is_none_or(|r| r.0 == *role),
             };
-            !done && now.since(pending.since) < timeout
+            !done && now.since(pending.ordered_at) < timeout
         });
     }
 
@@ -213,27 +213,33 @@
     ///
     /// Reports lag, and a plan made on them alone would give an order again at
     /// each step until the report catches up.
-    fn foresee(&self, engines: &BTreeMap<EndpointId, Engine>) -> BTreeMap<EndpointId, Engine> {
-        let mut board = engines.clone();
+    fn project(&self, engines: &BTreeMap<EndpointId, Engine>) -> BTreeMap<EndpointId, Engine> {
+        let mut projected = engines.clone();
         for (endpoint, pending) in &self.pending {
-            if let Some(engine) = board.get_mut(endpoint) {
+            if let Some(engine) = projected.get_mut(endpoint) {
                 apply(engine, &pending.verb, pending.size);
             }
         }
-        board
+        projected
     }
 
-    fn by_need(
+    fn rollouts_by_shortfall(
         &self,
-        wishes: &BTreeMap<ModelName, DesiredModel>,
+        desired: &BTreeMap<ModelName, DesiredModel>,
         demand: &BTreeMap<ModelName, Demand>,
-        board: &BTreeMap<EndpointId, Engine>,
-    ) -> Vec<Rolls> {
-        let mut all: Vec<Rolls> = wishes
+        projected: &BTreeMap<EndpointId, Engine>,
+    ) -> Vec<ModelRollout> {
+        let mut all: Vec<ModelRollout> = desired
             .iter()
-            .map(|(model, wish)| {
+            .map(|(model, desired)| {
                 let demand = demand.get(model).copied().unwrap_or_default();
-                Rolls::new(model, wish, demand.engines, self.settings.target, board)
+                ModelRollout::new(
+                    model,
+                    desired,
+                    demand.engines,
+                    self.settings.target,
+                    projected,
+                )
             })
             .collect();
         // The store's rate is shared, so the model that lacks most goes first.
@@ -241,87 +247,97 @@
         all
     }
 
-    fn place(
+    fn place_copies(
         &mut self,
         now: Time,
         fence: FencingNumber,
-        rolls: &Rolls,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        rollout: &ModelRollout,
+        projected: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let missing = rolls.missing();
-        let mut wanting = 0;
+        let missing = rollout.missing();
+        let mut unplaced = 0;
         for _ in 0..missing {
-            let Some(endpoint) = rolls.spot(board, |e| self.is_free(e)) else {
-                wanting += 1;
+            let Some(endpoint) = rollout.pick_engine(projected, |e| self.is_free(e)) else {
+                unplaced += 1;
                 continue;
             };
-            if self.credit < rolls.size.0 as f64 {
-                out.push(rolls.decide(None, Why::StoreRate));
+            if self.store_credit < rollout.size.0 as f64 {
+                out.push(rollout.decision(None, Why::StoreRate));
                 return;
             }
-            self.credit -= rolls.size.0 as f64;
-            let verb = Verb::Load(rolls.build.clone());
-            let order = self.order(now, fence, &endpoint, verb, rolls.size, board);
-            out.push(rolls.decide(Some(order), rolls.why_load()));
+            self.store_credit -= rollout.size.0 as f64;
+            let verb = Verb::Load(rollout.build.clone());
+            let order = self.order(now, fence, &endpoint, verb, rollout.size, projected);
+            out.push(rollout.decision(Some(order), rollout.why_load()));
         }
-        self.retire(now, fence, rolls, wanting, board, out);
+        self.unload_one(now, fence, rollout, unplaced, projected, out);
     }
 
     /// Unloads what is replaced or surplus, without costing needed capacity.
-    fn retire(
+    fn unload_one(
         &mut self,
         now: Time,
         fence: FencingNumber,
-        rolls: &Rolls,
-        wanting: usize,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        rollout: &ModelRollout,
+        unplaced: usize,
+        projected: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let surplus = self.lasting_surplus(now, rolls);
-        let candidate = rolls.retirable(board, wanting > 0, surplus, |e| self.is_free(e));
+        let surplus = self.lasting_surplus(now, rollout);
+        let candidate = rollout.pick_unload(projected, unplaced > 0, surplus, |e| self.is_free(e));
         let Some((endpoint, build, why)) = candidate else {
-            if wanting > 0 {
-                out.push(rolls.decide(None, Why::NoRoom));
+            if unplaced > 0 {
+                out.push(rollout.decision(None, Why::NoRoom));
             }
             return;
         };
-        let order = self.order(now, fence, &endpoint, Verb::Unload(build), Bytes(0), board);
-        out.push(rolls.decide(Some(order), why));
+        let order = self.order(
+            now,
+            fence,
+            &endpoint,
+            Verb::Unload(build),
+            Bytes(0),
+            projected,
+        );
+        out.push(rollout.decision(Some(order), why));
     }
 
-    fn lasting_surplus(&mut self, now: Time, rolls: &Rolls) -> bool {
-        if !rolls.has_surplus() {
-            self.surplus.remove(&rolls.build.model);
+    fn lasting_surplus(&mut self, now: Time, rollout: &ModelRollout) -> bool {
+        if !rollout.has_surplus() {
+            self.surplus.remove(&rollout.build.model);
             return false;
         }
-        let since = *self.surplus.entry(rolls.build.model.clone()).or_insert(now);
+        let since = *self
+            .surplus
+            .entry(rollout.build.model.clone())
+            .or_insert(now);
         let lasting = now.since(since) >= self.settings.surplus_hold;
         if lasting {
             // The next copy has to be surplus for as long again, so a dip in
             // demand costs one copy, not all.
-            self.surplus.insert(rolls.build.model.clone(), now);
+            self.surplus.insert(rollout.build.model.clone(), now);
         }
         lasting
     }
 
-    fn clear_unwished(
+    fn unload_undesired(
         &mut self,
         now: Time,
         fence: FencingNumber,
-        wishes: &BTreeMap<ModelName, DesiredModel>,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        desired: &BTreeMap<ModelName, DesiredModel>,
+        projected: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let unwished: Vec<(EndpointId, Build)> = board
+        let undesired: Vec<(EndpointId, Build)> = projected
             .iter()
             .filter(|(endpoint, e)| e.usable && self.is_free(endpoint))
             .filter_map(|(endpoint, e)| {
-                let build = e.builds.keys().find(|b| !wishes.contains_key(&b.model))?;
+                let build = e.builds.keys().find(|b| !desired.contains_key(&b.model))?;
                 Some((endpoint.clone(), build.clone()))
             })
             .collect();
-        for (endpoint, build) in unwished {
+        for (endpoint, build) in undesired {
             // A holder that has just started may not know the configuration
             // yet; a wish that is missing for a moment must not empty the pool.
             let since = *self.surplus.entry(build.model.clone()).or_insert(now);
@@ -329,7 +345,7 @@
                 continue;
             }
             let verb = Verb::Unload(build.clone());
-            let order = self.order(now, fence, &endpoint, verb, Bytes(0), board);
+            let order = self.order(now, fence, &endpoint, verb, Bytes(0), projected);
             out.push(Decision {
                 order: Some(order),
                 build: Some(build),
@@ -344,19 +360,19 @@
         &mut self,
         now: Time,
         fence: FencingNumber,
-        board: &BTreeMap<EndpointId, Engine>,
+        projected: &BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let mut board = board.clone();
+        let mut projected = projected.clone();
         let differs = |e: &Engine| e.roles.as_ref().filter(|r| r.0 != r.1).map(|r| r.1.clone());
-        let changes: Vec<(EndpointId, String)> = board
+        let changes: Vec<(EndpointId, String)> = projected
             .iter()
             .filter(|(endpoint, e)| e.usable && self.is_free(endpoint))
             .filter_map(|(endpoint, e)| Some((endpoint.clone(), differs(e)?)))
             .collect();
         for (endpoint, role) in changes {
             let verb = Verb::Role(role);
-            let order = self.order(now, fence, &endpoint, verb, Bytes(0), &mut board);
+            let order = self.order(now, fence, &endpoint, verb, Bytes(0), &mut projected);
             out.push(Decision {
                 order: Some(order),
                 build: None,
@@ -379,20 +395,20 @@
         endpoint: &EndpointId,
         verb: Verb,
         size: Bytes,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        projected: &mut BTreeMap<EndpointId, Engine>,
     ) -> Order {
-        self.next = OrderId(self.next.0 + 1);
-        if let Some(engine) = board.get_mut(endpoint) {
+        self.last_id = OrderId(self.last_id.0 + 1);
+        if let Some(engine) = projected.get_mut(endpoint) {
             apply(engine, &verb, size);
         }
         let pending = Pending {
             verb: verb.clone(),
             size,
-            since: now,
+            ordered_at: now,
         };
         self.pending.insert(endpoint.clone(), pending);
         Order {
-            id: self.next,
+            id: self.last_id,
             fence,
             endpoint: endpoint.clone(),
             verb,
--- a/lib/src/placement/roll.rs
+++ b/lib/src/placement/rollout.rs
@@ -15,87 +15,87 @@
 
 /// One model's copies against what is wished for.
 #[derive(Debug, Clone)]
-pub(super) struct Rolls {
+pub(super) struct ModelRollout {
     pub(super) build: Build,
     pub(super) size: Bytes,
     /// Copies that serve, in any version, on usable engines.
     ready: usize,
     /// Copies that serve in another version.
-    old: usize,
+    outdated: usize,
     /// Copies of the wished build, ready or on the way.
-    coming: usize,
+    assigned: usize,
     /// Copies of the wished build that serve.
-    new: usize,
+    current: usize,
     wanted: usize,
     /// Copies that demand can't do without, with no headroom.
     needed: usize,
-    least: usize,
+    min_copies: usize,
 }
 
-impl Rolls {
+impl ModelRollout {
     pub(super) fn new(
         model: &ModelName,
-        wish: &DesiredModel,
+        desired: &DesiredModel,
         demand: f64,
         target: f64,
-        board: &BTreeMap<EndpointId, Engine>,
+        projected: &BTreeMap<EndpointId, Engine>,
     ) -> Self {
         let build = Build {
             model: model.clone(),
-            version: wish.version.clone(),
-            adapter: wish.adapter.clone(),
+            version: desired.version.clone(),
+            adapter: desired.adapter.clone(),
         };
-        let usable = || board.values().filter(|e| e.usable);
+        let usable = || projected.values().filter(|e| e.usable);
         let serves = |e: &&Engine| e.builds.keys().any(|b| b.model == *model && e.is_ready(b));
         let ready = usable().filter(serves).count();
-        let new = usable().filter(|e| e.is_ready(&build)).count();
-        let wanted = ((demand / target).ceil() as usize).max(wish.least);
+        let current = usable().filter(|e| e.is_ready(&build)).count();
+        let wanted = ((demand / target).ceil() as usize).max(desired.min_copies);
         Self {
-            size: wish.size,
+            size: desired.size,
             ready,
-            new,
-            old: ready - new.min(ready),
-            coming: usable().filter(|e| e.builds.contains_key(&build)).count(),
+            current,
+            outdated: ready - current.min(ready),
+            assigned: usable().filter(|e| e.builds.contains_key(&build)).count(),
             wanted,
-            needed: (demand.ceil() as usize).max(wish.least.min(1)),
-            least: wish.least,
+            needed: (demand.ceil() as usize).max(desired.min_copies.min(1)),
+            min_copies: desired.min_copies,
             build,
         }
     }
 
     /// Returns the share of the wanted copies that is missing.
     pub(super) fn shortfall(&self) -> f64 {
-        let lacking = self.wanted.saturating_sub(self.ready) as f64;
-        lacking / self.wanted.max(1) as f64
+        let missing = self.wanted.saturating_sub(self.ready) as f64;
+        missing / self.wanted.max(1) as f64
     }
 
     pub(super) const fn missing(&self) -> usize {
-        self.wanted.saturating_sub(self.coming)
+        self.wanted.saturating_sub(self.assigned)
     }
 
     /// Two copies too many at least: one would flap around the threshold.
     pub(super) const fn has_surplus(&self) -> bool {
-        self.new > self.wanted + 1
+        self.current > self.wanted + 1
     }
 
     pub(super) const fn why_load(&self) -> Why {
-        if self.old > 0 {
+        if self.outdated > 0 {
             return Why::RollOut;
         }
-        if self.ready < self.least {
+        if self.ready < self.min_copies {
             return Why::TooFewCopies;
         }
         Why::Demand
     }
 
     /// Picks an engine with room, in the failure domain with the fewest copies.
-    pub(super) fn spot(
+    pub(super) fn pick_engine(
         &self,
-        board: &BTreeMap<EndpointId, Engine>,
+        projected: &BTreeMap<EndpointId, Engine>,
         is_free: impl Fn(&EndpointId) -> bool,
     ) -> Option<EndpointId> {
         let mut copies: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
-        for engine in board
+        for engine in projected
             .values()
             .filter(|e| e.usable && e.builds.contains_key(&self.build))
         {
@@ -103,13 +103,13 @@
         }
         let open =
             |e: &Engine| e.usable && !e.builds.contains_key(&self.build) && e.fits(self.size);
-        board
+        projected
             .iter()
             .filter(|(id, e)| open(e) && is_free(id))
             .min_by_key(|(_, e)| {
                 (
                     copies.get(&e.domain).copied(),
-                    e.has(&self.build.model),
+                    e.has_model(&self.build.model),
                     e.builds.len(),
                 )
             })
@@ -121,25 +121,25 @@
     /// While a version rolls out, an old copy goes only if the copies that
     /// serve without it still carry the demand. One goes at a time, since the
     /// next plan sees it gone.
-    pub(super) fn retirable(
+    pub(super) fn pick_unload(
         &self,
-        board: &BTreeMap<EndpointId, Engine>,
-        wanting: bool,
+        projected: &BTreeMap<EndpointId, Engine>,
+        unplaced: bool,
         surplus: bool,
         is_free: impl Fn(&EndpointId) -> bool,
     ) -> Option<(EndpointId, Build, Why)> {
-        let old = |b: &Build| b.model == self.build.model && *b != self.build;
-        let replaced = self.new >= self.wanted;
-        let makes_room = wanting && self.ready > self.needed;
+        let outdated = |b: &Build| b.model == self.build.model && *b != self.build;
+        let replaced = self.current >= self.wanted;
+        let makes_room = unplaced && self.ready > self.needed;
         if replaced {
-            let found = find(board, &is_free, |_, b| old(b));
+            let found = find_copy(projected, &is_free, |_, b| outdated(b));
             if let Some((endpoint, build)) = found {
                 return Some((endpoint, build, Why::Replaced));
             }
         }
         if makes_room {
-            let found = find(board, &is_free, |e, b| {
-                old(b) && e.fits_without(b, self.size)
+            let found = find_copy(projected, &is_free, |e, b| {
+                outdated(b) && e.fits_without(b, self.size)
             });
             if let Some((endpoint, build)) = found {
                 return Some((endpoint, build, Why::RollOut));
@@ -148,11 +148,11 @@
         if !surplus {
             return None;
         }
-        let (endpoint, build) = find(board, &is_free, |_, b| *b == self.build)?;
+        let (endpoint, build) = find_copy(projected, &is_free, |_, b| *b == self.build)?;
         Some((endpoint, build, Why::Surplus))
     }
 
-    pub(super) fn decide(&self, order: Option<Order>, why: Why) -> Decision {
+    pub(super) fn decision(&self, order: Option<Order>, why: Why) -> Decision {
         Decision {
             order,
             build: Some(self.build.clone()),
@@ -163,12 +163,12 @@
     }
 }
 
-fn find(
-    board: &BTreeMap<EndpointId, Engine>,
+fn find_copy(
+    projected: &BTreeMap<EndpointId, Engine>,
     is_free: &impl Fn(&EndpointId) -> bool,
     matches: impl Fn(&Engine, &Build) -> bool,
 ) -> Option<(EndpointId, Build)> {
-    board
+    projected
         .iter()
         .filter(|(id, e)| e.usable && is_free(id))
         .find_map(|(id, e)| {
--- a/lib/src/routing/baseline.rs
+++ b/lib/src/routing/baseline.rs
@@ -13,7 +13,7 @@
 /// Takes the endpoints in turn.
 #[derive(Debug, Clone, Default)]
 pub struct RoundRobin {
-    turn: usize,
+    next_slot: usize,
 }
 
 impl Policy for RoundRobin {
@@ -30,10 +30,16 @@
     ) -> Option<Choice> {
         let count = pool.endpoints.len();
         let allowed = |slot: &usize| pool.allows(now, *slot, need);
-        let turn = self.turn;
-        let slot = (0..count).map(|i| (turn + i) % count).find(allowed)?;
-        self.turn = slot + 1;
-        Some(plain(now, pool, need, slot, Why::Turn))
+        let start = self.next_slot;
+        let slot = (0..count).map(|i| (start + i) % count).find(allowed)?;
+        self.next_slot = slot + 1;
+        Some(choice_without_alternatives(
+            now,
+            pool,
+            need,
+            slot,
+            Why::Turn,
+        ))
     }
 }
 
@@ -62,11 +68,23 @@
             .map(|i| (start + i) % count)
             .filter(|&slot| pool.allows(now, slot, need))
             .min_by_key(|&slot| pool.endpoints[slot].outstanding)?;
-        Some(plain(now, pool, need, slot, Why::Outstanding))
+        Some(choice_without_alternatives(
+            now,
+            pool,
+            need,
+            slot,
+            Why::Outstanding,
+        ))
     }
 }
 
-fn plain(now: Time, pool: &Pool, need: &Need<'_>, slot: usize, why: Why) -> Choice {
+fn choice_without_alternatives(
+    now: Time,
+    pool: &Pool,
+    need: &Need<'_>,
+    slot: usize,
+    why: Why,
+) -> Choice {
     let forecast = pool.forecast(now, slot, need);
     Choice {
         slot,
--- a/lib/src/routing/endpoint.rs
+++ b/lib/src/routing/endpoint.rs
@@ -11,10 +11,10 @@
 use crate::time::Time;
 
 /// How long a report counts as fresh; older ones bar new work.
-pub(super) const FRESH: Duration = Duration::from_secs(3);
+pub(super) const REPORT_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// The seconds that a call takes at an endpoint of which nothing is known.
-const WORK_FIRST: f32 = 0.02;
+const INITIAL_WORK_SECS: f32 = 0.02;
 
 /// The weight of a new observation of the work of a call.
 const WORK_WEIGHT: f32 = 0.1;
@@ -29,16 +29,16 @@
     /// The time to the answer.
     pub(super) total: f32,
     /// The share of calls that fail.
-    pub(super) failing: f32,
+    pub(super) failure_rate: f32,
 }
 
 /// What is usual in a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Usual {
+pub(super) struct PoolAverages {
     /// The seconds that a call works.
     pub(super) work: f32,
     /// How much a full batch slows down each of its calls.
-    pub(super) drag: f32,
+    pub(super) slope: f32,
 }
 
 /// One endpoint as a router sees it.
@@ -46,9 +46,9 @@
 pub struct Endpoint {
     pub(super) id: EndpointId,
     pub(super) incarnation: Incarnation,
-    pub(super) life: u64,
+    pub(super) instance: u64,
     pub(super) domain: u16,
-    pub(super) present: bool,
+    pub(super) reachable: bool,
     pub(super) draining: bool,
     pub(super) models: u64,
     pub(super) outstanding: u32,
@@ -62,20 +62,20 @@
     slots: f32,
     reported: u32,
     finished: u32,
-    per_prompt: f32,
-    per_output: f32,
-    work: Option<f32>,
-    since: VecDeque<Time>,
+    prompt_secs: f32,
+    output_secs: f32,
+    mean_work: Option<f32>,
+    unreported: VecDeque<Time>,
 }
 
 impl Endpoint {
-    pub(super) fn new(id: EndpointId, incarnation: Incarnation, life: u64) -> Self {
+    pub(super) fn new(id: EndpointId, incarnation: Incarnation, instance: u64) -> Self {
         Self {
             id,
             incarnation,
-            life,
+            instance,
             domain: 0,
-            present: true,
+            reachable: true,
             draining: false,
             models: 0,
             outstanding: 0,
@@ -89,10 +89,10 @@
             slots: 1.0,
             reported: 0,
             finished: 0,
-            per_prompt: 0.0,
-            per_output: 0.0,
-            work: None,
-            since: VecDeque::new(),
+            prompt_secs: 0.0,
+            output_secs: 0.0,
+            mean_work: None,
+            unreported: VecDeque::new(),
         }
     }
 
@@ -126,7 +126,7 @@
         // The host list lags, so an endpoint that died or leaves would go on
         // getting calls. Its own report can't lag by more than its age.
         let fresh = now <= self.fresh_until;
-        self.present && self.healthy && !self.draining && fresh
+        self.reachable && self.healthy && !self.draining && fresh
     }
 
     /// Tells whether the endpoint says that it takes no new work.
@@ -138,7 +138,7 @@
     /// Returns the calls at work and waiting, as far as this router can tell.
     #[must_use]
     pub fn busy(&self) -> u32 {
-        let known = (self.reported + self.since.len() as u32).saturating_sub(self.finished);
+        let known = (self.reported + self.unreported.len() as u32).saturating_sub(self.finished);
         known.max(self.outstanding)
     }
 
@@ -166,17 +166,17 @@
         self.draining = true;
     }
 
-    pub(super) fn place(&mut self, domain: u16, overhead: f32) {
+    pub(super) fn set_location(&mut self, domain: u16, overhead: f32) {
         self.domain = domain;
         self.overhead = overhead;
     }
 
-    pub(super) fn load(&mut self, now: Time, report: &LoadReport, models: u64) {
+    pub(super) fn apply_load(&mut self, now: Time, report: &LoadReport, models: u64) {
         // A report overtaken by a newer one would bring back an old queue.
         if self.seq.is_some_and(|seq| report.seq < seq) {
             return;
         }
-        self.fresh_until = now + FRESH;
+        self.fresh_until = now + REPORT_MAX_AGE;
         self.seq = Some(report.seq);
         self.healthy = report.healthy;
         self.draining = report.draining;
@@ -184,32 +184,36 @@
         self.slots = report.slots.max(1) as f32;
         self.reported = report.active + report.queued;
         self.finished = 0;
-        self.per_prompt = per_token(report.prefill);
-        self.per_output = per_token(report.decode);
-        let covered = now - report.age;
-        while self.since.front().is_some_and(|&sent| sent <= covered) {
-            self.since.pop_front();
+        self.prompt_secs = secs_per_token(report.prefill);
+        self.output_secs = secs_per_token(report.decode);
+        let covered_until = now - report.age;
+        while self
+            .unreported
+            .front()
+            .is_some_and(|&sent| sent <= covered_until)
+        {
+            self.unreported.pop_front();
         }
     }
 
-    pub(super) fn sent(&mut self, now: Time) {
+    pub(super) fn on_send(&mut self, now: Time) {
         self.outstanding += 1;
-        self.since.push_back(now);
+        self.unreported.push_back(now);
     }
 
-    pub(super) fn released(&mut self, sent: Time) {
+    pub(super) fn on_release(&mut self, sent: Time) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        match self.since.iter().position(|&t| t == sent) {
+        match self.unreported.iter().position(|&time| time == sent) {
             Some(index) => {
-                self.since.remove(index);
+                self.unreported.remove(index);
             }
             None => self.finished += 1,
         }
     }
 
     pub(super) fn observe_work(&mut self, seconds: f32) {
-        let known = self.work.unwrap_or(seconds);
-        self.work = Some(known + WORK_WEIGHT * (seconds - known));
+        let known = self.mean_work.unwrap_or(seconds);
+        self.mean_work = Some(known + WORK_WEIGHT * (seconds - known));
     }
 
     /// Returns how full the endpoint is; above one, calls wait.
@@ -222,43 +226,43 @@
         now: Time,
         need: &Need<'_>,
         cached: u32,
-        usual: Usual,
+        averages: PoolAverages,
     ) -> Forecast {
-        let mean = self.work.unwrap_or(usual.work);
+        let mean = self.mean_work.unwrap_or(averages.work);
         let busy = self.busy() as f32;
-        let generates = self.per_output > 0.0 && need.output > 0.0;
-        let (read, write) = if generates {
-            let unread = need.prompt.saturating_sub(cached) as f32;
-            (unread * self.per_prompt, need.output * self.per_output)
+        let generates = self.output_secs > 0.0 && need.output > 0.0;
+        let (prefill, decode) = if generates {
+            let uncached = need.prompt.saturating_sub(cached) as f32;
+            (uncached * self.prompt_secs, need.output * self.output_secs)
         } else {
             (0.0, mean)
         };
         let wait = (busy + 1.0 - self.slots).max(0.0) / self.slots * mean;
         // Calls of one batch are in each other's way well before it is full.
         let occupancy = (busy / self.slots).min(1.0);
-        let drag = if generates {
-            1.0 + usual.drag * occupancy
+        let batch_slowdown = if generates {
+            1.0 + averages.slope * occupancy
         } else {
             1.0
         };
-        let plain = wait + (read + write) * drag;
-        let (slow, failing) = self.health.verdict(now);
+        let plain = wait + (prefill + decode) * batch_slowdown;
+        let (slowdown, failure_rate) = self.health.verdict(now);
         // A batch that runs anyway takes one more call at little cost.
-        let share = if generates { busy + 1.0 } else { 1.0 };
+        let batch_size = if generates { busy + 1.0 } else { 1.0 };
         Forecast {
-            failing,
-            work: (read + write / share) * slow,
+            failure_rate,
+            work: (prefill + decode / batch_size) * slowdown,
             nominal: plain + self.overhead,
-            total: plain * slow + self.overhead,
+            total: plain * slowdown + self.overhead,
         }
     }
 }
 
 /// Returns the pool-wide usual work where nothing was seen.
-pub(super) const fn first_work() -> f32 {
-    WORK_FIRST
+pub(super) const fn initial_work() -> f32 {
+    INITIAL_WORK_SECS
 }
 
-fn per_token(rate: f64) -> f32 {
+fn secs_per_token(rate: f64) -> f32 {
     if rate > 0.0 { (1.0 / rate) as f32 } else { 0.0 }
 }
--- a/lib/src/routing/fleet.rs
+++ b/lib/src/routing/fleet.rs
@@ -18,15 +18,15 @@
 /// The seconds that a call spends on the way within a failure domain, between
 /// two of one region, and between regions. The users state 1 to 3 ms for the
 /// first two; the last is a usual figure between regions.
-const OVERHEAD_NEAR: f32 = 0.001;
-const OVERHEAD_DOMAIN: f32 = 0.004;
-const OVERHEAD_REGION: f32 = 0.040;
+const OVERHEAD_LOCAL_SECS: f32 = 0.001;
+const OVERHEAD_CROSS_DOMAIN_SECS: f32 = 0.004;
+const OVERHEAD_CROSS_REGION_SECS: f32 = 0.040;
 
 /// Work booked on an endpoint, to be released once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Booking {
     slot: usize,
-    life: u64,
+    instance: u64,
     sent: Time,
 }
 
@@ -41,23 +41,23 @@
 /// All endpoints as one router sees them.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    home: RouterLocation,
+    location: RouterLocation,
     pools: BTreeMap<PoolName, Pool>,
-    places: BTreeMap<EndpointId, PoolName>,
+    endpoint_pools: BTreeMap<EndpointId, PoolName>,
     domains: Vec<FailureDomain>,
-    lives: u64,
+    instances: u64,
 }
 
 impl Fleet {
     /// Builds an empty fleet for a router that stands at `home`.
     #[must_use]
-    pub const fn new(home: RouterLocation) -> Self {
+    pub const fn new(location: RouterLocation) -> Self {
         Self {
-            home,
+            location,
             pools: BTreeMap::new(),
-            places: BTreeMap::new(),
+            endpoint_pools: BTreeMap::new(),
             domains: Vec::new(),
-            lives: 0,
+            instances: 0,
         }
     }
 
@@ -72,26 +72,30 @@
         region: &Region,
         incarnation: Incarnation,
     ) {
-        if self.places.get(&endpoint).is_some_and(|old| *old != pool) {
+        if self
+            .endpoint_pools
+            .get(&endpoint)
+            .is_some_and(|old| *old != pool)
+        {
             self.mark_unreachable(&endpoint);
         }
-        let index = self.domain(domain);
+        let index = self.domain_index(domain);
         let overhead = self.overhead(domain, region);
-        self.lives += 1;
-        let life = self.lives;
-        let slots = self.pools.entry(pool.clone()).or_default();
-        let Some(entered) = slots.enter(&endpoint, incarnation, life) else {
+        self.instances += 1;
+        let instance = self.instances;
+        let members = self.pools.entry(pool.clone()).or_default();
+        let Some(inserted) = members.insert(&endpoint, incarnation, instance) else {
             return;
         };
-        slots.endpoints[entered.slot].place(index, overhead);
+        members.endpoints[inserted.slot].set_location(index, overhead);
         // An endpoint that moved to another pool is ousted from its old one
         // later, and must stay where it is now.
-        if let Some(old) = entered.ousted
-            && self.places.get(&old) == Some(&pool)
+        if let Some(old) = inserted.evicted
+            && self.endpoint_pools.get(&old) == Some(&pool)
         {
-            self.places.remove(&old);
+            self.endpoint_pools.remove(&old);
         }
-        self.places.insert(endpoint, pool);
+        self.endpoint_pools.insert(endpoint, pool);
     }
 
     /// Takes in a load report.
@@ -99,8 +103,8 @@
         let Some((pool, slot)) = self.find_mut(endpoint) else {
             return;
         };
-        let models = pool.mask(&report.models);
-        pool.endpoints[slot].load(now, report, models);
+        let models = pool.model_mask(&report.models);
+        pool.endpoints[slot].apply_load(now, report, models);
     }
 
     /// Takes in what an endpoint gained and dropped of its prefix cache.
@@ -108,7 +112,7 @@
         let Some((pool, slot)) = self.find_mut(endpoint) else {
             return;
         };
-        pool.cache(slot, update);
+        pool.apply_cache(slot, update);
     }
 
     /// Notes that an endpoint can't be reached any more.
@@ -117,7 +121,7 @@
     /// often than caches are lost, and agents tell only what is new.
     pub fn mark_unreachable(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
-            pool.leave(slot);
+            pool.mark_absent(slot);
         }
     }
 
@@ -158,7 +162,7 @@
     /// Returns an endpoint.
     #[must_use]
     pub fn endpoint(&self, id: &EndpointId) -> Option<&Endpoint> {
-        let pool = self.pools.get(self.places.get(id)?)?;
+        let pool = self.pools.get(self.endpoint_pools.get(id)?)?;
         pool.endpoints.get(pool.find(id)?)
     }
 
@@ -171,10 +175,10 @@
     /// Books work that is sent now.
     pub fn book(&mut self, now: Time, pool: &PoolName, slot: usize) -> Option<Booking> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(slot)?;
-        endpoint.sent(now);
+        endpoint.on_send(now);
         Some(Booking {
             slot,
-            life: endpoint.life,
+            instance: endpoint.instance,
             sent: now,
         })
     }
@@ -182,15 +186,20 @@
     /// Releases booked work; returns the endpoint if it is still the same life.
     pub fn release(&mut self, pool: &PoolName, booking: Booking) -> Option<&mut Endpoint> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(booking.slot)?;
-        if endpoint.life != booking.life {
+        if endpoint.instance != booking.instance {
             return None;
         }
-        endpoint.released(booking.sent);
+        endpoint.on_release(booking.sent);
         Some(endpoint)
     }
 
     /// Returns the endpoint at a slot, if it is still the one named.
-    pub fn at(&mut self, pool: &PoolName, slot: usize, id: &EndpointId) -> Option<&mut Endpoint> {
+    pub fn endpoint_at(
+        &mut self,
+        pool: &PoolName,
+        slot: usize,
+        id: &EndpointId,
+    ) -> Option<&mut Endpoint> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(slot)?;
         (endpoint.id == *id).then_some(endpoint)
     }
@@ -220,12 +229,12 @@
     }
 
     fn find_mut(&mut self, endpoint: &EndpointId) -> Option<(&mut Pool, usize)> {
-        let pool = self.pools.get_mut(self.places.get(endpoint)?)?;
+        let pool = self.pools.get_mut(self.endpoint_pools.get(endpoint)?)?;
         let slot = pool.find(endpoint)?;
         Some((pool, slot))
     }
 
-    fn domain(&mut self, domain: &FailureDomain) -> u16 {
+    fn domain_index(&mut self, domain: &FailureDomain) -> u16 {
         let known = self.domains.iter().position(|d| d == domain);
         let index = known.unwrap_or_else(|| {
             self.domains.push(domain.clone());
@@ -235,12 +244,12 @@
     }
 
     fn overhead(&self, domain: &FailureDomain, region: &Region) -> f32 {
-        if *region != self.home.region {
-            OVERHEAD_REGION
-        } else if *domain != self.home.domain {
-            OVERHEAD_DOMAIN
+        if *region != self.location.region {
+            OVERHEAD_CROSS_REGION_SECS
+        } else if *domain != self.location.domain {
+            OVERHEAD_CROSS_DOMAIN_SECS
         } else {
-            OVERHEAD_NEAR
+            OVERHEAD_LOCAL_SECS
         }
     }
 }
--- a/lib/src/routing/health.rs
+++ b/lib/src/routing/health.rs
@@ -13,7 +13,7 @@
 ///
 /// It lets a recovered endpoint back in step by step: as its verdict fades it
 /// wins a few calls, and their answers move the verdict further.
-const FADE_MICROS: f32 = 5e6;
+const HALF_LIFE_MICROS: f32 = 5e6;
 
 /// The most doublings of the fade for an endpoint that fails every probe.
 const STREAK_MAX: u32 = 5;
@@ -22,18 +22,18 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
     ratio: f32,
-    failing: f32,
+    failure_rate: f32,
     streak: u32,
-    seen: Time,
+    updated_at: Time,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
             ratio: 1.0,
-            failing: 0.0,
+            failure_rate: 0.0,
             streak: 0,
-            seen: Time::ZERO,
+            updated_at: Time::ZERO,
         }
     }
 }
@@ -41,15 +41,15 @@
 impl Health {
     /// Notes an answer, and how much longer than predicted it took.
     pub fn on_response(&mut self, now: Time, ratio: f32) {
-        self.settle(now);
+        self.decay_to(now);
         self.observe(ratio);
-        self.failing -= WEIGHT * self.failing;
+        self.failure_rate -= WEIGHT * self.failure_rate;
         self.streak = 0;
     }
 
     /// Notes that an answer is overdue by `ratio`, without an end in sight.
     pub fn on_overdue(&mut self, now: Time, ratio: f32) {
-        self.settle(now);
+        self.decay_to(now);
         if ratio > self.ratio {
             self.observe(ratio);
         }
@@ -57,8 +57,8 @@
 
     /// Notes a failure, however fast it came.
     pub fn on_failure(&mut self, now: Time) {
-        self.settle(now);
-        self.failing += WEIGHT * (1.0 - self.failing);
+        self.decay_to(now);
+        self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
         self.streak = (self.streak + 1).min(STREAK_MAX);
     }
 
@@ -76,8 +76,11 @@
 
     /// Returns [`Health::slowdown`] and [`Health::failure_rate`] for one fade's price.
     pub(super) fn verdict(&self, now: Time) -> (f32, f32) {
-        let kept = self.kept(now);
-        (1.0 + (self.ratio - 1.0) * kept, self.failing * kept)
+        let factor = self.decay_factor(now);
+        (
+            1.0 + (self.ratio - 1.0) * factor,
+            self.failure_rate * factor,
+        )
     }
 
     fn observe(&mut self, ratio: f32) {
@@ -85,16 +88,16 @@
         self.ratio += WEIGHT * (ratio - self.ratio);
     }
 
-    fn settle(&mut self, now: Time) {
-        (self.ratio, self.failing) = self.verdict(now);
-        self.seen = now;
+    fn decay_to(&mut self, now: Time) {
+        (self.ratio, self.failure_rate) = self.verdict(now);
+        self.updated_at = now;
     }
 
     // The rational form is a close kin of the exponential one, and it is
     // computed for every candidate of every choice.
-    fn kept(&self, now: Time) -> f32 {
-        let idle = now.as_micros().saturating_sub(self.seen.as_micros()) as f32;
-        let fade = FADE_MICROS * (1_u32 << self.streak) as f32;
-        fade / (fade + idle)
+    fn decay_factor(&self, now: Time) -> f32 {
+        let idle = now.as_micros().saturating_sub(self.updated_at.as_micros()) as f32;
+        let half_life = HALF_LIFE_MICROS * (1_u32 << self.streak) as f32;
+        half_life / (half_life + idle)
     }
 }
--- a/lib/src/routing/mod.rs
+++ b/lib/src/routing/mod.rs
@@ -1,7 +1,6 @@
 //! Where a stage goes: the router's view of endpoints and the choice among them.
 
 mod baseline;
-mod drag;
 mod endpoint;
 mod fleet;
 mod health;
@@ -10,6 +9,7 @@
 mod predicted;
 mod prefix;
 mod report;
+mod slowdown;
 
 pub use baseline::LeastOutstanding;
 pub use baseline::RoundRobin;
--- a/lib/src/routing/policy.rs
+++ b/lib/src/routing/policy.rs
@@ -131,18 +131,21 @@
     if let Some(choice) = policy.choose(now, pool, need, rng) {
         return Some(choice);
     }
-    let near = Need {
+    let any_domain = Need {
         domain: None,
         ..*need
     };
     if need.domain.is_some()
-        && let Some(choice) = policy.choose(now, pool, &near, rng)
+        && let Some(choice) = policy.choose(now, pool, &any_domain, rng)
     {
         return Some(choice);
     }
     if need.avoid.is_empty() {
         return None;
     }
-    let again = Need { avoid: &[], ..near };
-    policy.choose(now, pool, &again, rng)
+    let any_endpoint = Need {
+        avoid: &[],
+        ..any_domain
+    };
+    policy.choose(now, pool, &any_endpoint, rng)
 }
--- a/lib/src/routing/pool.rs
+++ b/lib/src/routing/pool.rs
@@ -7,10 +7,10 @@
 use super::Endpoint;
 use super::Need;
 use super::PrefixIndex;
-use super::drag::Drag;
 use super::endpoint::Forecast;
-use super::endpoint::Usual;
-use super::endpoint::first_work;
+use super::endpoint::PoolAverages;
+use super::endpoint::initial_work;
+use super::slowdown::SlowdownModel;
 use crate::ids::EndpointId;
 use crate::ids::Incarnation;
 use crate::ids::ModelName;
@@ -27,9 +27,9 @@
 
 /// The slot that an endpoint entered, and the absent one that it took it from.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Entered {
+pub(super) struct Inserted {
     pub(super) slot: usize,
-    pub(super) ousted: Option<EndpointId>,
+    pub(super) evicted: Option<EndpointId>,
 }
 
 /// The endpoints of one pool, each in a slot that stays its own.
@@ -38,12 +38,12 @@
     pub(super) endpoints: Vec<Endpoint>,
     pub(super) prefix_index: PrefixIndex,
     pub(super) price: f32,
-    pub(super) mean: f32,
+    pub(super) mean_busy: f32,
     slots: BTreeMap<EndpointId, usize>,
     absent: BTreeSet<usize>,
     models: Vec<ModelName>,
-    work: f32,
-    drag: Drag,
+    mean_work: f32,
+    slowdown: SlowdownModel,
 }
 
 impl Default for Pool {
@@ -52,12 +52,12 @@
             endpoints: Vec::new(),
             prefix_index: PrefixIndex::default(),
             price: 1.0,
-            mean: 0.0,
+            mean_busy: 0.0,
             slots: BTreeMap::new(),
             absent: BTreeSet::new(),
             models: Vec::new(),
-            work: first_work(),
-            drag: Drag::default(),
+            mean_work: initial_work(),
+            slowdown: SlowdownModel::default(),
         }
     }
 }
@@ -84,7 +84,7 @@
     /// Returns how much a full batch slows down each of its calls.
     #[must_use]
     pub const fn batch_slowdown(&self) -> f32 {
-        self.drag.slope()
+        self.slowdown.slope()
     }
 
     /// Predicts the seconds to an answer of usual work at a slot.
@@ -96,7 +96,8 @@
 
     /// Predicts the seconds to an answer at the best endpoint, if there is one.
     pub fn best_predicted(&mut self, now: Time, need: &Need<'_>) -> Option<f32> {
-        self.prefix_index.measure(need.prefix, self.endpoints.len());
+        self.prefix_index
+            .match_prefix(need.prefix, self.endpoints.len());
         (0..self.endpoints.len())
             .filter(|&slot| self.allows(now, slot, need))
             .map(|slot| self.forecast(now, slot, need).total)
@@ -111,7 +112,7 @@
 
     /// Returns the bit of a model, or `None` if no endpoint has it.
     #[must_use]
-    pub fn model(&self, name: &ModelName) -> Option<u64> {
+    pub fn model_bit(&self, name: &ModelName) -> Option<u64> {
         let index = self.models.iter().position(|m| m == name)?;
         Some(1 << index)
     }
@@ -122,26 +123,26 @@
         !self.models.is_empty()
     }
 
-    pub(super) fn mask(&mut self, names: &[ModelName]) -> u64 {
+    pub(super) fn model_mask(&mut self, names: &[ModelName]) -> u64 {
         let mut mask = 0;
         for name in names {
             if !self.models.contains(name) && self.models.len() < MODELS_MAX {
                 self.models.push(name.clone());
             }
-            mask |= self.model(name).unwrap_or(0);
+            mask |= self.model_bit(name).unwrap_or(0);
         }
         mask
     }
 
     /// Finds or makes the slot of an endpoint; `None` for a life that is over.
-    pub(super) fn enter(
+    pub(super) fn insert(
         &mut self,
         id: &EndpointId,
         incarnation: Incarnation,
-        life: u64,
-    ) -> Option<Entered> {
+        instance: u64,
+    ) -> Option<Inserted> {
         let Some(slot) = self.find(id) else {
-            return Some(self.fill(Endpoint::new(id.clone(), incarnation, life)));
+            return Some(self.assign_slot(Endpoint::new(id.clone(), incarnation, instance)));
         };
         let old = &mut self.endpoints[slot];
         if incarnation < old.incarnation {
@@ -149,47 +150,53 @@
         }
         if incarnation > old.incarnation {
             self.prefix_index.clear(slot);
-            self.endpoints[slot] = Endpoint::new(id.clone(), incarnation, life);
+            self.endpoints[slot] = Endpoint::new(id.clone(), incarnation, instance);
         } else {
-            old.present = true;
+            old.reachable = true;
         }
         self.absent.remove(&slot);
-        Some(Entered { slot, ousted: None })
+        Some(Inserted {
+            slot,
+            evicted: None,
+        })
     }
 
     /// Notes that the endpoint at a slot can't be reached any more.
-    pub(super) fn leave(&mut self, slot: usize) {
-        self.endpoints[slot].present = false;
+    pub(super) fn mark_absent(&mut self, slot: usize) {
+        self.endpoints[slot].reachable = false;
         self.absent.insert(slot);
     }
 
     // Replaced hosts bring new names every day; without reuse the slots, and
     // with them each choice, would grow for as long as the router lives.
-    fn fill(&mut self, endpoint: Endpoint) -> Entered {
+    fn assign_slot(&mut self, endpoint: Endpoint) -> Inserted {
         let idle = |slot: &usize| self.endpoints[*slot].outstanding == 0;
         let free = self.absent.iter().copied().find(idle);
         let slot = free.unwrap_or(self.endpoints.len());
         self.slots.insert(endpoint.id.clone(), slot);
         if free.is_none() {
             self.endpoints.push(endpoint);
-            return Entered { slot, ousted: None };
+            return Inserted {
+                slot,
+                evicted: None,
+            };
         }
         self.absent.remove(&slot);
         self.prefix_index.clear(slot);
         let old = std::mem::replace(&mut self.endpoints[slot], endpoint);
         self.slots.remove(&old.id);
-        Entered {
+        Inserted {
             slot,
-            ousted: Some(old.id),
+            evicted: Some(old.id),
         }
     }
 
-    pub(super) fn cache(&mut self, slot: usize, update: &CacheUpdate) {
+    pub(super) fn apply_cache(&mut self, slot: usize, update: &CacheUpdate) {
         let endpoint = &mut self.endpoints[slot];
-        let renewed = update.epoch > endpoint.cache_epoch;
+        let restarted = update.epoch > endpoint.cache_epoch;
         let skipped = update.first > endpoint.cache_next;
-        let known = !renewed && update.first < endpoint.cache_next;
-        if update.epoch < endpoint.cache_epoch || known {
+        let applied = !restarted && update.first < endpoint.cache_next;
+        if update.epoch < endpoint.cache_epoch || applied {
             return;
         }
         endpoint.cache_epoch = update.epoch;
@@ -198,19 +205,19 @@
         // After a gap a drop may have been missed, and the endpoint would draw
         // prompts for blocks that it lost long ago. Starting again from nothing
         // costs a few prompts read twice.
-        if renewed || update.gap || skipped {
+        if restarted || update.gap || skipped {
             self.prefix_index.clear(slot);
         }
         for &block in &update.added {
             self.prefix_index.add(slot, block);
         }
         for &block in &update.dropped {
-            self.prefix_index.drop_block(slot, block);
+            self.prefix_index.remove(slot, block);
         }
     }
 
     pub(super) fn observe_work(&mut self, slot: usize, seconds: f32) {
-        self.work += WORK_WEIGHT * (seconds - self.work);
+        self.mean_work += WORK_WEIGHT * (seconds - self.mean_work);
         self.endpoints[slot].observe_work(seconds);
     }
 
@@ -218,24 +225,24 @@
     ///
     /// `ratio` is the time taken over the time predicted without drag.
     pub(super) const fn observe_batch_slowdown(&mut self, occupancy: f32, ratio: f32) {
-        self.drag.observe(occupancy, ratio);
+        self.slowdown.observe(occupancy, ratio);
     }
 
     /// Learns how many times its promised time an answer took.
     pub(super) fn observe_overrun(&mut self, ratio: f32) {
-        self.drag.observe_overrun(ratio);
+        self.slowdown.observe_overrun(ratio);
     }
 
     /// Returns how much longer than promised the answers of all endpoints take.
     #[must_use]
     pub const fn shared_slowdown(&self) -> f32 {
-        self.drag.shared_slowdown()
+        self.slowdown.shared_slowdown()
     }
 
-    fn usual(&self) -> Usual {
-        Usual {
-            work: self.work,
-            drag: self.drag.slope(),
+    fn averages(&self) -> PoolAverages {
+        PoolAverages {
+            work: self.mean_work,
+            slope: self.slowdown.slope(),
         }
     }
 
@@ -248,12 +255,12 @@
             && !need.avoid.contains(&slot)
     }
 
-    pub(super) fn cached(&self, slot: usize) -> u32 {
-        u32::from(self.prefix_index.held(slot)) * BLOCK_TOKENS
+    pub(super) fn cached_tokens(&self, slot: usize) -> u32 {
+        u32::from(self.prefix_index.leading_blocks(slot)) * BLOCK_TOKENS
     }
 
     pub(super) fn forecast(&self, now: Time, slot: usize, need: &Need<'_>) -> Forecast {
-        self.forecast_with(now, slot, need, self.cached(slot))
+        self.forecast_with(now, slot, need, self.cached_tokens(slot))
     }
 
     pub(super) fn forecast_with(
@@ -263,6 +270,6 @@
         need: &Need<'_>,
         cached: u32,
     ) -> Forecast {
-        self.endpoints[slot].forecast(now, need, cached, self.usual())
+        self.endpoints[slot].forecast(now, need, cached, self.averages())
     }
 }
--- a/lib/src/routing/predicted.rs
+++ b/lib/src/routing/predicted.rs
@@ -19,24 +19,24 @@
 ///
 /// Reports lag, so routers that all took the very best would all take the same
 /// endpoint until the next report, and queue up there.
-const EQUAL: f32 = 0.05;
+const TIE_FRACTION: f32 = 0.05;
 
 /// The candidates that are looked at in a large pool, spread evenly.
 ///
 /// The best of 128 is among the best twentieth of all in 998 of 1,000 choices
 /// (1 - 0.95^128), and routers that look at others don't all find the same.
-const SAMPLE: usize = 128;
+const SAMPLE_SIZE: usize = 128;
 
 /// The prefix_index of the longest part of the prefix that are looked at besides.
-const DEEPEST: usize = 32;
+const PREFIX_CANDIDATES: usize = 32;
 
 /// How many budgets a failed call counts for.
-const FAILURE: f32 = 4.0;
+const FAILURE_BUDGETS: f32 = 4.0;
 
 /// The weight of a second that comes early enough.
 ///
 /// It is not zero, because the slack is worth something to later stages.
-const EARLY: f32 = 0.25;
+const EARLY_WEIGHT: f32 = 0.25;
 
 /// Takes the endpoint with the least predicted lateness and cost.
 #[derive(Debug, Clone, Default)]
@@ -66,20 +66,20 @@
         if count == 0 {
             return None;
         }
-        pool.prefix_index.measure(need.prefix, count);
+        pool.prefix_index.match_prefix(need.prefix, count);
         let start = rng.next_u32() as usize % count;
         let mut search = Search::new(now, need, pool);
-        let step = count.div_ceil(SAMPLE);
-        search.look((0..count).step_by(step).map(|i| (start + i) % count));
+        let step = count.div_ceil(SAMPLE_SIZE);
+        search.consider((0..count).step_by(step).map(|i| (start + i) % count));
         if step > 1 {
-            search.look(pool.prefix_index.deepest().take(DEEPEST));
+            search.consider(pool.prefix_index.longest().take(PREFIX_CANDIDATES));
             if search.best[0].is_none() {
-                search.look(0..count);
+                search.consider(0..count);
             }
         }
         let Search { best, load, .. } = search;
-        pool.mean = load.mean();
-        pick(pool, need, best, rng)
+        pool.mean_busy = load.mean();
+        pick_among_ties(pool, need, best, rng)
     }
 }
 
@@ -88,7 +88,7 @@
     now: Time,
     need: &'a Need<'a>,
     pool: &'a Pool,
-    scale: Scale,
+    weights: ScoreWeights,
     best: [Option<Scored>; 3],
     load: Load,
 }
@@ -99,18 +99,18 @@
             now,
             need,
             pool,
-            scale: Scale::new(need, pool.price),
+            weights: ScoreWeights::new(need, pool.price),
             best: [None; 3],
             load: Load::default(),
         }
     }
 
-    fn look(&mut self, slots: impl Iterator<Item = usize>) {
+    fn consider(&mut self, slots: impl Iterator<Item = usize>) {
         for slot in slots {
             if self.pool.allows(self.now, slot, self.need) {
                 self.load.add(self.pool.endpoints[slot].busy());
-                let scored = score(self.now, self.pool, slot, self.need, &self.scale);
-                insert(&mut self.best, scored);
+                let scored = score(self.now, self.pool, slot, self.need, &self.weights);
+                insert_best(&mut self.best, scored);
             }
         }
     }
@@ -135,13 +135,13 @@
 
 /// What is the same for every candidate of a choice.
 #[derive(Debug, Clone, Copy)]
-struct Scale {
+struct ScoreWeights {
     budget: f32,
     lateness: f32,
     cost: f32,
 }
 
-impl Scale {
+impl ScoreWeights {
     fn new(need: &Need<'_>, price: f32) -> Self {
         Self {
             budget: need.budget.as_secs_f32().max(0.001),
@@ -151,16 +151,16 @@
     }
 }
 
-fn score(now: Time, pool: &Pool, slot: usize, need: &Need<'_>, scale: &Scale) -> Scored {
+fn score(now: Time, pool: &Pool, slot: usize, need: &Need<'_>, weights: &ScoreWeights) -> Scored {
     let forecast = pool.forecast(now, slot, need);
     // An endpoint that fails at once has no queue and would look best. Its
     // failures are charged with more than the budget that the caller loses.
-    let lost = FAILURE * forecast.failing * scale.budget;
-    let lateness = lateness(forecast.total, scale.budget) + lost;
-    let work = work(now, pool, slot, need, forecast);
+    let failure_cost = FAILURE_BUDGETS * forecast.failure_rate * weights.budget;
+    let lateness = lateness(forecast.total, weights.budget) + failure_cost;
+    let work = charged_work(now, pool, slot, need, forecast);
     Scored {
         slot,
-        score: scale.lateness * lateness + scale.cost * work,
+        score: weights.lateness * lateness + weights.cost * work,
         total: forecast.total,
         nominal: forecast.nominal,
     }
@@ -168,9 +168,9 @@
 
 // A prefix shared by most prompts would draw all of them to one endpoint. Above
 // the load bound the prompt counts as unread, so that others get the prefix too.
-fn work(now: Time, pool: &Pool, slot: usize, need: &Need<'_>, forecast: Forecast) -> f32 {
-    let crowded = pool.endpoints[slot].busy() as f32 > LOAD_BOUND * pool.mean + 1.0;
-    if crowded && pool.cached(slot) > 0 {
+fn charged_work(now: Time, pool: &Pool, slot: usize, need: &Need<'_>, forecast: Forecast) -> f32 {
+    let crowded = pool.endpoints[slot].busy() as f32 > LOAD_BOUND * pool.mean_busy + 1.0;
+    if crowded && pool.cached_tokens(slot) > 0 {
         return pool.forecast_with(now, slot, need, 0).work;
     }
     forecast.work
@@ -180,13 +180,13 @@
 // little; the weight grows up to the budget and stays twofold beyond it.
 fn lateness(total: f32, budget: f32) -> f32 {
     if total <= budget {
-        total * (EARLY + (1.0 - EARLY) * total / budget)
+        total * (EARLY_WEIGHT + (1.0 - EARLY_WEIGHT) * total / budget)
     } else {
         2.0 * total - budget
     }
 }
 
-fn insert(best: &mut [Option<Scored>; 3], new: Scored) {
+fn insert_best(best: &mut [Option<Scored>; 3], new: Scored) {
     if best.iter().flatten().any(|old| old.slot == new.slot) {
         return;
     }
@@ -200,23 +200,24 @@
     }
 }
 
-fn pick(
+fn pick_among_ties(
     pool: &Pool,
     need: &Need<'_>,
     best: [Option<Scored>; 3],
     rng: &mut Pcg32,
 ) -> Option<Choice> {
-    let first = best[0]?;
-    let bound = first.score + EQUAL * first.total * EARLY * need.weights.lateness as f32;
-    let equal = best.iter().flatten().filter(|s| s.score <= bound).count();
-    let index = rng.next_u32() as usize % equal.max(1);
-    let chosen = best[index].unwrap_or(first);
+    let leader = best[0]?;
+    let bound =
+        leader.score + TIE_FRACTION * leader.total * EARLY_WEIGHT * need.weights.lateness as f32;
+    let ties = best.iter().flatten().filter(|s| s.score <= bound).count();
+    let index = rng.next_u32() as usize % ties.max(1);
+    let chosen = best[index].unwrap_or(leader);
     let mut others = [None; 2];
     let rest = best.iter().flatten().filter(|s| s.slot != chosen.slot);
-    for (place, other) in others.iter_mut().zip(rest) {
-        *place = Some((other.slot, other.total));
+    for (entry, other) in others.iter_mut().zip(rest) {
+        *entry = Some((other.slot, other.total));
     }
-    let why = if pool.cached(chosen.slot) > 0 {
+    let why = if pool.cached_tokens(chosen.slot) > 0 {
         Why::Prefix
     } else {
         Why::Predicted
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     blocks: BTreeMap<u64, Vec<u64>>,
-    alive: Vec<u64>,
-    deepest: Vec<u64>,
-    held: Vec<u16>,
+    candidates: Vec<u64>,
+    longest: Vec<u64>,
+    leading: Vec<u16>,
 }
 
 impl PrefixIndex {
@@ -35,7 +35,7 @@
     }
 
     /// Notes that a slot dropped a block.
-    pub fn drop_block(&mut self, slot: usize, block: u64) {
+    pub fn remove(&mut self, slot: usize, block: u64) {
         let Some(words) = self.blocks.get_mut(&block) else {
             return;
         };
@@ -60,38 +60,38 @@
     /// Finds how many of the leading blocks each of `slots` slots holds.
     ///
     /// The answer is read with [`PrefixIndex::held`].
-    pub fn measure(&mut self, prefix: &[u64], slots: usize) {
-        self.held.clear();
-        self.held.resize(slots, 0);
-        self.alive.clear();
-        self.alive.resize(slots.div_ceil(64), u64::MAX);
-        self.deepest.clear();
+    pub fn match_prefix(&mut self, prefix: &[u64], slots: usize) {
+        self.leading.clear();
+        self.leading.resize(slots, 0);
+        self.candidates.clear();
+        self.candidates.resize(slots.div_ceil(64), u64::MAX);
+        self.longest.clear();
         for (index, block) in prefix.iter().enumerate() {
             let words = self.blocks.get(block).map_or(&[][..], Vec::as_slice);
-            let mut left = 0;
-            for (place, alive) in self.alive.iter_mut().enumerate() {
-                let still = *alive & words.get(place).copied().unwrap_or(0);
-                mark(&mut self.held, place, *alive & !still, index);
-                *alive = still;
-                left |= still;
+            let mut any = 0;
+            for (word_index, remaining) in self.candidates.iter_mut().enumerate() {
+                let holding = *remaining & words.get(word_index).copied().unwrap_or(0);
+                record_depth(&mut self.leading, word_index, *remaining & !holding, index);
+                *remaining = holding;
+                any |= holding;
             }
-            if left == 0 {
+            if any == 0 {
                 return;
             }
-            self.deepest.clone_from(&self.alive);
+            self.longest.clone_from(&self.candidates);
         }
-        for (place, &alive) in self.alive.iter().enumerate() {
-            mark(&mut self.held, place, alive, prefix.len());
+        for (word_index, &remaining) in self.candidates.iter().enumerate() {
+            record_depth(&mut self.leading, word_index, remaining, prefix.len());
         }
     }
 
     /// Returns the slots that hold the most leading blocks, as last measured.
-    pub fn deepest(&self) -> impl Iterator<Item = usize> {
-        let words = self.deepest.iter().enumerate();
-        words.flat_map(|(place, &word)| {
+    pub fn longest(&self) -> impl Iterator<Item = usize> {
+        let words = self.longest.iter().enumerate();
+        words.flat_map(|(word_index, &word)| {
             let mut bits = word;
             std::iter::from_fn(move || {
-                let slot = (bits != 0).then(|| place * 64 + bits.trailing_zeros() as usize)?;
+                let slot = (bits != 0).then(|| word_index * 64 + bits.trailing_zeros() as usize)?;
                 bits &= bits - 1;
                 Some(slot)
             })
@@ -100,18 +100,18 @@
 
     /// Returns the leading blocks that a slot holds, as last measured.
     #[must_use]
-    pub fn held(&self, slot: usize) -> u16 {
-        self.held.get(slot).copied().unwrap_or(0)
+    pub fn leading_blocks(&self, slot: usize) -> u16 {
+        self.leading.get(slot).copied().unwrap_or(0)
     }
 }
 
-fn mark(held: &mut [u16], place: usize, mut bits: u64, blocks: usize) {
+fn record_depth(leading: &mut [u16], word_index: usize, mut bits: u64, blocks: usize) {
     if blocks == 0 {
         return;
     }
     while bits != 0 {
-        let slot = place * 64 + bits.trailing_zeros() as usize;
-        if let Some(entry) = held.get_mut(slot) {
+        let slot = word_index * 64 + bits.trailing_zeros() as usize;
+        if let Some(entry) = leading.get_mut(slot) {
             *entry = u16::try_from(blocks).unwrap_or(u16::MAX);
         }
         bits &= bits - 1;
--- a/lib/tests/test_chain.rs
+++ b/lib/tests/test_chain.rs
@@ -22,7 +22,7 @@
     world: World,
     chain: Option<Chain>,
     wake: Option<Time>,
-    begin: Time,
+    started_at: Time,
 }
 
 fn arg<T: std::str::FromStr>(case: &mut TestCase, name: &str) -> Option<T>
@@ -56,25 +56,25 @@
 impl Script {
     fn new() -> Self {
         let world = World::new(snipeyoke_lib::routing::PolicyKind::Predicted, 7);
-        let begin = world.now;
+        let started_at = world.now;
         Self {
             world,
             chain: None,
             wake: None,
-            begin,
+            started_at,
         }
     }
 
     fn run(&mut self, case: &mut TestCase) -> String {
         let mut text = String::new();
         if let Some(at) = arg::<u64>(case, "at") {
-            text = self.advance(self.begin + Duration::from_millis(at));
+            text = self.advance(self.started_at + Duration::from_millis(at));
         }
-        let more = match case.directive.as_str() {
+        let output = match case.directive.as_str() {
             "endpoint" => self.endpoint(case),
             "load" => self.load(case),
-            "gone" => self.gone(case),
-            "teach" => self.teach(case),
+            "gone" => self.unreachable(case),
+            "teach" => self.train(case),
             "request" => self.request(case),
             "owner" => self.owner(case),
             "wait" => String::new(),
@@ -82,7 +82,7 @@
             "verdict" => self.verdict(case),
             _ => self.event(case),
         };
-        text.push_str(&more);
+        text.push_str(&output);
         case.expect_empty().expect("no unknown argument");
         if text.is_empty() {
             text.push_str("-\n");
@@ -108,7 +108,7 @@
         String::new()
     }
 
-    fn gone(&mut self, case: &mut TestCase) -> String {
+    fn unreachable(&mut self, case: &mut TestCase) -> String {
         let id: EndpointId = arg(case, "id").expect("id=");
         self.world.reports.remove(&id);
         self.world.shared.fleet.mark_unreachable(&id);
@@ -121,14 +121,14 @@
         String::new()
     }
 
-    fn teach(&mut self, case: &mut TestCase) -> String {
+    fn train(&mut self, case: &mut TestCase) -> String {
         let stage = arg(case, "stage").expect("stage=");
-        let took = Duration::from_millis(arg(case, "took").expect("took="));
+        let elapsed = Duration::from_millis(arg(case, "took").expect("took="));
         let name = "p".parse().expect("a name");
         let entry = self.world.shared.times.entry(&name, stage);
         entry.seen(self.world.now);
         for _ in 0..20 {
-            entry.took.observe(took);
+            entry.took.observe(elapsed);
         }
         String::new()
     }
@@ -138,21 +138,21 @@
     fn answers(&mut self, case: &mut TestCase) -> String {
         let stages: Vec<String> = case.take_args("stages").expect("stages=(..)");
         let count = arg(case, "count").expect("count=");
-        let took = Duration::from_millis(arg(case, "took").expect("took="));
+        let elapsed = Duration::from_millis(arg(case, "took").expect("took="));
         let slow: Option<String> = arg(case, "slow");
         let times = arg(case, "times").unwrap_or(1);
         for _ in 0..count {
-            self.begin = self.world.now;
+            self.started_at = self.world.now;
             self.chain = Some(Chain::new(spec(self.world.now, &stages, 60_000)));
             self.wake = None;
             let sent = self.feed(Event::Start);
             let late = slow
                 .as_ref()
                 .is_some_and(|id| sent.contains(&format!("to={id} ")));
-            let after = if late { took * times } else { took };
-            self.world.advance(self.begin + after);
+            let after = if late { elapsed * times } else { elapsed };
+            self.world.advance(self.started_at + after);
             let usage = Usage {
-                work: took,
+                work: elapsed,
                 ..Usage::default()
             };
             self.feed(Event::Ended {
@@ -168,10 +168,10 @@
         let id: EndpointId = arg(case, "id").expect("id=");
         let now = self.world.now;
         let mut pools = self.world.shared.fleet.pools().values();
-        let seen =
+        let slowdown =
             pools.find_map(|pool| Some(pool.endpoints()[pool.find(&id)?].health().slowdown(now)));
-        let slow = seen.expect("an endpoint");
-        format!("{slow:.1} times as slow as promised\n")
+        let slowdown = slowdown.expect("an endpoint");
+        format!("{slowdown:.1} times as slow as promised\n")
     }
 
     fn request(&mut self, case: &mut TestCase) -> String {
@@ -180,7 +180,7 @@
         let mut spec = spec(self.world.now, &stages, deadline);
         spec.stream = flag(case, "stream");
         spec.slot_owner = arg(case, "slot");
-        self.begin = self.world.now;
+        self.started_at = self.world.now;
         self.chain = Some(Chain::new(spec));
         self.wake = None;
         self.feed(Event::Start)
@@ -248,7 +248,7 @@
     fn feed(&mut self, event: Event) -> String {
         let chain = self.chain.as_mut().expect("a request");
         let actions = self.world.feed(chain, event);
-        let at = self.world.now.since(self.begin).as_millis();
+        let at = self.world.now.since(self.started_at).as_millis();
         let mut text = String::new();
         for action in actions {
             if let Action::WakeAt(wake) = action {
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn follows_the_scenarios() {
+fn chain_scenarios() {
     datadriven::walk("tests/scenarios/chain", |file| {
         let mut script = Script::new();
         file.run(|case| script.run(case));
--- a/lib/tests/test_chain_random.rs
+++ b/lib/tests/test_chain_random.rs
@@ -23,22 +23,22 @@
 use crate::chain_world::spec;
 
 /// The tokens of a whole answer.
-const ANSWER: u32 = 12;
+const ANSWER_TOKENS: u32 = 12;
 
 /// One step of the outside world; numbers pick among what is possible.
 #[derive(Debug, Clone)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Sent(usize),
     Tokens(usize, u32),
     /// Chunks that the network repeated or lost.
-    Odd(usize, u32, u32),
+    StrayTokens(usize, u32, u32),
     Complete(usize),
     Refuse(usize, Reason),
-    Break(usize, Reason),
-    Gone(usize),
+    Fail(usize, Reason),
+    Unreachable(usize),
     /// The key's slot moves, or nobody owns it for a while.
-    Own(Option<usize>),
+    SetOwner(Option<usize>),
     Start,
     CallerGone,
     Stop,
@@ -54,15 +54,15 @@
     ];
     let failure = prop_oneof![Just(Reason::Connection), Just(Reason::EndpointFailure)];
     prop_oneof![
-        6 => (0_u64..400).prop_map(Step::Pass),
+        6 => (0_u64..400).prop_map(Step::Advance),
         2 => pick.clone().prop_map(Step::Sent),
         6 => (pick.clone(), 1_u32..6).prop_map(|(a, n)| Step::Tokens(a, n)),
-        2 => (pick.clone(), 0_u32..14, 1_u32..6).prop_map(|(a, i, n)| Step::Odd(a, i, n)),
+        2 => (pick.clone(), 0_u32..14, 1_u32..6).prop_map(|(a, i, n)| Step::StrayTokens(a, i, n)),
         6 => pick.clone().prop_map(Step::Complete),
         3 => (pick.clone(), refusal).prop_map(|(a, r)| Step::Refuse(a, r)),
-        3 => (pick.clone(), failure).prop_map(|(a, r)| Step::Break(a, r)),
-        1 => pick.prop_map(Step::Gone),
-        3 => prop::option::of(0_usize..3).prop_map(Step::Own),
+        3 => (pick.clone(), failure).prop_map(|(a, r)| Step::Fail(a, r)),
+        1 => pick.prop_map(Step::Unreachable),
+        3 => prop::option::of(0_usize..3).prop_map(Step::SetOwner),
         1 => Just(Step::Start),
         1 => Just(Step::CallerGone),
         1 => Just(Step::Stop),
@@ -71,21 +71,21 @@
 
 /// What is true of an attempt, whatever the chain believes.
 #[derive(Debug)]
-struct Truth {
+struct AttemptRecord {
     stage: usize,
     /// The first token that the attempt was asked for.
-    from: u32,
+    resume_from: u32,
     /// The next token that the endpoint gives.
     next: u32,
     /// Whether a proof that it did not run was reported.
-    proven: bool,
+    proven_not_run: bool,
     ended: bool,
 }
 
 /// Checks every action against the promises.
-struct Judge {
-    truths: BTreeMap<AttemptId, Truth>,
-    once: Vec<bool>,
+struct Checker {
+    attempts: BTreeMap<AttemptId, AttemptRecord>,
+    once_stages: Vec<bool>,
     /// The tokens that the caller holds, each with the attempt that gave it.
     answer: Vec<(u32, AttemptId)>,
     stage: usize,
@@ -93,15 +93,15 @@
     /// The owner of the key's slot, as the chain was told.
     owner: Option<EndpointId>,
     /// The endpoint that was sent the key last.
-    asked: Option<EndpointId>,
+    last_sent_to: Option<EndpointId>,
     /// The endpoint that gave the key back, until another owner is named.
-    refuser: Option<EndpointId>,
+    refused_by: Option<EndpointId>,
     wake: Option<Time>,
     deadline: Time,
 }
 
-impl Judge {
-    fn judge(&mut self, now: Time, event: &Event, actions: &[Action]) {
+impl Checker {
+    fn check(&mut self, now: Time, event: &Event, actions: &[Action]) {
         for action in actions {
             assert!(self.finish.is_none(), "{action:?} follows the outcome");
             match action {
@@ -123,13 +123,16 @@
                     retry_after,
                 } => {
                     let moves = matches!(reason, Some(Reason::NoLease | Reason::Draining));
-                    let told = retry_after.is_some() && now < self.deadline;
+                    let advised = retry_after.is_some() && now < self.deadline;
                     assert!(
-                        !moves || told,
+                        !moves || advised,
                         "a wait for an owner ends early, with advice"
                     );
                     let late = *reason == Some(Reason::Timeout);
-                    assert!(!late || !self.waits(), "a wait lasts to the deadline");
+                    assert!(
+                        !late || !self.awaits_owner(),
+                        "a wait lasts to the deadline"
+                    );
                     self.finished(*outcome);
                 }
                 Action::WakeAt(at) => self.wake = Some(*at),
@@ -139,30 +142,30 @@
     }
 
     /// Tells whether nobody is at work on a stage that may run only once.
-    fn waits(&self) -> bool {
-        let mut here = self.truths.values().filter(|t| t.stage == self.stage);
-        self.once.get(self.stage) == Some(&true) && here.all(|t| t.ended)
+    fn awaits_owner(&self) -> bool {
+        let mut attempts = self.attempts.values().filter(|t| t.stage == self.stage);
+        self.once_stages.get(self.stage) == Some(&true) && attempts.all(|t| t.ended)
     }
 
     fn sent_to(&mut self, stage: usize, endpoint: &EndpointId) {
-        if self.once[stage] {
+        if self.once_stages[stage] {
             assert_eq!(
                 Some(endpoint),
                 self.owner.as_ref(),
                 "only the owner runs it"
             );
-            let back = Some(endpoint) == self.refuser.as_ref();
-            assert!(!back, "a key goes back to who refused it");
-            self.asked = Some(endpoint.clone());
+            let repeated = Some(endpoint) == self.refused_by.as_ref();
+            assert!(!repeated, "a key goes back to who refused it");
+            self.last_sent_to = Some(endpoint.clone());
         }
     }
 
     fn sent(&mut self, attempt: AttemptId, stage: usize, from: u32) {
         assert_eq!(stage, self.stage, "a stage is sent in its turn");
-        if self.once[stage] {
-            let risky = |t: &Truth| t.stage == stage && !t.proven;
+        if self.once_stages[stage] {
+            let may_have_run = |t: &AttemptRecord| t.stage == stage && !t.proven_not_run;
             assert!(
-                !self.truths.values().any(risky),
+                !self.attempts.values().any(may_have_run),
                 "a non-idempotent stage is sent while it may have run"
             );
         }
@@ -171,16 +174,19 @@
             from, held,
             "a generation resumes at the first missing token"
         );
-        let truth = Truth {
+        let record = AttemptRecord {
             stage,
-            from,
+            resume_from: from,
             next: from,
-            proven: false,
+            proven_not_run: false,
             ended: false,
         };
-        assert!(self.truths.insert(attempt, truth).is_none(), "a new number");
-        let tries = self.truths.values().filter(|t| t.stage == stage).count();
-        assert!(tries <= 5, "attempts are bounded");
+        assert!(
+            self.attempts.insert(attempt, record).is_none(),
+            "a new number"
+        );
+        let count = self.attempts.values().filter(|t| t.stage == stage).count();
+        assert!(count <= 5, "attempts are bounded");
     }
 
     fn deliver(&mut self, event: &Event, by: AttemptId, skip: u32) {
@@ -196,16 +202,16 @@
         let new = *index + skip..*index + *tokens;
         self.answer.extend(new.map(|token| (token, by)));
         let held: Vec<u32> = self.answer.iter().map(|&(token, _)| token).collect();
-        let whole: Vec<u32> = (0..).take(held.len()).collect();
-        assert_eq!(held, whole, "each token once, in order");
-        let from = self.truths[&by].from as usize;
+        let expected: Vec<u32> = (0..).take(held.len()).collect();
+        assert_eq!(held, expected, "each token once, in order");
+        let from = self.attempts[&by].resume_from as usize;
         let mixed = self.answer[from..].iter().any(|&(_, other)| other != by);
         assert!(!mixed, "tokens of two answers are not mixed");
     }
 
     fn done(&mut self, event: &Event, stage: usize, by: AttemptId) {
         assert_eq!(stage, self.stage, "each stage is done once, in order");
-        assert_eq!(self.truths[&by].stage, stage, "by an attempt of its own");
+        assert_eq!(self.attempts[&by].stage, stage, "by an attempt of its own");
         let Event::Ended {
             attempt,
             end: AttemptEnd::Completed,
@@ -215,7 +221,7 @@
             panic!("only a completed attempt is taken");
         };
         assert_eq!(by, *attempt, "the attempt that completed is taken");
-        let streams = usage.output.0 > 0 && stage + 1 == self.once.len();
+        let streams = usage.output.0 > 0 && stage + 1 == self.once_stages.len();
         if streams || !self.answer.is_empty() {
             let held = u32::try_from(self.answer.len()).expect("short");
             assert_eq!(held, usage.output.0, "no token is missing");
@@ -227,13 +233,15 @@
     fn finished(&mut self, outcome: Outcome) {
         self.finish = Some(outcome);
         match outcome {
-            Outcome::Completed => assert_eq!(self.stage, self.once.len(), "all stages are done"),
+            Outcome::Completed => {
+                assert_eq!(self.stage, self.once_stages.len(), "all stages are done")
+            }
             Outcome::NotRun => assert!(
-                self.truths.values().all(|t| t.proven),
+                self.attempts.values().all(|t| t.proven_not_run),
                 "not-run is said of what may have run"
             ),
             Outcome::Unknown => assert!(
-                !self.truths.is_empty(),
+                !self.attempts.is_empty(),
                 "nothing was sent, so nothing can be unknown"
             ),
         }
@@ -243,7 +251,7 @@
 struct Run {
     world: World,
     chain: Chain,
-    judge: Judge,
+    checker: Checker,
 }
 
 impl Run {
@@ -263,33 +271,33 @@
         let mut spec = spec(world.now, &stages, 3_000);
         spec.stream = true;
         spec.slot_owner = Some("desk0".parse().expect("a name"));
-        let once = spec.pipeline.stages.iter().map(|s| !s.idempotent).collect();
-        let judge = Judge {
-            truths: BTreeMap::new(),
-            once,
+        let once_stages = spec.pipeline.stages.iter().map(|s| !s.idempotent).collect();
+        let checker = Checker {
+            attempts: BTreeMap::new(),
+            once_stages,
             answer: Vec::new(),
             stage: 0,
             finish: None,
             owner: spec.slot_owner.clone(),
-            asked: None,
-            refuser: None,
+            last_sent_to: None,
+            refused_by: None,
             wake: None,
             deadline: spec.deadline,
         };
         Self {
             world,
             chain: Chain::new(spec),
-            judge,
+            checker,
         }
     }
 
     fn feed(&mut self, event: &Event) {
-        self.note_refuser(event);
+        self.record_refusal(event);
         let actions = self.world.feed(&mut self.chain, event.clone());
-        self.judge.judge(self.world.now, event, &actions);
+        self.checker.check(self.world.now, event, &actions);
     }
 
-    fn note_refuser(&mut self, event: &Event) {
+    fn record_refusal(&mut self, event: &Event) {
         let moves = matches!(
             event,
             Event::Ended {
@@ -300,28 +308,30 @@
                 ..
             }
         );
-        let once = self.judge.once.get(self.judge.stage);
-        if moves && once == Some(&true) && self.judge.owner == self.judge.asked {
-            self.judge.refuser.clone_from(&self.judge.asked);
+        let once = self.checker.once_stages.get(self.checker.stage);
+        if moves && once == Some(&true) && self.checker.owner == self.checker.last_sent_to {
+            self.checker
+                .refused_by
+                .clone_from(&self.checker.last_sent_to);
         }
     }
 
-    fn own(&mut self, owner: Option<usize>) {
+    fn set_owner(&mut self, owner: Option<usize>) {
         let owner = owner.map(|n| format!("desk{n}").parse().expect("a name"));
-        if owner != self.judge.refuser {
-            self.judge.refuser = None;
+        if owner != self.checker.refused_by {
+            self.checker.refused_by = None;
         }
-        self.judge.owner.clone_from(&owner);
+        self.checker.owner.clone_from(&owner);
         self.chain.set_owner(owner);
     }
 
-    fn pass(&mut self, to: Time) {
+    fn advance(&mut self, to: Time) {
         for wakes in 0.. {
-            let Some(at) = self.judge.wake.filter(|&at| at <= to) else {
+            let Some(at) = self.checker.wake.filter(|&at| at <= to) else {
                 break;
             };
             assert!(wakes < 1_000, "time passes from wake to wake");
-            self.judge.wake = None;
+            self.checker.wake = None;
             self.world.advance(at);
             self.feed(&Event::Wake);
         }
@@ -329,29 +339,29 @@
     }
 
     fn pick(&self, number: usize) -> Option<AttemptId> {
-        let count = self.judge.truths.len();
+        let count = self.checker.attempts.len();
         (count > 0).then(|| AttemptId((count - 1 - number.min(count - 1)) as u64))
     }
 
     fn step(&mut self, step: &Step) {
         match step {
-            Step::Pass(ms) => self.pass(self.world.now + Duration::from_millis(*ms)),
-            Step::Gone(number) => {
+            Step::Advance(ms) => self.advance(self.world.now + Duration::from_millis(*ms)),
+            Step::Unreachable(number) => {
                 let pool = ["enc", "gen", "desk"][number % 3];
                 let id = format!("{pool}{}", number / 3).parse().expect("a name");
                 self.world.reports.remove(&id);
                 self.world.shared.fleet.mark_unreachable(&id);
             }
-            Step::Own(owner) => self.own(*owner),
+            Step::SetOwner(owner) => self.set_owner(*owner),
             Step::Start => self.feed(&Event::Start),
             Step::CallerGone => self.feed(&Event::CallerGone),
             Step::Stop => self.feed(&Event::Stop),
             Step::Sent(n)
             | Step::Tokens(n, _)
-            | Step::Odd(n, ..)
+            | Step::StrayTokens(n, ..)
             | Step::Complete(n)
             | Step::Refuse(n, _)
-            | Step::Break(n, _) => {
+            | Step::Fail(n, _) => {
                 if let Some(attempt) = self.pick(*n) {
                     self.attempt_step(step, attempt);
                 }
@@ -360,46 +370,50 @@
     }
 
     fn attempt_step(&mut self, step: &Step, attempt: AttemptId) {
-        let truth = self.judge.truths.get_mut(&attempt).expect("it was sent");
-        let generates = self.chain.spec().pipeline.stages[truth.stage]
+        let record = self
+            .checker
+            .attempts
+            .get_mut(&attempt)
+            .expect("it was sent");
+        let generates = self.chain.spec().pipeline.stages[record.stage]
             .role
             .to_string()
             == "generate";
         let event = match step {
             Step::Sent(_) => Event::Sent { attempt },
-            Step::Tokens(_, count) if generates && !truth.ended => {
-                let index = truth.next;
-                truth.next = (index + count).min(ANSWER);
+            Step::Tokens(_, count) if generates && !record.ended => {
+                let index = record.next;
+                record.next = (index + count).min(ANSWER_TOKENS);
                 Event::Chunk {
                     attempt,
                     index,
-                    tokens: truth.next - index,
+                    tokens: record.next - index,
                 }
             }
-            Step::Odd(_, index, tokens) if generates => Event::Chunk {
+            Step::StrayTokens(_, index, tokens) if generates => Event::Chunk {
                 attempt,
                 index: *index,
-                tokens: (*tokens).min(ANSWER.saturating_sub(*index)),
+                tokens: (*tokens).min(ANSWER_TOKENS.saturating_sub(*index)),
             },
             Step::Complete(_) => {
-                truth.ended = true;
+                record.ended = true;
                 ended(
                     attempt,
                     AttemptEnd::Completed,
-                    if generates { ANSWER } else { 0 },
+                    if generates { ANSWER_TOKENS } else { 0 },
                 )
             }
-            Step::Refuse(_, reason) if truth.next == 0 && !truth.ended => {
-                truth.ended = true;
-                truth.proven = true;
+            Step::Refuse(_, reason) if record.next == 0 && !record.ended => {
+                record.ended = true;
+                record.proven_not_run = true;
                 let end = AttemptEnd::NotRun {
                     reason: *reason,
                     retry_after: None,
                 };
                 ended(attempt, end, 0)
             }
-            Step::Break(_, reason) if !truth.ended => {
-                truth.ended = true;
+            Step::Fail(_, reason) if !record.ended => {
+                record.ended = true;
                 ended(attempt, AttemptEnd::Unknown { reason: *reason }, 0)
             }
             _ => return,
@@ -409,8 +423,8 @@
 
     fn check_end(mut self) {
         self.feed(&Event::Start);
-        self.pass(self.world.now + Duration::from_secs(4));
-        assert!(self.judge.finish.is_some(), "a request has an outcome");
+        self.advance(self.world.now + Duration::from_secs(4));
+        assert!(self.checker.finish.is_some(), "a request has an outcome");
         for pool in self.world.shared.fleet.pools().values() {
             for endpoint in pool.endpoints() {
                 assert_eq!(endpoint.outstanding(), 0, "all booked work is released");
@@ -449,7 +463,7 @@
     // and time passes in between. Whatever comes, the outcome is exactly one,
     // "not run" is said only with proof, and no effect is sent twice.
     #[test]
-    fn keeps_its_promises(
+    fn each_request_has_one_correct_outcome(
         steps in prop::collection::vec(step(), 0..40),
         shape in 0_usize..4,
         seed in any::<u64>(),
--- a/lib/tests/test_fleet.rs
+++ b/lib/tests/test_fleet.rs
@@ -21,7 +21,7 @@
 
 use crate::chain_world::World;
 
-fn why(world: &mut World) -> Why {
+fn choice_reason(world: &mut World) -> Why {
     let name = "gen".parse().expect("a name");
     let pool = world.shared.fleet.pool_mut(&name).expect("it was made");
     let need = Need {
@@ -54,7 +54,7 @@
     world
 }
 
-fn back(world: &mut World, incarnation: u64) {
+fn reconnect(world: &mut World, incarnation: u64) {
     let id: snipeyoke_lib::ids::EndpointId = "g1".parse().expect("a name");
     world.shared.fleet.mark_unreachable(&id);
     world.shared.fleet.upsert(
@@ -69,21 +69,21 @@
 }
 
 #[test]
-fn a_replaced_link_keeps_what_is_known_of_the_cache() {
+fn a_replaced_link_keeps_the_known_cache() {
     // Prompts with a shared prefix would be read again everywhere.
     // The link to an agent is replaced, the endpoint lives on, and its agent
     // tells only news. So the knowledge stays until a new life or a gap.
     let mut world = world();
-    assert_eq!(why(&mut world), Why::Prefix);
-    back(&mut world, 1);
-    assert_eq!(why(&mut world), Why::Prefix);
+    assert_eq!(choice_reason(&mut world), Why::Prefix);
+    reconnect(&mut world, 1);
+    assert_eq!(choice_reason(&mut world), Why::Prefix);
 }
 
 #[test]
-fn a_new_life_starts_with_an_empty_cache() {
+fn a_new_incarnation_starts_with_an_empty_cache() {
     let mut world = world();
-    back(&mut world, 2);
-    assert_eq!(why(&mut world), Why::Predicted);
+    reconnect(&mut world, 2);
+    assert_eq!(choice_reason(&mut world), Why::Predicted);
 }
 
 proptest! {
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -35,7 +35,7 @@
 struct Pool {
     now: Time,
     planner: Planner,
-    wishes: BTreeMap<ModelName, DesiredModel>,
+    desired: BTreeMap<ModelName, DesiredModel>,
     demand: BTreeMap<ModelName, Demand>,
     engines: BTreeMap<EndpointId, Engine>,
 }
@@ -50,7 +50,7 @@
         Self {
             now: Time::ZERO,
             planner: Planner::new(settings),
-            wishes: BTreeMap::new(),
+            desired: BTreeMap::new(),
             demand: BTreeMap::new(),
             engines: BTreeMap::new(),
         }
@@ -59,7 +59,7 @@
     fn plan(&mut self) -> (String, Vec<Order>) {
         let decisions = self
             .planner
-            .plan(self.now, &self.wishes, &self.demand, &self.engines);
+            .plan(self.now, &self.desired, &self.demand, &self.engines);
         let mut text = String::new();
         for decision in &decisions {
             writeln!(text, "{decision}").expect("text");
@@ -71,7 +71,7 @@
     }
 
     fn size(&self, model: &ModelName) -> Bytes {
-        self.wishes.get(model).map_or(Bytes(10), |w| w.size)
+        self.desired.get(model).map_or(Bytes(10), |w| w.size)
     }
 }
 
@@ -146,18 +146,18 @@
                 version,
                 adapter,
             } = build(&arg("build"));
-            let least = number("least") as usize;
-            pool.wishes.insert(
+            let min_copies = number("least") as usize;
+            pool.desired.insert(
                 model,
                 DesiredModel {
                     version,
                     adapter,
                     size: Bytes(10),
-                    least,
+                    min_copies,
                 },
             );
         }
-        "unwish" => pool.wishes.clear(),
+        "unwish" => pool.desired.clear(),
         "demand" => {
             let engines = arg("engines").parse().expect("a number of engines");
             pool.demand
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn the_gate_refuses_an_old_holder_whatever_it_learned_first() {
+fn the_gate_refuses_an_old_holder_after_an_observed_claim() {
     // The caller finds its model gone: a holder paused past its lease wakes up
     // and unloads what the new holder loaded. The agent restarted in between
     // and has seen no order of the new holder. It learned the claim from the
@@ -224,7 +224,7 @@
 
 /// An order on its way, with the number of the step at which it arrives.
 #[derive(Debug)]
-struct Flying {
+struct InFlight {
     arrives: usize,
     order: Order,
 }
@@ -247,13 +247,13 @@
         ..Config::default()
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let check = |(_, turns): (u64, Vec<(bool, usize)>)| {
+    let check = |(_, steps): (u64, Vec<(bool, usize)>)| {
         let mut race = Race::new();
-        for (step, (older, delay)) in turns.iter().enumerate() {
-            race.turn(step, *older, *delay);
+        for (step, (older, delay)) in steps.iter().enumerate() {
+            race.run_step(step, *older, *delay);
         }
-        for step in turns.len()..turns.len() + 60 {
-            race.turn(step, false, 0);
+        for step in steps.len()..steps.len() + 60 {
+            race.run_step(step, false, 0);
         }
         for (endpoint, engine) in &race.pool.engines {
             let builds: Vec<String> = engine.builds.keys().map(ToString::to_string).collect();
@@ -280,7 +280,7 @@
     pool: Pool,
     older: Planner,
     gates: BTreeMap<EndpointId, Gate>,
-    flying: Vec<Flying>,
+    in_flight: Vec<InFlight>,
 }
 
 impl Race {
@@ -303,20 +303,22 @@
             pool,
             older,
             gates: BTreeMap::new(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    fn turn(&mut self, step: usize, older: bool, delay: usize) {
+    fn run_step(&mut self, step: usize, older: bool, delay: usize) {
         self.pool.now = self.pool.now + Duration::from_secs(61);
         let version = if older { "1" } else { "2" };
-        let wish = DesiredModel {
+        let desired = DesiredModel {
             version: version.to_owned(),
             adapter: None,
             size: Bytes(10),
-            least: 1,
+            min_copies: 1,
         };
-        self.pool.wishes.insert("m".parse().expect("a name"), wish);
+        self.pool
+            .desired
+            .insert("m".parse().expect("a name"), desired);
         if older {
             std::mem::swap(&mut self.older, &mut self.pool.planner);
         }
@@ -325,15 +327,15 @@
             std::mem::swap(&mut self.older, &mut self.pool.planner);
         }
         let arrives = step + delay;
-        self.flying
-            .extend(orders.into_iter().map(|order| Flying { arrives, order }));
-        let (due, later) = std::mem::take(&mut self.flying)
+        self.in_flight
+            .extend(orders.into_iter().map(|order| InFlight { arrives, order }));
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|f| f.arrives <= step);
-        self.flying = later;
-        let due: Vec<Flying> = due;
-        for Flying { order, .. } in due {
-            self.arrive(&order);
+        self.in_flight = later;
+        let due: Vec<InFlight> = due;
+        for InFlight { order, .. } in due {
+            self.deliver(&order);
         }
         let serving = |e: &&Engine| !e.builds.is_empty();
         let ready = self.pool.engines.values().filter(serving).count();
@@ -341,7 +343,7 @@
         assert!(!fenced || ready >= 2, "only {ready} engines serve");
     }
 
-    fn arrive(&mut self, order: &Order) {
+    fn deliver(&mut self, order: &Order) {
         let gate = self.gates.entry(order.endpoint.clone()).or_default();
         if gate.check(order.fence, order.id) != Ok(GateOutcome::New) {
             return;
