--- a/lib/src/chain/attempt.rs
+++ b/lib/src/chain/attempt.rs
@@ -7,14 +7,14 @@
 use crate::routing::Booking;
 use crate::time::Time;
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum State {
-    /// It is on its way or at work.
+    /// It is queued, in transit or in service.
     Open,
-    /// Nobody waits for it any more; it may still run.
+    /// It was abandoned; it may still run.
     Dropped,
-    /// It ended, and it ran or may have run.
+    /// It ended and ran, or may have run.
     Ran,
     /// It ended with proof that it did not run.
     NotRun,
@@ -31,20 +31,20 @@
     pub(super) booking: Option<Booking>,
     pub(super) started_at: Time,
     pub(super) predicted: Duration,
-    /// The time predicted for an endpoint that keeps its promises.
+    /// The predicted time without the endpoint's health verdict.
     pub(super) nominal: Duration,
-    /// How full the endpoint was.
+    /// The occupancy of the endpoint when the attempt was sent.
     pub(super) occupancy: f32,
     pub(super) state: State,
     /// Whether its frame was written.
     pub(super) sent: bool,
-    /// The time of the first token, if one came.
+    /// When the first token was received, if any.
     pub(super) first_token: Option<Time>,
-    /// The time of the last sign of progress.
+    /// When the attempt last made progress.
     pub(super) last_progress: Time,
-    /// When the attempt counts as late enough for a hedge.
+    /// When a hedge may be sent.
     pub(super) hedge_at: Time,
-    /// When the attempt is given up.
+    /// When the attempt times out if no token was received.
     pub(super) timeout_at: Time,
 }
 
@@ -53,10 +53,11 @@
         self.state == State::Open
     }
 
-    /// Returns how many times its promised time the attempt has taken.
+    /// Returns the elapsed time as a multiple of the nominal predicted time.
     ///
-    /// The promise is without the endpoint's own verdict: measured against a
-    /// prediction that expects a straggler to be slow, it would seem healthy.
+    /// The nominal time leaves out the endpoint's health verdict: compared with a
+    /// prediction that already includes its slowness, a straggler would seem
+    /// healthy.
     pub(super) fn elapsed_ratio(&self, now: Time) -> f32 {
         let plain = self.nominal.as_secs_f32().max(0.001);
         now.since(self.started_at).as_secs_f32() / plain
--- a/lib/src/chain/decision.rs
+++ b/lib/src/chain/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions in the form that goes to the log.
+//! Routing decisions in the form that is logged.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use crate::ids::RequestId;
 use crate::routing::Why;
 
-/// An endpoint that was considered and not chosen.
+/// An endpoint that was a candidate and not chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Alternative {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The predicted time to its answer.
+    /// The predicted time to its response.
     pub predicted: Duration,
 }
 
-/// A decision of a chain; displays as key=value pairs.
+/// A decision of a chain, displayed as key=value pairs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// An endpoint was chosen for an attempt.
@@ -32,12 +32,12 @@
         endpoint: EndpointId,
         /// Why it was chosen.
         why: Why,
-        /// The predicted time to its answer.
+        /// The predicted time to its response.
         predicted: Duration,
-        /// The two next best.
+        /// The two next best endpoints.
         others: [Option<Alternative>; 2],
     },
-    /// An attempt ended; its real time is known.
+    /// An attempt ended, and its actual time is known.
     Settled {
         /// The request.
         request: RequestId,
@@ -47,15 +47,15 @@
         attempt: AttemptId,
         /// The endpoint that was chosen.
         endpoint: EndpointId,
-        /// The time that was predicted.
+        /// The predicted time.
         predicted: Duration,
-        /// The time that it took.
+        /// The actual time.
         actual: Duration,
     },
 }
 
 impl Decision {
-    /// Returns the decision as key=value pairs, for a log line.
+    /// Returns the key=value pairs for a log line.
     #[must_use]
     pub fn pairs(&self) -> Vec<(&'static str, String)> {
         match self {
@@ -103,7 +103,7 @@
     }
 }
 
-/// The keys of the two next best endpoints and their predicted times.
+/// The log keys of the two next best endpoints and their predicted times.
 const ALTERNATIVE_KEYS: [(&str, &str); 2] = [("best2", "best2_ms"), ("best3", "best3_ms")];
 
 impl fmt::Display for Decision {
--- a/lib/src/chain/ending.rs
+++ b/lib/src/chain/ending.rs
@@ -1,4 +1,4 @@
-//! How a chain tries again, lets attempts go, and ends.
+//! Retries, abandoned attempts and the end of a chain.
 
 use std::time::Duration;
 
@@ -14,29 +14,29 @@
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// The first pause before asking a full pool again; it doubles.
+/// The initial back-off of retries to a full pool; it doubles per attempt.
 const OVERLOAD_BACKOFF: Duration = Duration::from_millis(5);
 
-/// The part of the time left in which a key waits for its slot's next owner.
+/// The fraction of the remaining time spent waiting for the slot's next owner.
 ///
-/// What remains is for the call itself: 250 ms of the deadline of 1 s that
+/// The rest is for the call itself: 250 ms of the deadline of 1 s that
 /// approvals have.
 const OWNER_WAIT_FRACTION: f32 = 0.75;
 
 /// The longest wait for a slot's next owner.
 ///
-/// A slot changes hands in about a second; one that has no owner for longer
+/// Handing over a slot takes about a second. A slot without an owner for longer
 /// belonged to an agent that died, and its lease may run for minutes.
 const OWNER_WAIT_MAX: Duration = Duration::from_secs(3);
 
-/// The pause between two looks for a slot's next owner.
+/// The interval of checks for the slot's next owner.
 ///
-/// Agents report their slots each half second, so that an earlier look sees
-/// nothing new; spread by jitter, waiting keys don't reach a new owner at once.
+/// Agents report their slots each half second, so shorter intervals gain little.
+/// Jitter keeps waiting requests from reaching a new owner at the same time.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Chain {
-    /// Tries the stage again where that is allowed, or gives the request up.
+    /// Retries the stage if permitted, or ends the request.
     pub(super) fn retry(
         &mut self,
         reason: Reason,
@@ -56,9 +56,9 @@
             self.retry_at_owner(reason, after, ctx);
             return;
         }
-        // A drain moves work that nobody meant to fail; it is bounded by the
-        // number of attempts. All else draws from the budget: without it, each
-        // failure would add calls to a pool that fails because of its calls.
+        // Retries after a drain are exempt; the number of attempts bounds them.
+        // All others spend the retry budget: otherwise each failure would add
+        // calls to a pool that fails because of overload.
         let exempt = reason == Reason::Draining;
         if !exempt && !ctx.shared.retry.take(&self.current_stage().pool) {
             self.refuse(Reason::RetryBudget, after, ctx);
@@ -73,7 +73,7 @@
         }
     }
 
-    // A pause that ends too late for an answer would only hold the refusal back.
+    // A retry that comes too late for a response would only delay the refusal.
     fn schedule_retry(&mut self, backoff: Duration, ctx: &mut EventContext<'_>) {
         let retry_at = ctx.now + backoff;
         if retry_at >= timing::stage_deadline(ctx.now, self, ctx.shared) {
@@ -83,15 +83,15 @@
         self.retry_at = Some(retry_at);
     }
 
-    /// Tells whether only another owner of the key's slot can help.
+    /// Returns whether only another owner of the key's slot could run the call.
     pub(super) fn needs_other_owner(&self, reason: Reason) -> bool {
         let moves = matches!(reason, Reason::NoLease | Reason::Draining);
         moves && !self.current_stage().idempotent
     }
 
-    // The refusal proves that the attempt did not run, so an owner that is
-    // known already gets the key at once. It costs no retry: attempts are
-    // bounded, and nobody but the owner may take the call anyway.
+    // The refusal proves that the attempt did not run, so a known new owner gets
+    // the key at once. It spends no retry budget: attempts are bounded, and only
+    // the owner may run the call.
     fn retry_at_owner(
         &mut self,
         reason: Reason,
@@ -105,11 +105,11 @@
         }
     }
 
-    /// Waits for the next owner of the key's slot, or gives the request up.
+    /// Waits for the next owner of the key's slot, or ends the request.
     ///
-    /// While a slot changes hands nobody may run its keys. Refused at once,
-    /// every planned restart would show to callers as failed approvals. The
-    /// wait ends as soon as it can't help any more, and so does the request.
+    /// During a handover no endpoint may run the slot's keys. Without the wait,
+    /// every planned restart would fail approvals. The request ends as soon as
+    /// further waiting can't succeed.
     pub(super) fn wait_for_owner(
         &mut self,
         reason: Reason,
@@ -132,7 +132,7 @@
         self.give_up(reason, Some(after), ctx);
     }
 
-    /// Closes an attempt that ended.
+    /// Records the end of an attempt and releases its booking.
     pub(super) fn settle(&mut self, index: usize, state: State, ctx: &mut EventContext<'_>) {
         self.release(index, state, ctx);
         let attempt = &self.attempts[index];
@@ -155,12 +155,12 @@
         }
     }
 
-    /// Stops waiting for an attempt.
+    /// Abandons an attempt.
     pub(super) fn drop_attempt(&mut self, index: usize, ctx: &mut EventContext<'_>) {
         select::record_overdue(ctx.now, &self.attempts[index], self, ctx.shared);
         self.release(index, State::Dropped, ctx);
-        // An effect that has begun is not called off: it would end as unknown
-        // where waiting for nobody gives an answer that the key remembers.
+        // A non-idempotent call is not cancelled: its outcome would be unknown,
+        // whereas a call that completes leaves its response under the key.
         if self.current_stage().idempotent {
             ctx.out.push(Action::Cancel {
                 attempt: self.attempts[index].id,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Ends the request without an answer, at once.
+    /// Ends the request immediately without an answer.
     pub(super) fn give_up(
         &mut self,
         reason: Reason,
@@ -188,8 +188,8 @@
                 self.drop_attempt(index, ctx);
             }
         }
-        // "Not run" is a promise about every attempt of every stage. One
-        // attempt without proof, and the caller would repeat what did run.
+        // The outcome `NotRun` holds for every attempt of every stage. If one
+        // attempt lacked proof, the caller might repeat a call that ran.
         let proven = self.attempts.iter().all(|a| a.state == State::NotRun);
         let outcome = if proven {
             Outcome::NotRun
--- a/lib/src/chain/machine.rs
+++ b/lib/src/chain/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine itself: events in, actions out.
+//! The state machine, which turns events into actions.
 
 use super::Action;
 use super::Decision;
@@ -15,17 +15,17 @@
 use crate::outcome::Reason;
 use crate::time::Time;
 
-/// The most attempts at one stage, hedges included.
+/// The most attempts per stage, including hedges.
 pub(super) const ATTEMPTS_MAX: usize = 5;
 
-/// One event's handling: the time, what is shared, and the actions so far.
+/// The context of one event: the time, the shared state and the actions so far.
 pub(super) struct EventContext<'a> {
     pub(super) now: Time,
     pub(super) shared: &'a mut Shared,
     pub(super) out: &'a mut Vec<Action>,
 }
 
-/// Owns one accepted request until its one outcome.
+/// Owns an accepted request until its single outcome.
 #[derive(Debug, Clone)]
 pub struct Chain {
     pub(super) spec: RequestSpec,
@@ -34,9 +34,9 @@
     pub(super) held_tokens: u32,
     pub(super) token_source: Option<AttemptId>,
     pub(super) retry_at: Option<Time>,
-    /// When the wait for the slot's next owner ends, once it began.
+    /// When the wait for the slot's next owner ends, if one is in progress.
     pub(super) owner_deadline: Option<Time>,
-    /// The endpoint that refused the key, until another owner was named.
+    /// The endpoint that refused the key, until another owner is known.
     pub(super) refused_by: Option<EndpointId>,
     pub(super) stage_started: Time,
     pub(super) finished: bool,
@@ -45,7 +45,7 @@
 }
 
 impl Chain {
-    /// Takes over an accepted request; nothing happens before [`Event::Start`].
+    /// Builds a chain for an accepted request; it is idle until [`Event::Start`].
     #[must_use]
     pub const fn new(spec: RequestSpec) -> Self {
         Self {
@@ -70,9 +70,9 @@
         &self.spec
     }
 
-    /// Names the endpoint that owns the key's slot now.
+    /// Sets the endpoint that currently owns the key's slot.
     ///
-    /// Call it before each event: it is how a waiting chain hears of an owner.
+    /// Must be called before each event, so that a waiting chain sees a new owner.
     pub fn set_owner(&mut self, slot: Option<EndpointId>) {
         if self.refused_by != slot {
             self.refused_by = None;
@@ -80,19 +80,19 @@
         self.spec.slot_owner = slot;
     }
 
-    /// Returns the index of the stage that it is at.
+    /// Returns the index of the current stage.
     #[must_use]
     pub const fn stage(&self) -> usize {
         self.stage
     }
 
-    /// Tells whether [`Action::Finish`] was given.
+    /// Returns whether [`Action::Finish`] was emitted.
     #[must_use]
     pub const fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Takes in an event and appends what has to be done to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn on_event(
         &mut self,
         now: Time,
@@ -100,8 +100,8 @@
         shared: &mut Shared,
         out: &mut Vec<Action>,
     ) {
-        // Events that come after the outcome belong to attempts that were
-        // dropped with it: acting on one would give the caller a second answer.
+        // Events after the outcome belong to abandoned attempts; handling one
+        // would give the caller a second answer.
         if self.finished {
             return;
         }
@@ -177,14 +177,14 @@
         self.attempts.iter().position(|a| a.id == id && a.is_open())
     }
 
-    /// Sends a new attempt at the current stage, or gives the request up.
+    /// Sends a new attempt of the current stage, or ends the request.
     pub(super) fn send(&mut self, ctx: &mut EventContext<'_>) {
         if ctx.now >= timing::stage_deadline(ctx.now, self, ctx.shared) {
             self.give_up(Reason::Deadline, None, ctx);
             return;
         }
-        // An approval sent twice is invoiced twice. Only a proof for every
-        // earlier attempt makes another one safe, whatever led here.
+        // An approval that runs twice is invoiced twice. Another attempt is safe
+        // only with proof that no earlier one ran.
         let may_have_run = self.stage_attempts().any(|a| a.state != State::NotRun);
         if !self.current_stage().idempotent && may_have_run {
             self.give_up(Reason::Connection, None, ctx);
--- a/lib/src/chain/mod.rs
+++ b/lib/src/chain/mod.rs
@@ -1,8 +1,8 @@
 //! The state machine that owns one accepted request.
 //!
-//! A [`Chain`] takes a request through its stages to its one outcome. It names
-//! attempts and never sees a payload: the driver keeps the bytes, carries the
-//! [`Action`]s out and reports what happened as [`Event`]s.
+//! A [`Chain`] runs a request through its stages to a single outcome. It
+//! numbers attempts and never handles payloads: the driver keeps the bytes,
+//! executes the [`Action`]s and reports the results as [`Event`]s.
 
 mod attempt;
 mod decision;
--- a/lib/src/chain/model.rs
+++ b/lib/src/chain/model.rs
@@ -1,4 +1,4 @@
-//! What goes into a chain and what comes out.
+//! The input and output types of a chain.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::time::Time;
 use crate::units::Tokens;
 
-/// The part of a prompt that decisions look at.
+/// The properties of a prompt that routing decisions use.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Prompt {
     /// The hashes of the prompt's prefix blocks, in order.
     pub prefix: Vec<u64>,
-    /// The length of the prompt.
+    /// The length of the prompt in tokens.
     pub tokens: Tokens,
-    /// The most tokens that the answer may have.
+    /// The upper limit of output tokens.
     pub max_output: Tokens,
 }
 
@@ -33,80 +33,80 @@
 pub struct RequestSpec {
     /// The request's id.
     pub request: RequestId,
-    /// The client account that sent it.
+    /// The client account that sent the request.
     pub account: ClientAccount,
-    /// The request kind that it asked for.
+    /// The requested kind.
     pub kind: RequestKind,
-    /// The name of the pipeline bound to account and kind.
+    /// The name of the pipeline bound to the account and kind.
     pub name: PipelineName,
-    /// That pipeline, as it was when the request was accepted.
+    /// The pipeline as configured when the request was accepted.
     pub pipeline: Arc<Pipeline>,
-    /// When the whole answer is due.
+    /// The deadline of the complete answer.
     pub deadline: Time,
     /// The prompt.
     pub prompt: Prompt,
-    /// Whether the caller takes tokens as they come.
+    /// Whether the caller receives tokens as a stream.
     pub stream: bool,
     /// The only endpoint that may run a non-idempotent last stage.
     ///
-    /// The owner of the key's slot; without one such a stage is not sent, and
-    /// waits a bounded time for the next owner.
+    /// It owns the key's slot. Without an owner such a stage is not sent and
+    /// waits for the next owner for a bounded time.
     pub slot_owner: Option<EndpointId>,
 }
 
-/// What an attempt used, as its agent reports it.
+/// The resource usage of an attempt, as reported by its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Usage {
-    /// The time in the endpoint's queue.
+    /// The time spent in the endpoint's queue.
     pub queue: Duration,
-    /// The time at work.
+    /// The service time.
     pub work: Duration,
     /// The prompt tokens that the endpoint had cached.
     pub cached: Tokens,
-    /// The tokens of the whole answer, those before `resume_from` included.
+    /// The tokens of the complete answer, including those before `resume_from`.
     pub output: Tokens,
 }
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The driver is ready to carry out actions.
+    /// The driver is ready to execute actions.
     Start,
     /// The frame of an attempt was written to its connection.
     Sent {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Tokens of a streamed answer came.
+    /// Tokens of a streamed answer were received.
     Chunk {
         /// The attempt.
         attempt: AttemptId,
-        /// The index of the chunk's first token over the whole answer.
+        /// The index of the chunk's first token within the complete answer.
         index: u32,
         /// The number of tokens.
         tokens: u32,
     },
     /// An attempt ended.
     ///
-    /// For a non-idempotent attempt the driver asks the agent first, where it
-    /// can, and only then reports an unknown end.
+    /// For a non-idempotent attempt the driver queries the agent, if possible,
+    /// before it reports an unknown end.
     Ended {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         end: AttemptEnd,
-        /// What it used.
+        /// Its resource usage.
         usage: Usage,
     },
-    /// The time asked for by [`Action::WakeAt`] has come.
+    /// The time requested by [`Action::WakeAt`] was reached.
     Wake,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// An operator stops the request.
+    /// An operator stopped the request.
     Stop,
 }
 
-/// What the driver has to do.
+/// An action for the driver to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Sends an attempt of a stage.
@@ -117,45 +117,45 @@
         stage: usize,
         /// The endpoint to send to.
         endpoint: EndpointId,
-        /// The time after which its answer is of no use.
+        /// The remaining time in which a response is useful.
         remaining: Duration,
-        /// The urgency; 0 is first.
+        /// The priority; 0 is the most urgent.
         priority: u8,
-        /// The tokens of the answer already held.
+        /// The number of answer tokens already received.
         resume_from: u32,
     },
-    /// Tells the agent that nobody waits for an attempt any more.
+    /// Notifies the agent that an attempt was abandoned.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Appends the chunk just reported to the stage's answer.
+    /// Appends the chunk of the current event to the stage's answer.
     ///
-    /// The driver passes it on to the caller if the stage is the last one and
-    /// the caller takes tokens as they come.
+    /// The driver forwards it to the caller if the stage is the last one and
+    /// the caller receives tokens as a stream.
     Deliver {
         /// The attempt that the chunk belongs to.
         attempt: AttemptId,
-        /// The first tokens of the chunk that were appended before.
+        /// The number of leading tokens of the chunk that were already appended.
         skip: u32,
     },
-    /// Takes an attempt's answer as the stage's result.
+    /// Uses an attempt's response as the stage's result.
     StageDone {
         /// The stage's index in the pipeline.
         stage: usize,
-        /// The attempt whose answer counts.
+        /// The attempt whose response is used.
         attempt: AttemptId,
     },
-    /// Gives the caller the request's one outcome, at once.
+    /// Reports the request's single outcome to the caller immediately.
     Finish {
         /// The outcome.
         outcome: Outcome,
-        /// Why it is no answer, unless it is one.
+        /// The reason, unless the request completed.
         reason: Option<Reason>,
-        /// When asking again may help.
+        /// The delay after which a retry may succeed.
         retry_after: Option<Duration>,
     },
-    /// Asks for [`Event::Wake`] at a time; replaces the time asked for before.
+    /// Requests [`Event::Wake`] at a time, replacing the time requested before.
     WakeAt(Time),
     /// Logs a decision.
     Decision(Decision),
--- a/lib/src/chain/progress.rs
+++ b/lib/src/chain/progress.rs
@@ -1,4 +1,4 @@
-//! What a chain does with news of its attempts.
+//! Handling of events of a chain's attempts.
 
 use super::Action;
 use super::Chain;
@@ -17,7 +17,7 @@
         let Some(index) = self.find_open(id) else {
             return;
         };
-        // The wait for the connection is the router's, not the endpoint's.
+        // Waiting for the connection doesn't count against the endpoint.
         let predicted = self.attempts[index].predicted;
         let timers = timing::timers(ctx.now, self, predicted, ctx.shared);
         let attempt = &mut self.attempts[index];
@@ -41,17 +41,16 @@
             return;
         };
         self.record_progress(index, ctx);
-        // Two engines may word an answer differently, so tokens of two attempts
-        // must not be mixed: the first to give one wins, others are cancelled.
+        // Two engines may generate different answers, so tokens of two attempts
+        // are never mixed: the first to send one wins, the others are dropped.
         if self.token_source != Some(id) {
             self.token_source = Some(id);
             self.drop_others(id, ctx);
         }
         let end = first.saturating_add(count);
         if first > self.held_tokens {
-            // Tokens are missing before this chunk. Appending it would give the
-            // caller an answer with a hole, so the rest is asked for elsewhere,
-            // from the first missing token.
+            // Tokens before this chunk were lost. Appending it would leave a gap
+            // in the answer, so a retry resumes at the first missing token.
             self.drop_attempt(index, ctx);
             self.retry(Reason::Connection, None, ctx);
         } else if end > self.held_tokens {
@@ -110,8 +109,8 @@
         }
     }
 
-    // A cancelled attempt may still prove that it never ran, which decides
-    // between the outcomes not-run and unknown.
+    // A dropped attempt may still prove that it never ran, which decides between
+    // the outcomes not-run and unknown.
     fn record_proof(&mut self, id: AttemptId, end: &AttemptEnd) {
         let dropped = self
             .attempts
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Tells whether a completed attempt's answer has all its tokens.
+    /// Returns whether all tokens of a completed attempt were received.
     fn is_complete(&self, id: AttemptId, usage: Usage) -> bool {
         let streams = self.spec.stream && self.is_last() && select::generates(self.current_stage());
         let chunked = self.token_source == Some(id) || self.held_tokens > 0;
--- a/lib/src/chain/select.rs
+++ b/lib/src/chain/select.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for an attempt, and what its end teaches.
+//! The choice of an endpoint for an attempt, and feedback from its end.
 
 use std::time::Duration;
 
@@ -22,10 +22,10 @@
 use crate::routing::Why;
 use crate::time::Time;
 
-/// The share of a prompt's limit that an answer is taken to have at first.
+/// The fraction of the output limit assumed before any output was observed.
 const OUTPUT_INITIAL_FRACTION: f32 = 0.5;
 
-/// An endpoint picked for an attempt.
+/// An endpoint chosen for an attempt.
 #[derive(Debug, Clone)]
 pub(super) struct PickedEndpoint {
     pub(super) slot: usize,
@@ -38,15 +38,15 @@
     pub(super) others: [Option<Alternative>; 2],
 }
 
-/// Tells whether a stage generates tokens.
+/// Returns whether a stage generates tokens.
 pub(super) fn generates(stage: &Stage) -> bool {
     stage.role == StageRole::Generate
 }
 
-/// Describes what a stage needs, or `None` if no endpoint has its model.
+/// Returns the requirements of a stage, or `None` if no endpoint has its model.
 ///
-/// `held` is the number of tokens of the answer that are there already. The
-/// time, and what to avoid, are left open.
+/// `held` is the number of answer tokens already received. The budget and the
+/// constraints on slots and failure domain are not set.
 pub(crate) fn stage_need<'a>(
     spec: &'a RequestSpec,
     index: usize,
@@ -79,7 +79,7 @@
     (total - held as f32).max(1.0)
 }
 
-/// Picks an endpoint for the next attempt at the chain's stage.
+/// Chooses an endpoint for the next attempt of the chain's stage.
 pub(super) fn pick(
     now: Time,
     chain: &Chain,
@@ -127,12 +127,12 @@
     })
 }
 
-// Two agents that both take a key would both run the call. Only the owner of
-// the key's slot knows what became of it, so no other endpoint is asked.
+// Two agents that both accept a key would both run the call. Only the owner of
+// the key's slot knows its earlier outcome, so no other endpoint is eligible.
 fn pick_owner(now: Time, chain: &Chain, pool: &Pool) -> Result<PickedEndpoint, Reason> {
     let owner = chain.spec.slot_owner.as_ref();
-    // Who refused the key is named until its next report comes. Asked again
-    // before, it would use up the attempts that the next owner needs.
+    // The endpoint that refused the key stays listed as owner until its next
+    // report. Retrying it would use up attempts that the next owner needs.
     let owner = owner.filter(|&o| chain.refused_by.as_ref() != Some(o));
     let owner = owner.ok_or(Reason::NoLease)?;
     let slot = pool.find(owner).ok_or(Reason::NoEndpoint)?;
@@ -155,10 +155,10 @@
     })
 }
 
-/// Tells whether an endpoint that has not been tried at this stage is usable.
+/// Returns whether a usable endpoint has no attempt of this stage yet.
 ///
-/// A hedge to the endpoint that already holds the call doubles its work and
-/// spends the budget of calls that another endpoint could still save.
+/// A hedge to the endpoint that already has the call would double its work and
+/// spend hedge budget that other calls could use.
 pub(super) fn has_untried_endpoint(now: Time, chain: &Chain, shared: &Shared) -> bool {
     let Some(pool) = shared.fleet.pool(&chain.current_stage().pool) else {
         return false;
@@ -183,7 +183,7 @@
     Duration::try_from_secs_f32(value).unwrap_or(Duration::MAX)
 }
 
-/// Learns from a completed attempt.
+/// Records a completed attempt.
 pub(super) fn record_completion(
     now: Time,
     attempt: &Attempt,
@@ -226,9 +226,9 @@
         .observe_overrun(pool, attempt.elapsed_ratio(now));
 }
 
-// When all endpoints are slower than promised, as with cold caches, the drag of
-// the pool takes it up. Held against each endpoint too, it counted twice, and
-// admission refused what could be done in half the predicted time.
+// A slowdown of all endpoints, as with cold caches, is modelled for the pool.
+// Attributed to each endpoint as well it would count twice, and admission would
+// refuse requests that complete in half the predicted time.
 fn endpoint_ratio(now: Time, attempt: &Attempt, chain: &Chain, shared: &Shared) -> f32 {
     let ratio = attempt.elapsed_ratio(now);
     if !generates(chain.current_stage()) {
@@ -238,7 +238,7 @@
     ratio / pool.map_or(1.0, Pool::shared_slowdown)
 }
 
-/// Learns from an attempt that ended without an answer.
+/// Records an attempt that ended without a response.
 pub(super) fn record_failure(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
     let pool = &chain.current_stage().pool;
     if let Some(endpoint) = shared
@@ -249,7 +249,7 @@
     }
 }
 
-/// Learns from an attempt that was refused with proof.
+/// Records an attempt that was refused with proof that it did not run.
 pub(super) fn record_refusal(
     now: Time,
     attempt: &Attempt,
@@ -267,13 +267,13 @@
     match reason {
         Reason::Overload | Reason::Limit | Reason::Deadline => endpoint.mark_full(),
         Reason::Draining => endpoint.mark_draining(),
-        // The slot moved; the endpoint is as well as before.
+        // The slot has a new owner, which says nothing about the endpoint's health.
         Reason::NoLease => {}
         _ => endpoint.health_mut().on_failure(now),
     }
 }
 
-/// Learns that an attempt takes longer than predicted, before it ends.
+/// Records an open attempt that exceeds its predicted time.
 pub(super) fn record_overdue(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
     let pool = &chain.current_stage().pool;
     let ratio = endpoint_ratio(now, attempt, chain, shared);
--- a/lib/src/chain/shared.rs
+++ b/lib/src/chain/shared.rs
@@ -15,28 +15,28 @@
 use crate::routing::Policy;
 use crate::routing::RouterLocation;
 
-/// The router-wide state behind the decisions of its chains.
+/// The router-wide state that all chains use for their decisions.
 pub struct Shared {
-    /// The endpoints as this router sees them.
+    /// This router's view of the endpoints.
     pub fleet: Fleet,
-    /// How long stages take.
+    /// The observed durations of stages.
     pub times: StageTimes,
     /// The budget for retries.
     pub retry: RetryBudget,
     /// The budget for hedges.
     pub hedge: HedgeBudget,
-    /// The fairness between client accounts.
+    /// Fair sharing between client accounts.
     pub fair: Fairness,
     /// The shares of client accounts under contention.
     pub shares: BTreeMap<ClientAccount, f64>,
-    /// The generator for ties and jitter.
+    /// The random generator for ties and jitter.
     pub rng: Pcg32,
-    /// The choice of endpoints.
+    /// The policy for the choice of endpoints.
     pub policy: Box<dyn Policy>,
 }
 
 impl Shared {
-    /// Builds the state of a router that has seen nothing yet.
+    /// Builds the initial state of a router.
     #[must_use]
     pub fn new(home: RouterLocation, policy: Box<dyn Policy>, seed: u64) -> Self {
         Self {
--- a/lib/src/chain/timers.rs
+++ b/lib/src/chain/timers.rs
@@ -1,4 +1,4 @@
-//! What a chain does as time passes.
+//! Time-outs, scheduled retries and hedges of a chain.
 
 use super::Chain;
 use super::attempt::Attempt;
@@ -28,8 +28,8 @@
         }
     }
 
-    // Waiting on a silent endpoint to the deadline loses the request although
-    // others could still answer in time. What a stage may do twice is moved.
+    // Waiting for a hung endpoint until the deadline would fail the request
+    // although others could respond in time, so an idempotent stage is retried.
     fn check_timeouts(&mut self, ctx: &mut EventContext<'_>) {
         let timed_out = |a: &Attempt| a.is_open() && ctx.now >= timing::progress_deadline(a);
         let Some(index) = self.attempts.iter().position(timed_out) else {
--- a/lib/src/chain/timing.rs
+++ b/lib/src/chain/timing.rs
@@ -1,4 +1,4 @@
-//! The points in time that a chain watches.
+//! Deadlines, time-outs and wake times of a chain.
 
 use std::time::Duration;
 
@@ -11,52 +11,52 @@
 use crate::deadline::StageTime;
 use crate::time::Time;
 
-/// The quantile of later stages' times below which there is no hope.
+/// The quantile of later stages' times below which the deadline is infeasible.
 const FEASIBLE_QUANTILE: f32 = 0.05;
 
-/// The quantile of later stages' times that is set aside for them.
+/// The quantile of later stages' times that is reserved for them.
 pub(super) const TYPICAL_QUANTILE: f32 = 0.5;
 
-/// The quantile after which an answer is late enough for a hedge.
+/// The quantile of response times after which a hedge may be sent.
 const HEDGE_QUANTILE: f32 = 0.95;
 
-/// How far beyond its prediction an answer is late, at least.
+/// The least multiple of the predicted time after which a hedge may be sent.
 const HEDGE_RATIO_MIN: f32 = 1.5;
 
-/// How many times its prediction an answer is late while nothing is learned.
+/// The multiple of the predicted time used before any time was observed.
 const HEDGE_RATIO_INITIAL: u32 = 3;
 
-/// How many times the time for a hedge has passed when an attempt is given up.
+/// The time-out of an attempt, in multiples of its hedge delay.
 const TIMEOUT_RATIO: u32 = 3;
 
-/// The least patience, which spares short stages a retry for a hiccup.
+/// The shortest time-out, which avoids retries of short stages on brief delays.
 const TIMEOUT_MIN: Duration = Duration::from_millis(50);
 
-/// The longest silence between two tokens of an answer.
+/// The longest gap between two tokens of an answer.
 ///
-/// The users ask for 25 ms between tokens in 95 of 100; twelve of these are a
-/// broken stream rather than a slow one.
+/// The requirement is 25 ms between tokens in 95 of 100; twelve times as long
+/// means a broken stream rather than a slow one.
 const TOKEN_GAP_MAX: Duration = Duration::from_millis(300);
 
-/// How long a caller is asked to stay away at least.
+/// The shortest delay of `Retry-After` advice to callers.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// The levels of urgency that engines are given.
+/// The number of priority levels of calls to engines.
 const PRIORITY_LEVELS: f32 = 8.0;
 
-/// When an attempt counts as late and when it is given up.
+/// The hedge time and time-out of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptTimers {
     pub(super) hedge_at: Time,
     pub(super) timeout_at: Time,
 }
 
-/// Returns when the current stage must be done for the rest to have a hope.
+/// Returns when the current stage must end for the deadline to be feasible.
 pub(super) fn stage_deadline(now: Time, chain: &Chain, shared: &Shared) -> Time {
     chain.spec.deadline - time_from_stage(now, chain, shared, chain.stage + 1, FEASIBLE_QUANTILE)
 }
 
-/// Returns the time that stages from `from` on take.
+/// Returns the given quantile of the time from stage `from` to the end.
 pub(super) fn time_from_stage(
     now: Time,
     chain: &Chain,
@@ -95,9 +95,9 @@
     }
 }
 
-// A generation takes seconds, but its first token comes early. An endpoint that
-// hangs is found by the missing first token while another can still make the
-// deadline; by the missing answer it would be found too late.
+// A generation takes seconds, but its first token comes early. A missing first
+// token reveals a hung endpoint while another can still meet the deadline; a
+// missing response would reveal it too late.
 fn learned_hedge_delay(chain: &Chain, predicted: Duration, known: &StageTime) -> Option<Duration> {
     if select::generates(chain.current_stage()) {
         return known.first.at(HEDGE_QUANTILE);
@@ -106,7 +106,7 @@
     Some(typical.max(predicted.mul_f32(HEDGE_RATIO_MIN)))
 }
 
-/// Returns when an attempt without further progress is given up.
+/// Returns when an attempt without further progress times out.
 pub(super) fn progress_deadline(attempt: &Attempt) -> Time {
     match attempt.first_token {
         Some(_) => attempt.last_progress + TOKEN_GAP_MAX,
@@ -114,14 +114,14 @@
     }
 }
 
-/// Gives an attempt that can't be moved now as much time again.
+/// Doubles the elapsed time of an attempt that can't be retried now.
 pub(super) fn extend_timeout(now: Time, attempt: &mut Attempt) {
     let waited = now.since(attempt.started_at).max(TIMEOUT_MIN);
     attempt.timeout_at = now + waited;
     attempt.last_progress = now;
 }
 
-/// Returns when the only open attempt is late enough for a hedge.
+/// Returns when a hedge of the only open attempt may be sent.
 pub(super) fn hedge_at(chain: &Chain) -> Option<Time> {
     if !chain.current_stage().idempotent || chain.token_source.is_some() {
         return None;
@@ -148,12 +148,12 @@
     at
 }
 
-/// Returns when a caller may ask again, spread so that all don't at once.
+/// Returns the `Retry-After` delay, with jitter to spread the retries.
 pub(super) fn retry_after(shared: &mut Shared) -> Duration {
     jitter(RETRY_AFTER_MIN, shared)
 }
 
-/// Returns between one and two times `base`.
+/// Returns a random duration between one and two times `base`.
 pub(super) fn jitter(base: Duration, shared: &mut Shared) -> Duration {
     let fraction = shared.rng.next_u32() as f32 / u32::MAX as f32;
     base + base.mul_f32(fraction)
--- a/lib/src/placement/gate.rs
+++ b/lib/src/placement/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's check of the fencing number of orders.
+//! The agent's check of the fencing numbers of orders.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -6,50 +6,50 @@
 use super::order::OrderId;
 use crate::ids::FencingNumber;
 
-/// How an order passed the gate.
+/// The result of the check for an accepted order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateOutcome {
-    /// Carry it out.
+    /// The order is new and must be executed.
     New,
-    /// It was carried out before: only confirm it.
+    /// The order was executed before and only needs confirmation.
     Repeated,
 }
 
-/// The reason why an order is refused.
+/// The reason why an order was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum GateError {
-    /// A newer holder is known.
+    /// A newer lease holder is known.
     #[display("the order carries fence {found}, {highest} is known: claim the lease again")]
     OldFence {
-        /// The number on the order.
+        /// The fencing number of the order.
         found: FencingNumber,
-        /// The highest number known.
+        /// The highest known fencing number.
         highest: FencingNumber,
     },
-    /// A later order of the same holder came first.
+    /// A later order of the same holder was received first.
     #[display("order {found} comes after order {last}: plan again from what is loaded now")]
     OldOrder {
         /// The order.
         found: OrderId,
-        /// The last order that passed.
+        /// The last accepted order.
         last: OrderId,
     },
 }
 
 impl GateError {
-    /// Returns whether a newer holder is known.
+    /// Returns whether a newer lease holder is known.
     #[must_use]
     pub const fn is_old_fence(&self) -> bool {
         matches!(self, Self::OldFence { .. })
     }
 }
 
-/// Lets orders pass in the order of their holders' claims.
+/// Accepts orders only with non-decreasing fencing numbers.
 ///
-/// Some engines ignore the number, so the agent, their only gate, checks it. A
-/// holder paused past its lease wakes up and sends what it had decided; without
-/// the check a model that the new holder loaded would be unloaded again.
+/// The agent checks the number because some engines ignore it. A holder that was
+/// paused past the end of its lease may still send orders; without the check it
+/// could unload a model that the new holder loaded.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Gate {
     highest: FencingNumber,
@@ -57,16 +57,16 @@
 }
 
 impl Gate {
-    /// Returns the highest number known.
+    /// Returns the highest known fencing number.
     #[must_use]
     pub const fn highest(&self) -> FencingNumber {
         self.highest
     }
 
-    /// Learns of a claim by another way than an order.
+    /// Records a lease claim seen elsewhere than in an order.
     ///
-    /// An agent that restarted knows no number. It learns the lease from the
-    /// log or from peers before the first order, or an old holder could pass.
+    /// A restarted agent knows no fencing number. It reads the lease from the log
+    /// or peers before the first order; otherwise it would accept an old holder.
     pub fn observe(&mut self, fence: FencingNumber) {
         if fence > self.highest {
             self.highest = fence;
@@ -74,11 +74,11 @@
         }
     }
 
-    /// Checks an order and remembers it.
+    /// Checks an order and records it as the last one.
     ///
     /// # Errors
     ///
-    /// Returns an error for an older holder, or an older order of this one.
+    /// Returns an error for an older holder or an older order of the same holder.
     pub fn check(&mut self, fence: FencingNumber, id: OrderId) -> Result<GateOutcome, GateError> {
         if fence < self.highest {
             let highest = self.highest;
@@ -91,7 +91,7 @@
         match self.last {
             Some(last) if id == last => return Ok(GateOutcome::Repeated),
             // Two links may deliver out of order; the later order was planned
-            // on more recent reports, so it stands.
+            // from more recent reports and takes precedence.
             Some(last) if id < last => return Err(GateError::OldOrder { found: id, last }),
             _ => {}
         }
--- a/lib/src/placement/mod.rs
+++ b/lib/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Which models run where, decided by the holder of a pool's lease.
+//! Placement of models on engines by the holder of a pool's lease.
 //!
-//! The planner turns demand and what engines report into orders, each with the
-//! holder's fencing number. The gate at each agent refuses older numbers, so
-//! that a holder that was paused past its lease changes nothing.
+//! The planner turns demand and engine reports into orders, each with the
+//! holder's fencing number. The gate of each agent refuses older numbers, so a
+//! holder that was paused past the end of its lease has no effect.
 
 mod gate;
 mod order;
--- a/lib/src/placement/order.rs
+++ b/lib/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! Orders to agents, and why they were given.
+//! Orders to agents, and the reasons for them.
 
 use std::fmt;
 
@@ -11,13 +11,13 @@
 use crate::ids::FencingNumber;
 use crate::ids::ModelName;
 
-/// Numbers the orders of one holder.
+/// The sequence number of an order of one lease holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Display, FromStr, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OrderId(pub u64);
 
-/// What can be loaded: a model in one version, with or without an adapter.
+/// A loadable build: one version of a model, with or without an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Build {
@@ -36,14 +36,14 @@
     }
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verb {
     /// Load the build.
     Load(Build),
-    /// Unload the build, once nothing runs on it.
+    /// Unload the build once no call uses it.
     Unload(Build),
-    /// Take the role.
+    /// Assume the role.
     Role(String),
 }
 
@@ -60,61 +60,61 @@
 /// An order to the agent of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Its number under the holder's claim.
+    /// Its sequence number under the holder's lease claim.
     pub id: OrderId,
-    /// The offset of the holder's claim.
+    /// The offset of the holder's lease claim.
     pub fence: FencingNumber,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// What to do.
+    /// The requested action.
     pub verb: Verb,
 }
 
-/// Why an order was given, or why none was.
+/// Why an order was issued or withheld.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Display)]
 pub enum Why {
     /// Demand needs more copies.
     #[display("demand")]
     Demand,
-    /// Fewer copies than the least that is asked for.
+    /// There are fewer copies than the configured minimum.
     #[display("too-few-copies")]
     TooFewCopies,
-    /// The wished version isn't there yet.
+    /// The desired version is not fully rolled out yet.
     #[display("roll-out")]
     RollOut,
-    /// The old version is replaced with capacity to spare.
+    /// The old version is replaced and its capacity is not needed.
     #[display("replaced")]
     Replaced,
-    /// More copies than demand has needed for long.
+    /// There have been more copies than demand needs for some time.
     #[display("surplus")]
     Surplus,
-    /// The model is no longer wished for.
+    /// The model is no longer desired.
     #[display("unwished")]
     Unwished,
-    /// The endpoint's role differs from the wished one.
+    /// The endpoint's role differs from the desired one.
     #[display("role")]
     Role,
-    /// No engine has room, and making room would cost needed capacity.
+    /// No engine has room, and making room would remove needed capacity.
     #[display("no-room")]
     NoRoom,
-    /// The weight store's rate is used up.
+    /// The bandwidth budget of the weight store is exhausted.
     #[display("store-rate")]
     StoreRate,
 }
 
-/// One decision, for one log line.
+/// A planning decision, logged as one line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
-    /// The order given; none when the planner holds back.
+    /// The order issued, or `None` if it was withheld.
     pub order: Option<Order>,
-    /// The build concerned.
+    /// The affected build.
     pub build: Option<Build>,
     /// The reason.
     pub why: Why,
-    /// Copies ready of the model, in any version.
+    /// The ready copies of the model, in any version.
     pub ready: usize,
-    /// Copies wanted of the model.
+    /// The wanted copies of the model.
     pub wanted: usize,
 }
 
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! Plans which engine of a pool holds which models.
+//! The planner of the models on a pool's engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,15 +20,15 @@
 /// The settings of a planner.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerSettings {
-    /// The share of an engine that demand may use before copies are added.
+    /// The target utilization of an engine; above it, copies are added.
     pub target: f64,
     /// How long a surplus must last before a copy is unloaded.
     pub surplus_hold: Duration,
-    /// After this an order whose effect isn't reported is given again.
+    /// The time after which an order without a reported effect is reissued.
     pub order_timeout: Duration,
-    /// Bytes a second that the weight store gives to this pool.
+    /// The weight store's bandwidth for this pool, in bytes a second.
     pub store_rate: f64,
-    /// Bytes that may be loaded at once after a pause.
+    /// The bytes that may be loaded in a burst after an idle period.
     pub store_burst: f64,
 }
 
@@ -44,47 +44,47 @@
     }
 }
 
-/// What the pool should hold of one model.
+/// The desired state of one model in the pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DesiredModel {
-    /// The version to run; other versions are replaced by it.
+    /// The version to run, which replaces other versions.
     pub version: String,
     /// The adapter to run with, if any.
     pub adapter: Option<String>,
-    /// The memory of one copy.
+    /// The memory size of one copy.
     pub size: Bytes,
-    /// The fewest copies, however small the demand.
+    /// The minimum number of copies, whatever the demand.
     pub min_copies: usize,
 }
 
-/// What is asked of one model now.
+/// The current demand for one model.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
-    /// Engines' worth of work: 1.0 keeps one engine fully busy.
+    /// The demand in engines: 1.0 keeps one engine fully busy.
     pub engines: f64,
 }
 
-/// How far a build is on an engine.
+/// The load state of a build on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadState {
     /// It is being loaded.
     Loading,
-    /// It serves.
+    /// It is ready to serve.
     Ready,
 }
 
-/// One engine as last reported.
+/// The last reported state of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Its failure domain.
     pub domain: FailureDomain,
     /// Its memory for models.
     pub memory: Bytes,
-    /// What it holds.
+    /// The loaded builds, with their state and memory size.
     pub builds: BTreeMap<Build, (LoadState, Bytes)>,
-    /// Whether it takes orders: heard lately and not draining.
+    /// Whether it accepts orders: reported recently and not draining.
     pub usable: bool,
-    /// Its role, and the role wished for it, where they matter.
+    /// Its current and desired role, if it has roles.
     pub roles: Option<(String, String)>,
 }
 
@@ -120,7 +120,7 @@
     ordered_at: Time,
 }
 
-/// Plans for one pool while its lease is held.
+/// The planner of one pool, active while the pool's lease is held.
 #[derive(Debug, Clone)]
 pub struct Planner {
     settings: PlannerSettings,
@@ -133,7 +133,7 @@
 }
 
 impl Planner {
-    /// Starts without a lease.
+    /// Builds a planner without a lease.
     #[must_use]
     pub fn new(settings: PlannerSettings) -> Self {
         Self {
@@ -147,24 +147,24 @@
         }
     }
 
-    /// Takes in the lease: the holder's fencing number while it is valid.
+    /// Sets the lease: the holder's fencing number while it is valid.
     ///
-    /// The caller passes none as soon as the lease can't be proven, as when the
-    /// log is away past its term. Then nothing new is placed, and all that runs
-    /// keeps running.
+    /// The caller passes `None` as soon as the lease can't be proven, as when the
+    /// log is unavailable past the lease's term. Then no orders are issued, and
+    /// running models keep running.
     pub fn set_lease(&mut self, fence: Option<FencingNumber>) {
         if fence == self.fence {
             return;
         }
         self.fence = fence;
-        // Orders and hold times of another claim are no base for this one.
+        // Orders and hold times of an earlier claim don't apply to this one.
         self.last_id = OrderId::default();
         self.pending.clear();
         self.surplus.clear();
     }
 
-    /// Plans once and returns a decision for each order, and for each need
-    /// that can't be met now.
+    /// Runs one planning step and returns a decision for each order and for each
+    /// order withheld.
     pub fn plan(
         &mut self,
         now: Time,
@@ -193,7 +193,7 @@
         self.credit_updated = now;
     }
 
-    /// Drops pending orders whose effect is reported, or that take too long.
+    /// Drops pending orders whose effect was reported or that timed out.
     fn drop_settled(&mut self, now: Time, engines: &BTreeMap<EndpointId, Engine>) {
         let timeout = self.settings.order_timeout;
         self.pending.retain(|endpoint, pending| {
@@ -209,10 +209,10 @@
         });
     }
 
-    /// Returns the engines as they will be once pending orders are done.
+    /// Returns the engines as they will be once pending orders are executed.
     ///
-    /// Reports lag, and a plan made on them alone would give an order again at
-    /// each step until the report catches up.
+    /// Reports lag; a plan made from them alone would reissue an order at each
+    /// step until its effect is reported.
     fn project(&self, engines: &BTreeMap<EndpointId, Engine>) -> BTreeMap<EndpointId, Engine> {
         let mut projected = engines.clone();
         for (endpoint, pending) in &self.pending {
@@ -242,7 +242,7 @@
                 )
             })
             .collect();
-        // The store's rate is shared, so the model that lacks most goes first.
+        // The store's bandwidth is shared, so the largest shortfall goes first.
         all.sort_by(|a, b| b.shortfall().total_cmp(&a.shortfall()));
         all
     }
@@ -274,7 +274,7 @@
         self.unload_one(now, fence, rollout, unplaced, projected, out);
     }
 
-    /// Unloads what is replaced or surplus, without costing needed capacity.
+    /// Unloads one replaced or surplus copy without removing needed capacity.
     fn unload_one(
         &mut self,
         now: Time,
@@ -314,8 +314,8 @@
             .or_insert(now);
         let lasting = now.since(since) >= self.settings.surplus_hold;
         if lasting {
-            // The next copy has to be surplus for as long again, so a dip in
-            // demand costs one copy, not all.
+            // Restarts the hold time for the next copy, so that a dip in demand
+            // removes one copy, not all.
             self.surplus.insert(rollout.build.model.clone(), now);
         }
         lasting
@@ -338,8 +338,8 @@
             })
             .collect();
         for (endpoint, build) in undesired {
-            // A holder that has just started may not know the configuration
-            // yet; a wish that is missing for a moment must not empty the pool.
+            // A holder that has just started may lack the configuration; a
+            // briefly missing model must not be unloaded from the whole pool.
             let since = *self.surplus.entry(build.model.clone()).or_insert(now);
             if now.since(since) < self.settings.surplus_hold {
                 continue;
@@ -383,7 +383,7 @@
         }
     }
 
-    /// Tells whether no order to the endpoint is under way.
+    /// Returns whether the endpoint has no pending order.
     fn is_free(&self, endpoint: &EndpointId) -> bool {
         !self.pending.contains_key(endpoint)
     }
--- a/lib/src/placement/rollout.rs
+++ b/lib/src/placement/rollout.rs
@@ -1,4 +1,4 @@
-//! The copies of one model: wanted, there, on the way, to be replaced.
+//! The rollout state of one model: wanted, ready, loading and outdated copies.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +13,21 @@
 use crate::ids::ModelName;
 use crate::units::Bytes;
 
-/// One model's copies against what is wished for.
+/// The copies of one model compared with its desired state.
 #[derive(Debug, Clone)]
 pub(super) struct ModelRollout {
     pub(super) build: Build,
     pub(super) size: Bytes,
-    /// Copies that serve, in any version, on usable engines.
+    /// The ready copies in any version, on usable engines.
     ready: usize,
-    /// Copies that serve in another version.
+    /// The ready copies in another version.
     outdated: usize,
-    /// Copies of the wished build, ready or on the way.
+    /// The copies of the desired build, ready or loading.
     assigned: usize,
-    /// Copies of the wished build that serve.
+    /// The ready copies of the desired build.
     current: usize,
     wanted: usize,
-    /// Copies that demand can't do without, with no headroom.
+    /// The copies needed to carry the demand, without headroom.
     needed: usize,
     min_copies: usize,
 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the share of the wanted copies that is missing.
+    /// Returns the fraction of the wanted copies that is missing.
     pub(super) fn shortfall(&self) -> f64 {
         let missing = self.wanted.saturating_sub(self.ready) as f64;
         missing / self.wanted.max(1) as f64
@@ -73,7 +73,8 @@
         self.wanted.saturating_sub(self.assigned)
     }
 
-    /// Two copies too many at least: one would flap around the threshold.
+    /// Requires at least two extra copies as hysteresis: with one, the count would
+    /// flap around the threshold.
     pub(super) const fn has_surplus(&self) -> bool {
         self.current > self.wanted + 1
     }
@@ -88,7 +89,7 @@
         Why::Demand
     }
 
-    /// Picks an engine with room, in the failure domain with the fewest copies.
+    /// Chooses an engine with room, in the failure domain with the fewest copies.
     pub(super) fn pick_engine(
         &self,
         projected: &BTreeMap<EndpointId, Engine>,
@@ -116,11 +117,10 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Picks a copy to unload: replaced, in the way of the new build, or surplus.
+    /// Chooses a copy to unload: replaced, blocking the new build, or surplus.
     ///
-    /// While a version rolls out, an old copy goes only if the copies that
-    /// serve without it still carry the demand. One goes at a time, since the
-    /// next plan sees it gone.
+    /// During a rollout an outdated copy is unloaded only if the other ready
+    /// copies still carry the demand. Each plan unloads one copy at a time.
     pub(super) fn pick_unload(
         &self,
         projected: &BTreeMap<EndpointId, Engine>,
--- a/lib/src/routing/baseline.rs
+++ b/lib/src/routing/baseline.rs
@@ -1,4 +1,4 @@
-//! The policies that ours is measured against.
+//! Baseline policies for comparison with [`super::Predicted`].
 
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -10,7 +10,7 @@
 use super::Why;
 use crate::time::Time;
 
-/// Takes the endpoints in turn.
+/// Chooses the endpoints in rotation.
 #[derive(Debug, Clone, Default)]
 pub struct RoundRobin {
     next_slot: usize,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Takes the endpoint with the fewest of this router's calls in flight.
+/// Chooses the endpoint with the fewest of this router's calls in flight.
 #[derive(Debug, Clone, Default)]
 pub struct LeastOutstanding;
 
--- a/lib/src/routing/endpoint.rs
+++ b/lib/src/routing/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as a router sees it.
+//! A router's view of one endpoint.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,38 +10,38 @@
 use crate::ids::Incarnation;
 use crate::time::Time;
 
-/// How long a report counts as fresh; older ones bar new work.
+/// The age after which a load report no longer permits new work.
 pub(super) const REPORT_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// The seconds that a call takes at an endpoint of which nothing is known.
+/// The service time assumed before the first observation, in seconds.
 const INITIAL_WORK_SECS: f32 = 0.02;
 
-/// The weight of a new observation of the work of a call.
+/// The weight of a new observation of a call's service time.
 const WORK_WEIGHT: f32 = 0.1;
 
-/// What is expected of a call; times in seconds.
+/// The forecast for a call at an endpoint; times in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct Forecast {
-    /// The time at work that the call adds, which costs.
+    /// The service time that the call adds, charged as its cost.
     pub(super) work: f32,
-    /// The time to the answer of an endpoint that keeps its promises.
+    /// The time to the response, without the endpoint's health verdict.
     pub(super) nominal: f32,
-    /// The time to the answer.
+    /// The time to the response.
     pub(super) total: f32,
-    /// The share of calls that fail.
+    /// The fraction of calls that fail.
     pub(super) failure_rate: f32,
 }
 
-/// What is usual in a pool.
+/// Pool-wide averages, used where an endpoint has no data of its own.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct PoolAverages {
-    /// The seconds that a call works.
+    /// The mean service time of a call, in seconds.
     pub(super) work: f32,
-    /// How much a full batch slows down each of its calls.
+    /// The relative slowdown of a call in a full batch.
     pub(super) slope: f32,
 }
 
-/// One endpoint as a router sees it.
+/// A router's view of one endpoint.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     pub(super) id: EndpointId,
@@ -96,46 +96,46 @@
         }
     }
 
-    /// Returns the endpoint's name.
+    /// Returns the endpoint's id.
     #[must_use]
     pub const fn id(&self) -> &EndpointId {
         &self.id
     }
 
-    /// Returns the incarnation last seen.
+    /// Returns the latest known incarnation.
     #[must_use]
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns this router's calls in flight.
+    /// Returns the number of this router's calls in flight.
     #[must_use]
     pub const fn outstanding(&self) -> u32 {
         self.outstanding
     }
 
-    /// Returns how the endpoint has kept its promises.
+    /// Returns the endpoint's health record.
     #[must_use]
     pub const fn health(&self) -> &Health {
         &self.health
     }
 
-    /// Tells whether new work may be sent.
+    /// Returns whether new work may be sent.
     #[must_use]
     pub fn is_usable(&self, now: Time) -> bool {
-        // The host list lags, so an endpoint that died or leaves would go on
-        // getting calls. Its own report can't lag by more than its age.
+        // The host list lags behind, so an endpoint that died or leaves could
+        // still receive calls. A load report lags by no more than its age.
         let fresh = now <= self.fresh_until;
         self.reachable && self.healthy && !self.draining && fresh
     }
 
-    /// Tells whether the endpoint says that it takes no new work.
+    /// Returns whether the endpoint is draining and accepts no new work.
     #[must_use]
     pub const fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Returns the calls at work and waiting, as far as this router can tell.
+    /// Returns this router's estimate of the calls in service and queued.
     #[must_use]
     pub fn busy(&self) -> u32 {
         let known = (self.reported + self.unreported.len() as u32).saturating_sub(self.finished);
@@ -148,20 +148,20 @@
         self.domain
     }
 
-    /// Returns how the endpoint has kept its promises, for an update.
+    /// Returns the endpoint's health record for an update.
     pub const fn health_mut(&mut self) -> &mut Health {
         &mut self.health
     }
 
-    /// Notes that the endpoint refused a call for want of room.
+    /// Records that the endpoint refused a call because it is full.
     ///
-    /// Its queue is longer than its last report says; it counts as one more
-    /// full round of calls until the next report.
+    /// Its queue is longer than last reported, so the estimate grows by one
+    /// call for each slot until the next report.
     pub const fn mark_full(&mut self) {
         self.reported += self.slots as u32;
     }
 
-    /// Notes that the endpoint says that it takes no new work.
+    /// Marks the endpoint as draining.
     pub const fn mark_draining(&mut self) {
         self.draining = true;
     }
@@ -172,7 +172,7 @@
     }
 
     pub(super) fn apply_load(&mut self, now: Time, report: &LoadReport, models: u64) {
-        // A report overtaken by a newer one would bring back an old queue.
+        // Ignores a stale report: it would restore an old queue length.
         if self.seq.is_some_and(|seq| report.seq < seq) {
             return;
         }
@@ -216,7 +216,7 @@
         self.mean_work = Some(known + WORK_WEIGHT * (seconds - known));
     }
 
-    /// Returns how full the endpoint is; above one, calls wait.
+    /// Returns the busy calls for each slot; above 1.0, calls are queued.
     pub(super) fn occupancy(&self) -> f32 {
         self.busy() as f32 / self.slots
     }
@@ -238,7 +238,7 @@
             (0.0, mean)
         };
         let wait = (busy + 1.0 - self.slots).max(0.0) / self.slots * mean;
-        // Calls of one batch are in each other's way well before it is full.
+        // Calls of a batch slow each other down well before the batch is full.
         let occupancy = (busy / self.slots).min(1.0);
         let batch_slowdown = if generates {
             1.0 + averages.slope * occupancy
@@ -247,7 +247,7 @@
         };
         let plain = wait + (prefill + decode) * batch_slowdown;
         let (slowdown, failure_rate) = self.health.verdict(now);
-        // A batch that runs anyway takes one more call at little cost.
+        // A running batch serves one more call at little extra cost.
         let batch_size = if generates { busy + 1.0 } else { 1.0 };
         Forecast {
             failure_rate,
@@ -258,7 +258,8 @@
     }
 }
 
-/// Returns the pool-wide usual work where nothing was seen.
+/// Returns the pool's mean service time before the first observation, in
+/// seconds.
 pub(super) const fn initial_work() -> f32 {
     INITIAL_WORK_SECS
 }
--- a/lib/src/routing/fleet.rs
+++ b/lib/src/routing/fleet.rs
@@ -1,4 +1,4 @@
-//! All endpoints as one router sees them.
+//! A router's view of all endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::ids::Region;
 use crate::time::Time;
 
-/// The seconds that a call spends on the way within a failure domain, between
-/// two of one region, and between regions. The users state 1 to 3 ms for the
-/// first two; the last is a usual figure between regions.
+/// The network overhead of a call within a failure domain, between failure
+/// domains of a region, and between regions. The requirements state 1 to 3 ms
+/// for the first two; the last is a typical figure between regions.
 const OVERHEAD_LOCAL_SECS: f32 = 0.001;
 const OVERHEAD_CROSS_DOMAIN_SECS: f32 = 0.004;
 const OVERHEAD_CROSS_REGION_SECS: f32 = 0.040;
 
-/// Work booked on an endpoint, to be released once.
+/// A call booked on an endpoint, to be released exactly once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Booking {
     slot: usize,
@@ -31,14 +31,14 @@
 }
 
 impl Booking {
-    /// Returns the slot that the work was booked on.
+    /// Returns the slot of the booked endpoint.
     #[must_use]
     pub const fn slot(&self) -> usize {
         self.slot
     }
 }
 
-/// All endpoints as one router sees them.
+/// A router's view of all endpoints.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     location: RouterLocation,
@@ -49,7 +49,7 @@
 }
 
 impl Fleet {
-    /// Builds an empty fleet for a router that stands at `home`.
+    /// Builds an empty fleet for a router at `location`.
     #[must_use]
     pub const fn new(location: RouterLocation) -> Self {
         Self {
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Notes an endpoint, or a new incarnation of one.
+    /// Adds an endpoint or a new incarnation of one.
     ///
-    /// It gets no work before its first load report.
+    /// It receives no work before its first load report.
     pub fn upsert(
         &mut self,
         endpoint: EndpointId,
@@ -88,8 +88,8 @@
             return;
         };
         members.endpoints[inserted.slot].set_location(index, overhead);
-        // An endpoint that moved to another pool is ousted from its old one
-        // later, and must stay where it is now.
+        // The evicted endpoint may have moved to another pool since; its entry
+        // there must stay.
         if let Some(old) = inserted.evicted
             && self.endpoint_pools.get(&old) == Some(&pool)
         {
@@ -98,7 +98,7 @@
         self.endpoint_pools.insert(endpoint, pool);
     }
 
-    /// Takes in a load report.
+    /// Applies a load report.
     pub fn on_load(&mut self, now: Time, endpoint: &EndpointId, report: &LoadReport) {
         let Some((pool, slot)) = self.find_mut(endpoint) else {
             return;
@@ -107,7 +107,7 @@
         pool.endpoints[slot].apply_load(now, report, models);
     }
 
-    /// Takes in what an endpoint gained and dropped of its prefix cache.
+    /// Applies a change of an endpoint's prefix cache.
     pub fn on_cache(&mut self, endpoint: &EndpointId, update: &CacheUpdate) {
         let Some((pool, slot)) = self.find_mut(endpoint) else {
             return;
@@ -115,24 +115,24 @@
         pool.apply_cache(slot, update);
     }
 
-    /// Notes that an endpoint can't be reached any more.
+    /// Marks an endpoint as unreachable.
     ///
-    /// What is known of its cache stays for its return: links are replaced more
-    /// often than caches are lost, and agents tell only what is new.
+    /// Its known cache content is kept for reconnection: links are replaced more
+    /// often than caches are lost, and agents report only changes.
     pub fn mark_unreachable(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
             pool.mark_absent(slot);
         }
     }
 
-    /// Notes that an endpoint leaves and takes no new work.
+    /// Marks an endpoint as draining, so that it receives no new work.
     pub fn mark_draining(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
             pool.endpoints[slot].draining = true;
         }
     }
 
-    /// Sets the cost of a busy second of a pool's endpoint.
+    /// Sets the cost of a second of service time at a pool's endpoints.
     pub fn set_price(&mut self, pool: &PoolName, price: f64) {
         if !self.pools.contains_key(pool) {
             self.pools.insert(pool.clone(), Pool::default());
@@ -154,7 +154,7 @@
         &self.pools
     }
 
-    /// Returns a pool for a choice in it.
+    /// Returns a pool for the choice of an endpoint.
     pub fn pool_mut(&mut self, name: &PoolName) -> Option<&mut Pool> {
         self.pools.get_mut(name)
     }
@@ -166,13 +166,13 @@
         pool.endpoints.get(pool.find(id)?)
     }
 
-    /// Returns the failure domain of an index.
+    /// Returns the failure domain with the given index.
     #[must_use]
     pub fn domain_name(&self, index: u16) -> Option<&FailureDomain> {
         self.domains.get(usize::from(index))
     }
 
-    /// Books work that is sent now.
+    /// Books a call that is sent at `now`.
     pub fn book(&mut self, now: Time, pool: &PoolName, slot: usize) -> Option<Booking> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(slot)?;
         endpoint.on_send(now);
@@ -183,7 +183,8 @@
         })
     }
 
-    /// Releases booked work; returns the endpoint if it is still the same life.
+    /// Releases a booking; returns the endpoint if its slot still holds the
+    /// instance that was booked.
     pub fn release(&mut self, pool: &PoolName, booking: Booking) -> Option<&mut Endpoint> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(booking.slot)?;
         if endpoint.instance != booking.instance {
@@ -193,7 +194,7 @@
         Some(endpoint)
     }
 
-    /// Returns the endpoint at a slot, if it is still the one named.
+    /// Returns the endpoint at a slot if it still has the given id.
     pub fn endpoint_at(
         &mut self,
         pool: &PoolName,
@@ -204,22 +205,22 @@
         (endpoint.id == *id).then_some(endpoint)
     }
 
-    /// Notes how long a generation took, in multiples of the time predicted
-    /// for an idle endpoint, and how full its batch was.
+    /// Records the time of a generation as a multiple of the time predicted for
+    /// an idle endpoint, with the occupancy of its batch.
     pub fn observe_batch_slowdown(&mut self, pool: &PoolName, occupancy: f32, ratio: f32) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.observe_batch_slowdown(occupancy, ratio);
         }
     }
 
-    /// Notes how many times its promised time a generation took.
+    /// Records the time of a generation as a multiple of the predicted time.
     pub fn observe_overrun(&mut self, pool: &PoolName, ratio: f32) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.observe_overrun(ratio);
         }
     }
 
-    /// Notes the work time of a completed call.
+    /// Records the service time of a completed call.
     pub fn observe_work(&mut self, pool: &PoolName, slot: usize, work: Duration) {
         if let Some(pool) = self.pools.get_mut(pool)
             && slot < pool.endpoints.len()
--- a/lib/src/routing/health.rs
+++ b/lib/src/routing/health.rs
@@ -1,24 +1,24 @@
-//! How an endpoint has kept its promises lately.
+//! The recent slowdown and failure rate of an endpoint.
 
 use crate::time::Time;
 
 /// The weight of a new observation.
 const WEIGHT: f32 = 0.25;
 
-/// The bounds of one observed ratio, so that one freak answer is no verdict.
+/// The bounds of an observed ratio, so that one outlier doesn't decide.
 const RATIO_MAX: f32 = 20.0;
 const RATIO_MIN: f32 = 0.1;
 
-/// The microseconds in which a verdict without new evidence fades to a half.
+/// The microseconds in which a verdict without new observations decays to half.
 ///
-/// It lets a recovered endpoint back in step by step: as its verdict fades it
-/// wins a few calls, and their answers move the verdict further.
+/// The decay readmits a recovered endpoint step by step: it receives a few
+/// calls, and their responses improve the verdict further.
 const HALF_LIFE_MICROS: f32 = 5e6;
 
-/// The most doublings of the fade for an endpoint that fails every probe.
+/// The most doublings of the half-life for an endpoint that keeps failing.
 const STREAK_MAX: u32 = 5;
 
-/// Answers against predictions, and failures, of one endpoint.
+/// Response times relative to predictions, and failures, of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
     ratio: f32,
@@ -39,7 +39,7 @@
 }
 
 impl Health {
-    /// Notes an answer, and how much longer than predicted it took.
+    /// Records a response and its time as a multiple of the predicted time.
     pub fn on_response(&mut self, now: Time, ratio: f32) {
         self.decay_to(now);
         self.observe(ratio);
@@ -47,7 +47,7 @@
         self.streak = 0;
     }
 
-    /// Notes that an answer is overdue by `ratio`, without an end in sight.
+    /// Records an open call that has run for `ratio` times the predicted time.
     pub fn on_overdue(&mut self, now: Time, ratio: f32) {
         self.decay_to(now);
         if ratio > self.ratio {
@@ -55,26 +55,27 @@
         }
     }
 
-    /// Notes a failure, however fast it came.
+    /// Records a failed call, whatever its duration.
     pub fn on_failure(&mut self, now: Time) {
         self.decay_to(now);
         self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
         self.streak = (self.streak + 1).min(STREAK_MAX);
     }
 
-    /// Returns how much longer than predicted an answer takes.
+    /// Returns the expected response time as a multiple of the predicted time.
     #[must_use]
     pub fn slowdown(&self, now: Time) -> f32 {
         self.verdict(now).0
     }
 
-    /// Returns the share of calls that fail.
+    /// Returns the fraction of calls that fail.
     #[must_use]
     pub fn failure_rate(&self, now: Time) -> f32 {
         self.verdict(now).1
     }
 
-    /// Returns [`Health::slowdown`] and [`Health::failure_rate`] for one fade's price.
+    /// Returns [`Health::slowdown`] and [`Health::failure_rate`], computing the
+    /// decay once.
     pub(super) fn verdict(&self, now: Time) -> (f32, f32) {
         let factor = self.decay_factor(now);
         (
@@ -93,8 +94,8 @@
         self.updated_at = now;
     }
 
-    // The rational form is a close kin of the exponential one, and it is
-    // computed for every candidate of every choice.
+    // Approximates exponential decay by a rational function, which is cheaper;
+    // it is computed for every candidate of every choice.
     fn decay_factor(&self, now: Time) -> f32 {
         let idle = now.as_micros().saturating_sub(self.updated_at.as_micros()) as f32;
         let half_life = HALF_LIFE_MICROS * (1_u32 << self.streak) as f32;
--- a/lib/src/routing/mod.rs
+++ b/lib/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Where a stage goes: the router's view of endpoints and the choice among them.
+//! Routing of stages: the router's view of endpoints and the choice among them.
 
 mod baseline;
 mod endpoint;
--- a/lib/src/routing/policy.rs
+++ b/lib/src/routing/policy.rs
@@ -1,4 +1,4 @@
-//! The border behind which the choice of an endpoint varies.
+//! The interface of policies for the choice of an endpoint.
 
 use std::fmt;
 use std::time::Duration;
@@ -16,24 +16,24 @@
 use crate::config::Weights;
 use crate::time::Time;
 
-/// What a stage needs of an endpoint.
+/// The requirements of a stage on an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Need<'a> {
-    /// The model's bit in the pool, or zero where any will do.
+    /// The model's bit in the pool, or zero for any model.
     pub model: u64,
-    /// The prompt's length in tokens.
+    /// The length of the prompt in tokens.
     pub prompt: u32,
     /// The expected output tokens; zero for stages without tokens.
     pub output: f32,
     /// The hashes of the prompt's prefix blocks.
     pub prefix: &'a [u64],
-    /// The time that this stage may take.
+    /// The time budget of this stage.
     pub budget: Duration,
     /// The weights of the pipeline.
     pub weights: Weights,
-    /// Slots that must not be chosen again.
+    /// The slots to exclude.
     pub avoid: &'a [usize],
-    /// A failure domain to keep out of.
+    /// The failure domain to avoid.
     pub domain: Option<u16>,
 }
 
@@ -47,7 +47,7 @@
     /// It holds the prompt's prefix.
     #[display("prefix")]
     Prefix,
-    /// It is the next in turn.
+    /// It is the next in the rotation.
     #[display("turn")]
     Turn,
     /// It has the fewest calls in flight.
@@ -65,20 +65,20 @@
     pub slot: usize,
     /// Why it was chosen.
     pub why: Why,
-    /// The predicted seconds to the answer.
+    /// The predicted time to the response, in seconds.
     pub predicted: f32,
-    /// The predicted seconds if the endpoint keeps its promises.
+    /// The predicted time without the endpoint's health verdict, in seconds.
     pub nominal: f32,
-    /// The two next best, with their predicted seconds.
+    /// The two next best slots, with their predicted times in seconds.
     pub others: [Option<(usize, f32)>; 2],
 }
 
 /// Chooses among the endpoints of a pool.
 pub trait Policy: Send + Sync + fmt::Debug {
-    /// Returns the name in the settings and logs.
+    /// Returns the policy's name in settings and logs.
     fn name(&self) -> &'static str;
 
-    /// Chooses a slot, or none if no endpoint may get the work.
+    /// Chooses a slot, or returns `None` if no endpoint qualifies.
     fn choose(
         &mut self,
         now: Time,
@@ -88,7 +88,7 @@
     ) -> Option<Choice>;
 }
 
-/// The policies that settings can name.
+/// The policies available in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Display, FromStr, Serialize, Deserialize)]
 #[from_str(rename_all = "kebab-case")]
@@ -98,7 +98,7 @@
     #[default]
     #[display("predicted")]
     Predicted,
-    /// The endpoints in turn.
+    /// The endpoints in rotation.
     #[display("round-robin")]
     RoundRobin,
     /// The endpoint with the fewest calls in flight.
@@ -118,9 +118,9 @@
     }
 }
 
-/// Chooses with the wishes of `need` given up one by one.
+/// Chooses a slot, relaxing the constraints of `need` one by one.
 ///
-/// Another failure domain is the first wish to go, another endpoint the second.
+/// The failure domain to avoid is dropped first, then the excluded slots.
 pub fn choose(
     policy: &mut dyn Policy,
     now: Time,
--- a/lib/src/routing/pool.rs
+++ b/lib/src/routing/pool.rs
@@ -16,23 +16,23 @@
 use crate::ids::ModelName;
 use crate::time::Time;
 
-/// The most models that a pool tells apart.
+/// The most distinct models of a pool; each is a bit of a `u64`.
 const MODELS_MAX: usize = 64;
 
 /// The tokens of one prefix block.
 const BLOCK_TOKENS: u32 = 64;
 
-/// The weight of a new observation of the pool's work.
+/// The weight of a new observation of the pool's mean service time.
 const WORK_WEIGHT: f32 = 0.02;
 
-/// The slot that an endpoint entered, and the absent one that it took it from.
+/// The slot assigned to an endpoint, and the absent endpoint evicted from it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Inserted {
     pub(super) slot: usize,
     pub(super) evicted: Option<EndpointId>,
 }
 
-/// The endpoints of one pool, each in a slot that stays its own.
+/// The endpoints of one pool, each in a fixed slot.
 #[derive(Debug, Clone)]
 pub struct Pool {
     pub(super) endpoints: Vec<Endpoint>,
@@ -69,32 +69,32 @@
         &self.endpoints
     }
 
-    /// Finds an endpoint's slot.
+    /// Returns the slot of an endpoint.
     #[must_use]
     pub fn find(&self, id: &EndpointId) -> Option<usize> {
         self.slots.get(id).copied()
     }
 
-    /// Returns how full a slot's endpoint is; above one, calls wait.
+    /// Returns the busy calls per slot of an endpoint; above 1.0, calls are queued.
     #[must_use]
     pub fn occupancy(&self, slot: usize) -> f32 {
         self.endpoints[slot].occupancy()
     }
 
-    /// Returns how much a full batch slows down each of its calls.
+    /// Returns the relative slowdown of a call in a full batch.
     #[must_use]
     pub const fn batch_slowdown(&self) -> f32 {
         self.slowdown.slope()
     }
 
-    /// Predicts the seconds to an answer of usual work at a slot.
+    /// Predicts the seconds to the response for average work at a slot.
     #[must_use]
     pub fn predict(&self, now: Time, slot: usize) -> f32 {
         let need = Need::default();
         self.forecast_with(now, slot, &need, 0).total
     }
 
-    /// Predicts the seconds to an answer at the best endpoint, if there is one.
+    /// Predicts the seconds to the response at the best endpoint, if one qualifies.
     pub fn best_predicted(&mut self, now: Time, need: &Need<'_>) -> Option<f32> {
         self.prefix_index
             .match_prefix(need.prefix, self.endpoints.len());
@@ -104,7 +104,7 @@
             .reduce(f32::min)
     }
 
-    /// Tells whether any endpoint may get new work.
+    /// Returns whether any endpoint may receive new work.
     #[must_use]
     pub fn is_usable(&self, now: Time) -> bool {
         self.endpoints.iter().any(|e| e.is_usable(now))
@@ -117,7 +117,7 @@
         Some(1 << index)
     }
 
-    /// Tells whether the endpoints of the pool report models at all.
+    /// Returns whether any endpoint of the pool reports models.
     #[must_use]
     pub fn has_models(&self) -> bool {
         !self.models.is_empty()
@@ -134,7 +134,7 @@
         mask
     }
 
-    /// Finds or makes the slot of an endpoint; `None` for a life that is over.
+    /// Finds or assigns the slot of an endpoint; `None` for an old incarnation.
     pub(super) fn insert(
         &mut self,
         id: &EndpointId,
@@ -161,14 +161,14 @@
         })
     }
 
-    /// Notes that the endpoint at a slot can't be reached any more.
+    /// Marks the endpoint at a slot as unreachable.
     pub(super) fn mark_absent(&mut self, slot: usize) {
         self.endpoints[slot].reachable = false;
         self.absent.insert(slot);
     }
 
-    // Replaced hosts bring new names every day; without reuse the slots, and
-    // with them each choice, would grow for as long as the router lives.
+    // Replaced hosts bring new endpoint ids every day. Absent slots are reused,
+    // or the pool and the cost of each choice would grow without bound.
     fn assign_slot(&mut self, endpoint: Endpoint) -> Inserted {
         let idle = |slot: &usize| self.endpoints[*slot].outstanding == 0;
         let free = self.absent.iter().copied().find(idle);
@@ -202,9 +202,8 @@
         endpoint.cache_epoch = update.epoch;
         let count = (update.added.len() + update.dropped.len()) as u64;
         endpoint.cache_next = update.first + count;
-        // After a gap a drop may have been missed, and the endpoint would draw
-        // prompts for blocks that it lost long ago. Starting again from nothing
-        // costs a few prompts read twice.
+        // A gap may hide evictions, and the endpoint would attract prompts for
+        // blocks that it no longer holds. Clearing costs a few repeated prefills.
         if restarted || update.gap || skipped {
             self.prefix_index.clear(slot);
         }
@@ -221,19 +220,19 @@
         self.endpoints[slot].observe_work(seconds);
     }
 
-    /// Learns how much a batch slows its calls down.
+    /// Records how much a batch slows its calls down.
     ///
-    /// `ratio` is the time taken over the time predicted without drag.
+    /// `ratio` is the measured time over the time predicted for an idle endpoint.
     pub(super) const fn observe_batch_slowdown(&mut self, occupancy: f32, ratio: f32) {
         self.slowdown.observe(occupancy, ratio);
     }
 
-    /// Learns how many times its promised time an answer took.
+    /// Records a response time as a multiple of the predicted time.
     pub(super) fn observe_overrun(&mut self, ratio: f32) {
         self.slowdown.observe_overrun(ratio);
     }
 
-    /// Returns how much longer than promised the answers of all endpoints take.
+    /// Returns the factor by which responses of all endpoints exceed predictions.
     #[must_use]
     pub const fn shared_slowdown(&self) -> f32 {
         self.slowdown.shared_slowdown()
@@ -246,7 +245,7 @@
         }
     }
 
-    /// Tells whether a slot may get the work.
+    /// Returns whether a slot meets the requirements.
     pub(super) fn allows(&self, now: Time, slot: usize, need: &Need<'_>) -> bool {
         let endpoint = &self.endpoints[slot];
         endpoint.is_usable(now)
--- a/lib/src/routing/predicted.rs
+++ b/lib/src/routing/predicted.rs
@@ -1,4 +1,4 @@
-//! The choice by predicted lateness and cost.
+//! The policy that minimizes predicted lateness and cost.
 
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -11,34 +11,34 @@
 use super::endpoint::Forecast;
 use crate::time::Time;
 
-/// The load, relative to the pool's mean, above which a cached prefix is no
-/// argument any more.
+/// The load, relative to the pool's mean, above which a cached prefix is
+/// ignored.
 const LOAD_BOUND: f32 = 1.25;
 
-/// The part of the best predicted time within which candidates count as equal.
+/// The fraction of the best predicted time within which candidates are tied.
 ///
-/// Reports lag, so routers that all took the very best would all take the same
-/// endpoint until the next report, and queue up there.
+/// Reports lag: if all routers chose the single best endpoint, they would
+/// overload the same one until the next report.
 const TIE_FRACTION: f32 = 0.05;
 
-/// The candidates that are looked at in a large pool, spread evenly.
+/// The candidates scored in a large pool, spread evenly.
 ///
 /// The best of 128 is among the best twentieth of all in 998 of 1,000 choices
-/// (1 - 0.95^128), and routers that look at others don't all find the same.
+/// (1 - 0.95^128), and routers that sample different slots spread their load.
 const SAMPLE_SIZE: usize = 128;
 
-/// The prefix_index of the longest part of the prefix that are looked at besides.
+/// The additional candidates, among those that hold the longest prefix.
 const PREFIX_CANDIDATES: usize = 32;
 
-/// How many budgets a failed call counts for.
+/// The cost of a failed call, in multiples of the stage's time budget.
 const FAILURE_BUDGETS: f32 = 4.0;
 
-/// The weight of a second that comes early enough.
+/// The weight of a second well within the budget.
 ///
-/// It is not zero, because the slack is worth something to later stages.
+/// It is not zero, because later stages benefit from the slack.
 const EARLY_WEIGHT: f32 = 0.25;
 
-/// Takes the endpoint with the least predicted lateness and cost.
+/// Chooses the endpoint with the least predicted lateness and cost.
 #[derive(Debug, Clone, Default)]
 pub struct Predicted;
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// The search for the best slots of one choice.
+/// The search for the best slots of a choice.
 struct Search<'a> {
     now: Time,
     need: &'a Need<'a>,
@@ -133,7 +133,7 @@
     }
 }
 
-/// What is the same for every candidate of a choice.
+/// The weights common to all candidates of a choice.
 #[derive(Debug, Clone, Copy)]
 struct ScoreWeights {
     budget: f32,
@@ -153,8 +153,8 @@
 
 fn score(now: Time, pool: &Pool, slot: usize, need: &Need<'_>, weights: &ScoreWeights) -> Scored {
     let forecast = pool.forecast(now, slot, need);
-    // An endpoint that fails at once has no queue and would look best. Its
-    // failures are charged with more than the budget that the caller loses.
+    // An endpoint that fails fast has no queue and would score best, so each
+    // expected failure costs more than the budget that the caller loses.
     let failure_cost = FAILURE_BUDGETS * forecast.failure_rate * weights.budget;
     let lateness = lateness(forecast.total, weights.budget) + failure_cost;
     let work = charged_work(now, pool, slot, need, forecast);
@@ -166,8 +166,8 @@
     }
 }
 
-// A prefix shared by most prompts would draw all of them to one endpoint. Above
-// the load bound the prompt counts as unread, so that others get the prefix too.
+// A prefix shared by most prompts would attract all of them to one endpoint.
+// Above the load bound the prompt counts as uncached, which spreads the prefix.
 fn charged_work(now: Time, pool: &Pool, slot: usize, need: &Need<'_>, forecast: Forecast) -> f32 {
     let crowded = pool.endpoints[slot].busy() as f32 > LOAD_BOUND * pool.mean_busy + 1.0;
     if crowded && pool.cached_tokens(slot) > 0 {
@@ -176,8 +176,8 @@
     forecast.work
 }
 
-// Far below its budget an answer is early enough, so a second there weighs
-// little; the weight grows up to the budget and stays twofold beyond it.
+// Far below the budget a second weighs little; the weight grows up to the
+// budget and is twofold beyond it.
 fn lateness(total: f32, budget: f32) -> f32 {
     if total <= budget {
         total * (EARLY_WEIGHT + (1.0 - EARLY_WEIGHT) * total / budget)
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -1,16 +1,16 @@
-//! Which endpoints of a pool hold which prefix blocks.
+//! An index of the prefix blocks cached by the endpoints of a pool.
 
 use std::collections::BTreeMap;
 
-/// The most blocks that are remembered for a pool.
+/// The most blocks indexed for a pool.
 ///
-/// At 680 endpoints an entry takes about 120 bytes, so the whole takes 4 MB.
+/// At 680 endpoints an entry takes about 120 bytes, so the index takes 4 MB.
 const BLOCKS_MAX: usize = 32_768;
 
 /// The endpoints that hold each prefix block, by slot of the pool.
 ///
-/// The knowledge is a hint: events come late and with gaps, and a wrong hint
-/// costs a prompt read again, never a wrong answer.
+/// The index is a hint: cache events arrive late and with gaps, and a wrong
+/// entry costs a repeated prefill, never a wrong answer.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     blocks: BTreeMap<u64, Vec<u64>>,
@@ -20,10 +20,10 @@
 }
 
 impl PrefixIndex {
-    /// Notes that a slot holds a block.
+    /// Adds a block held by a slot.
     pub fn add(&mut self, slot: usize, block: u64) {
         if self.blocks.len() >= BLOCKS_MAX && !self.blocks.contains_key(&block) {
-            // Hashes are evenly spread, so the first is as good as a random one.
+            // Hashes are evenly spread, so the first entry is as good as a random one.
             self.blocks.pop_first();
         }
         let words = self.blocks.entry(block).or_default();
@@ -34,7 +34,7 @@
         words[word] |= 1 << (slot % 64);
     }
 
-    /// Notes that a slot dropped a block.
+    /// Removes a block dropped by a slot.
     pub fn remove(&mut self, slot: usize, block: u64) {
         let Some(words) = self.blocks.get_mut(&block) else {
             return;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Forgets all that a slot held.
+    /// Removes all blocks of a slot.
     pub fn clear(&mut self, slot: usize) {
         self.blocks.retain(|_, words| {
             if let Some(word) = words.get_mut(slot / 64) {
@@ -57,9 +57,9 @@
         });
     }
 
-    /// Finds how many of the leading blocks each of `slots` slots holds.
+    /// Counts the leading blocks of `prefix` that each of `slots` slots holds.
     ///
-    /// The answer is read with [`PrefixIndex::held`].
+    /// The result is read with [`PrefixIndex::leading_blocks`].
     pub fn match_prefix(&mut self, prefix: &[u64], slots: usize) {
         self.leading.clear();
         self.leading.resize(slots, 0);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the slots that hold the most leading blocks, as last measured.
+    /// Returns the slots that hold the most leading blocks of the last match.
     pub fn longest(&self) -> impl Iterator<Item = usize> {
         let words = self.longest.iter().enumerate();
         words.flat_map(|(word_index, &word)| {
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Returns the leading blocks that a slot holds, as last measured.
+    /// Returns the number of leading blocks that a slot holds in the last match.
     #[must_use]
     pub fn leading_blocks(&self, slot: usize) -> u16 {
         self.leading.get(slot).copied().unwrap_or(0)
--- a/lib/src/routing/report.rs
+++ b/lib/src/routing/report.rs
@@ -1,4 +1,4 @@
-//! What routers are told about endpoints.
+//! Reports about endpoints that routers receive.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::ids::ModelName;
 use crate::ids::Region;
 
-/// Where a router stands.
+/// The location of a router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouterLocation {
     /// The router's failure domain.
@@ -15,30 +15,30 @@
     pub region: Region,
 }
 
-/// The load of an endpoint as its agent reports it.
+/// The load of an endpoint, as reported by its agent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
-    /// The report's number within the endpoint's incarnation.
+    /// The sequence number within the endpoint's incarnation.
     pub seq: u64,
-    /// The calls that the endpoint works on at a time.
+    /// The calls that the endpoint can serve concurrently.
     pub slots: u32,
-    /// The calls at work.
+    /// The calls in service.
     pub active: u32,
-    /// The calls that wait.
+    /// The calls in the queue.
     pub queued: u32,
-    /// The prompt and output tokens waiting or at work.
+    /// The prompt and output tokens queued or in service.
     pub pending: u64,
-    /// The prompt tokens read a second, or zero where there are none.
+    /// The prefill rate in prompt tokens a second; zero if not applicable.
     pub prefill: f64,
-    /// The output tokens a second for each call, or zero where there are none.
+    /// The decode rate in output tokens a second per call; zero if not applicable.
     pub decode: f64,
     /// The age of the endpoint's own report.
     pub age: Duration,
-    /// Whether the endpoint takes no new work.
+    /// Whether the endpoint is draining and accepts no new work.
     pub draining: bool,
     /// Whether the endpoint answered its last health probe.
     pub healthy: bool,
-    /// The models loaded; empty where the endpoint has none.
+    /// The loaded models; empty if the endpoint has none.
     pub models: Vec<ModelName>,
 }
 
@@ -63,14 +63,14 @@
 /// Prefix blocks that an endpoint gained or dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CacheUpdate {
-    /// The life of the endpoint's cache; a new one starts empty.
+    /// The epoch of the endpoint's cache; each epoch starts empty.
     pub epoch: u64,
-    /// The number of the first event.
+    /// The sequence number of the first event.
     pub first: u64,
     /// The blocks gained.
     pub added: Vec<u64>,
     /// The blocks dropped.
     pub dropped: Vec<u64>,
-    /// Whether events before these were lost.
+    /// Whether earlier events were lost.
     pub gap: bool,
 }
--- a/lib/src/routing/slowdown.rs
+++ b/lib/src/routing/slowdown.rs
@@ -1,27 +1,29 @@
-//! How much the calls of a batch slow each other down, learned from answers.
+//! A model of how much the calls of a batch slow each other down, fitted to
+//! measured response times.
 
-/// The slope assumed before anything is learned.
+/// The slope assumed before the first observation.
 const INITIAL_SLOPE: f32 = 1.0;
 
-/// The weight of that assumption, in observations of a half-full batch.
+/// The weight of the initial slope, in observations of a half-full batch.
 const INITIAL_WEIGHT: f32 = 5.0;
 
-/// The part of what was learned that each new observation leaves.
+/// The factor by which each new observation decays the earlier ones.
 const DECAY: f32 = 0.99;
 
-/// The largest ratio taken in, so that one straggler doesn't speak for all.
+/// The largest ratio observed, so that one straggler doesn't dominate the fit.
 const RATIO_MAX: f32 = 4.0;
 
-/// The largest slope believed.
+/// The upper bound of the fitted slope.
 const SLOPE_MAX: f32 = 4.0;
 
-/// The weight of a new observation of what all endpoints have in common.
+/// The weight of a new observation of the slowdown that all endpoints share.
 const SHARED_WEIGHT: f32 = 0.05;
 
-/// The largest miss taken in for that, so that one straggler hardly shows.
+/// The largest ratio observed for the shared slowdown, so that one straggler
+/// hardly changes it.
 const SHARED_RATIO_MAX: f32 = 2.5;
 
-/// A least-squares fit of `ratio = 1 + slope * occupancy`, with fading weights.
+/// A least-squares fit of `ratio = 1 + slope * occupancy`, with decaying weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct SlowdownModel {
     sum_xy: f32,
@@ -41,8 +43,8 @@
 }
 
 impl SlowdownModel {
-    /// Takes in how long an answer took, in multiples of what an idle endpoint
-    /// would have needed.
+    /// Records a response time as a multiple of the time predicted for an idle
+    /// endpoint.
     pub(super) const fn observe(&mut self, occupancy: f32, ratio: f32) {
         let occupancy = occupancy.clamp(0.0, 1.0);
         let ratio = ratio.clamp(0.0, RATIO_MAX);
@@ -50,18 +52,18 @@
         self.sum_xx = DECAY * self.sum_xx + occupancy * occupancy;
     }
 
-    /// Takes in how many times its promised time an answer took.
+    /// Records a response time as a multiple of the predicted time.
     pub(super) fn observe_overrun(&mut self, ratio: f32) {
         let ratio = ratio.clamp(0.0, SHARED_RATIO_MAX);
         self.shared += SHARED_WEIGHT * (ratio - self.shared);
     }
 
-    /// Returns how much longer than promised the answers of all endpoints take.
+    /// Returns the factor by which responses of all endpoints exceed predictions.
     pub(super) const fn shared_slowdown(self) -> f32 {
         self.shared.max(1.0)
     }
 
-    /// Returns the slowdown of a full batch.
+    /// Returns the relative slowdown of a call in a full batch.
     pub(super) const fn slope(self) -> f32 {
         if self.sum_xx <= 0.0 {
             return INITIAL_SLOPE;
--- a/lib/tests/chain_world.rs
+++ b/lib/tests/chain_world.rs
@@ -1,4 +1,4 @@
-//! A driver of one chain in virtual time, shared by the tests of chains.
+//! A driver for chains in virtual time, shared by the chain tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use snipeyoke_lib::units::Tokens;
 use uuid::Uuid;
 
-/// The endpoints' load as last reported, repeated as time passes.
+/// A router's shared state, with load reports that repeat as time advances.
 #[derive(Debug)]
 pub struct World {
     pub shared: Shared,
@@ -58,7 +58,7 @@
         self.reports.insert(endpoint, report);
     }
 
-    /// Moves time; every endpoint that still reports does so.
+    /// Advances the time; every endpoint with a report sends it again.
     pub fn advance(&mut self, to: Time) {
         self.now = self.now.max(to);
         for (endpoint, report) in &mut self.reports {
@@ -74,8 +74,7 @@
     }
 }
 
-/// Reads a stage from `role.pool`, where the role `once` is a call that is
-/// not idempotent.
+/// Parses a stage from `role.pool`; the role `once` is a non-idempotent call.
 pub fn stage(text: &str) -> Stage {
     let (role, pool) = text.split_once('.').expect("role.pool");
     let idempotent = role != "once";
--- a/lib/tests/test_chain.rs
+++ b/lib/tests/test_chain.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of single requests.
+//! Scripted scenarios of single chains.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -133,8 +133,8 @@
         String::new()
     }
 
-    /// Sends requests one after the other and answers each after its time, or
-    /// `times` as late where `slow` has it.
+    /// Runs requests one after the other, each completed after the time `took`,
+    /// or `times` as long at the endpoint `slow`.
     fn answers(&mut self, case: &mut TestCase) -> String {
         let stages: Vec<String> = case.take_args("stages").expect("stages=(..)");
         let count = arg(case, "count").expect("count=");
@@ -229,14 +229,14 @@
         self.feed(event)
     }
 
-    /// Lets time pass, with every wake on the way.
+    /// Advances the time and handles every wake-up until then.
     fn advance(&mut self, to: Time) -> String {
         let mut text = String::new();
         for wakes in 0.. {
             let Some(at) = self.wake.filter(|&at| at <= to) else {
                 break;
             };
-            assert!(wakes < 1_000, "time passes from wake to wake");
+            assert!(wakes < 1_000, "each wake-up advances the time");
             self.wake = None;
             self.world.advance(at);
             text.push_str(&self.feed(Event::Wake));
--- a/lib/tests/test_chain_random.rs
+++ b/lib/tests/test_chain_random.rs
@@ -1,4 +1,4 @@
-//! Random orders of events against the promises to callers.
+//! Random event sequences against the guarantees to callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,22 +22,22 @@
 use crate::chain_world::World;
 use crate::chain_world::spec;
 
-/// The tokens of a whole answer.
+/// The number of tokens of a complete answer.
 const ANSWER_TOKENS: u32 = 12;
 
-/// One step of the outside world; numbers pick among what is possible.
+/// An external step; numbers select an attempt or endpoint.
 #[derive(Debug, Clone)]
 enum Step {
     Advance(u64),
     Sent(usize),
     Tokens(usize, u32),
-    /// Chunks that the network repeated or lost.
+    /// Repeated tokens, or tokens after lost ones.
     StrayTokens(usize, u32, u32),
     Complete(usize),
     Refuse(usize, Reason),
     Fail(usize, Reason),
     Unreachable(usize),
-    /// The key's slot moves, or nobody owns it for a while.
+    /// The key's slot gets another owner or none.
     SetOwner(Option<usize>),
     Start,
     CallerGone,
@@ -69,32 +69,32 @@
     ]
 }
 
-/// What is true of an attempt, whatever the chain believes.
+/// The actual state of an attempt, independent of the chain's view.
 #[derive(Debug)]
 struct AttemptRecord {
     stage: usize,
-    /// The first token that the attempt was asked for.
+    /// The first token requested from the attempt.
     resume_from: u32,
-    /// The next token that the endpoint gives.
+    /// The next token that the endpoint sends.
     next: u32,
-    /// Whether a proof that it did not run was reported.
+    /// Whether proof was reported that it did not run.
     proven_not_run: bool,
     ended: bool,
 }
 
-/// Checks every action against the promises.
+/// Checks every action against the guarantees.
 struct Checker {
     attempts: BTreeMap<AttemptId, AttemptRecord>,
     once_stages: Vec<bool>,
-    /// The tokens that the caller holds, each with the attempt that gave it.
+    /// The tokens delivered to the caller, each with its attempt.
     answer: Vec<(u32, AttemptId)>,
     stage: usize,
     finish: Option<Outcome>,
-    /// The owner of the key's slot, as the chain was told.
+    /// The owner of the key's slot, as set in the chain.
     owner: Option<EndpointId>,
-    /// The endpoint that was sent the key last.
+    /// The endpoint to which the key was last sent.
     last_sent_to: Option<EndpointId>,
-    /// The endpoint that gave the key back, until another owner is named.
+    /// The endpoint that refused the key, until another owner is set.
     refused_by: Option<EndpointId>,
     wake: Option<Time>,
     deadline: Time,
@@ -126,12 +126,12 @@
                     let advised = retry_after.is_some() && now < self.deadline;
                     assert!(
                         !moves || advised,
-                        "a wait for an owner ends early, with advice"
+                        "a wait for an owner must end before the deadline, with a retry delay"
                     );
                     let late = *reason == Some(Reason::Timeout);
                     assert!(
                         !late || !self.awaits_owner(),
-                        "a wait lasts to the deadline"
+                        "a wait for an owner lasts until the deadline"
                     );
                     self.finished(*outcome);
                 }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Tells whether nobody is at work on a stage that may run only once.
+    /// Returns whether a non-idempotent stage has no open attempt.
     fn awaits_owner(&self) -> bool {
         let mut attempts = self.attempts.values().filter(|t| t.stage == self.stage);
         self.once_stages.get(self.stage) == Some(&true) && attempts.all(|t| t.ended)
@@ -152,16 +152,19 @@
             assert_eq!(
                 Some(endpoint),
                 self.owner.as_ref(),
-                "only the owner runs it"
+                "only the slot owner may run the call"
             );
             let repeated = Some(endpoint) == self.refused_by.as_ref();
-            assert!(!repeated, "a key goes back to who refused it");
+            assert!(
+                !repeated,
+                "the key is sent again to the endpoint that refused it"
+            );
             self.last_sent_to = Some(endpoint.clone());
         }
     }
 
     fn sent(&mut self, attempt: AttemptId, stage: usize, from: u32) {
-        assert_eq!(stage, self.stage, "a stage is sent in its turn");
+        assert_eq!(stage, self.stage, "only the current stage is sent");
         if self.once_stages[stage] {
             let may_have_run = |t: &AttemptRecord| t.stage == stage && !t.proven_not_run;
             assert!(
@@ -183,7 +186,7 @@
         };
         assert!(
             self.attempts.insert(attempt, record).is_none(),
-            "a new number"
+            "attempt ids are unique"
         );
         let count = self.attempts.values().filter(|t| t.stage == stage).count();
         assert!(count <= 5, "attempts are bounded");
@@ -203,24 +206,30 @@
         self.answer.extend(new.map(|token| (token, by)));
         let held: Vec<u32> = self.answer.iter().map(|&(token, _)| token).collect();
         let expected: Vec<u32> = (0..).take(held.len()).collect();
-        assert_eq!(held, expected, "each token once, in order");
+        assert_eq!(held, expected, "each token is delivered once, in order");
         let from = self.attempts[&by].resume_from as usize;
         let mixed = self.answer[from..].iter().any(|&(_, other)| other != by);
-        assert!(!mixed, "tokens of two answers are not mixed");
+        assert!(!mixed, "tokens of two attempts are not mixed");
     }
 
     fn done(&mut self, event: &Event, stage: usize, by: AttemptId) {
         assert_eq!(stage, self.stage, "each stage is done once, in order");
-        assert_eq!(self.attempts[&by].stage, stage, "by an attempt of its own");
+        assert_eq!(
+            self.attempts[&by].stage, stage,
+            "a stage is done by one of its own attempts"
+        );
         let Event::Ended {
             attempt,
             end: AttemptEnd::Completed,
             usage,
         } = event
         else {
-            panic!("only a completed attempt is taken");
+            panic!("a stage is done only by a completed attempt");
         };
-        assert_eq!(by, *attempt, "the attempt that completed is taken");
+        assert_eq!(
+            by, *attempt,
+            "a stage is done by the attempt that completed"
+        );
         let streams = usage.output.0 > 0 && stage + 1 == self.once_stages.len();
         if streams || !self.answer.is_empty() {
             let held = u32::try_from(self.answer.len()).expect("short");
@@ -238,7 +247,7 @@
             }
             Outcome::NotRun => assert!(
                 self.attempts.values().all(|t| t.proven_not_run),
-                "not-run is said of what may have run"
+                "not-run is reported although an attempt may have run"
             ),
             Outcome::Unknown => assert!(
                 !self.attempts.is_empty(),
@@ -330,7 +339,7 @@
             let Some(at) = self.checker.wake.filter(|&at| at <= to) else {
                 break;
             };
-            assert!(wakes < 1_000, "time passes from wake to wake");
+            assert!(wakes < 1_000, "each wake-up advances the time");
             self.checker.wake = None;
             self.world.advance(at);
             self.feed(&Event::Wake);
@@ -458,10 +467,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // The caller sees one answer, whole and in order, or one honest refusal.
-    // Ends and chunks come late, twice, out of order or never, endpoints go,
-    // and time passes in between. Whatever comes, the outcome is exactly one,
-    // "not run" is said only with proof, and no effect is sent twice.
+    // Guards against lost or repeated answers, a "not run" without proof and
+    // non-idempotent calls sent twice. Ends and chunks arrive late, twice, out
+    // of order or never, and endpoints become unreachable in between.
     #[test]
     fn each_request_has_one_correct_outcome(
         steps in prop::collection::vec(step(), 0..40),
--- a/lib/tests/test_fleet.rs
+++ b/lib/tests/test_fleet.rs
@@ -1,4 +1,4 @@
-//! What a router keeps of an endpoint.
+//! Tests of a router's state of endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -70,9 +70,9 @@
 
 #[test]
 fn a_replaced_link_keeps_the_known_cache() {
-    // Prompts with a shared prefix would be read again everywhere.
-    // The link to an agent is replaced, the endpoint lives on, and its agent
-    // tells only news. So the knowledge stays until a new life or a gap.
+    // Guards against repeated prefills of shared prefixes after a link to an
+    // agent is replaced. The agent reports only changes, so the known cache
+    // content must stay until a new incarnation or a gap.
     let mut world = world();
     assert_eq!(choice_reason(&mut world), Why::Prefix);
     reconnect(&mut world, 1);
@@ -94,10 +94,9 @@
         ..ProptestConfig::default()
     })]
 
-    // A call would be booked on, and answered for, the wrong endpoint.
-    // Endpoints come, go, move to another pool and take over the slots of
-    // others, while calls of the old ones are still in flight. Each must be
-    // found where it is, and nobody may lose a slot while it has calls.
+    // Guards against calls booked on the wrong endpoint. Endpoints are added,
+    // become unreachable, move to another pool and reuse slots while calls are in
+    // flight; none may lose its slot while it has calls.
     #[test]
     fn finds_each_endpoint_in_its_slot(
         steps in prop::collection::vec((0..4_u8, 0..6_u8, 0..2_u8), 1..60),
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner of a pool and of the gate at its agents.
+//! Tests of a pool's planner and of the agents' gate.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -31,7 +31,7 @@
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
-/// A pool of engines that do what they are told at once.
+/// A pool of engines that execute orders immediately.
 struct Pool {
     now: Time,
     planner: Planner,
@@ -191,10 +191,9 @@
 
 #[test]
 fn the_gate_refuses_an_old_holder_after_an_observed_claim() {
-    // The caller finds its model gone: a holder paused past its lease wakes up
-    // and unloads what the new holder loaded. The agent restarted in between
-    // and has seen no order of the new holder. It learned the claim from the
-    // log, so the old number is refused all the same.
+    // Guards against an old holder, paused past the end of its lease, unloading
+    // a model of the new holder. The agent restarted and has no order of the new
+    // holder, but it read the new lease claim from the log.
     let mut gate = Gate::default();
     gate.observe(FencingNumber(9));
     let refused = gate.check(FencingNumber(4), OrderId(77));
@@ -222,7 +221,7 @@
     assert_eq!(gate.highest(), FencingNumber(12));
 }
 
-/// An order on its way, with the number of the step at which it arrives.
+/// An order in transit, with the step at which it arrives.
 #[derive(Debug)]
 struct InFlight {
     arrives: usize,
@@ -231,12 +230,9 @@
 
 #[test]
 fn crossed_orders_leave_the_newer_holders_state() {
-    // The caller is answered by an old model, or by none: two holders believe
-    // they hold the lease, one paused past its end, and their orders cross on
-    // the way. One wishes for version 1, the newer one for version 2. The gate
-    // at each agent lets numbers only rise and the newer holder plans from what
-    // is reported, so the pool ends with version 2 alone, at full count, and
-    // once the old one is refused capacity never falls below the demand.
+    // Guards against an old model, or none, after orders of two holders cross:
+    // one was paused past its lease and wants version 1, the newer one version 2.
+    // Version 2 must end alone; with the old one fenced, capacity covers demand.
     let strategy = (
         any::<u64>(),
         prop::collection::vec((any::<bool>(), 0usize..6), 40),
