--- a/lib/src/chain/attempt.rs
+++ b/lib/src/chain/attempt.rs
@@ -59,7 +59,7 @@
     /// prediction that already includes its slowness, a straggler would seem
     /// healthy.
     pub(super) fn elapsed_ratio(&self, now: Time) -> f32 {
-        let plain = self.nominal.as_secs_f32().max(0.001);
-        now.since(self.started_at).as_secs_f32() / plain
+        let nominal = self.nominal.as_secs_f32().max(0.001);
+        now.since(self.started_at).as_secs_f32() / nominal
     }
 }
--- a/lib/src/chain/machine.rs
+++ b/lib/src/chain/machine.rs
@@ -73,11 +73,11 @@
     /// Sets the endpoint that currently owns the key's slot.
     ///
     /// Must be called before each event, so that a waiting chain sees a new owner.
-    pub fn set_owner(&mut self, slot: Option<EndpointId>) {
-        if self.refused_by != slot {
+    pub fn set_owner(&mut self, owner: Option<EndpointId>) {
+        if self.refused_by != owner {
             self.refused_by = None;
         }
-        self.spec.slot_owner = slot;
+        self.spec.slot_owner = owner;
     }
 
     /// Returns the index of the current stage.
--- a/lib/src/chain/select.rs
+++ b/lib/src/chain/select.rs
@@ -273,7 +273,8 @@
     }
 }
 
-/// Records an open attempt that exceeds its predicted time.
+/// Records the elapsed time of an open attempt, in case it exceeds the predicted
+/// time.
 pub(super) fn record_overdue(now: Time, attempt: &Attempt, chain: &Chain, shared: &mut Shared) {
     let pool = &chain.current_stage().pool;
     let ratio = endpoint_ratio(now, attempt, chain, shared);
--- a/lib/src/chain/timing.rs
+++ b/lib/src/chain/timing.rs
@@ -114,7 +114,8 @@
     }
 }
 
-/// Doubles the elapsed time of an attempt that can't be retried now.
+/// Extends the time-out of an attempt that can't be retried now by its elapsed
+/// time.
 pub(super) fn extend_timeout(now: Time, attempt: &mut Attempt) {
     let waited = now.since(attempt.started_at).max(TIMEOUT_MIN);
     attempt.timeout_at = now + waited;
--- a/lib/src/placement/rollout.rs
+++ b/lib/src/placement/rollout.rs
@@ -120,7 +120,8 @@
     /// Chooses a copy to unload: replaced, blocking the new build, or surplus.
     ///
     /// During a rollout an outdated copy is unloaded only if the other ready
-    /// copies still carry the demand. Each plan unloads one copy at a time.
+    /// copies still carry the demand. One copy is unloaded at a time; the next plan
+    /// no longer counts it.
     pub(super) fn pick_unload(
         &self,
         projected: &BTreeMap<EndpointId, Engine>,
--- a/lib/src/routing/endpoint.rs
+++ b/lib/src/routing/endpoint.rs
@@ -245,15 +245,15 @@
         } else {
             1.0
         };
-        let plain = wait + (prefill + decode) * batch_slowdown;
+        let response = wait + (prefill + decode) * batch_slowdown;
         let (slowdown, failure_rate) = self.health.verdict(now);
         // A running batch serves one more call at little extra cost.
         let batch_size = if generates { busy + 1.0 } else { 1.0 };
         Forecast {
             failure_rate,
             work: (prefill + decode / batch_size) * slowdown,
-            nominal: plain + self.overhead,
-            total: plain * slowdown + self.overhead,
+            nominal: response + self.overhead,
+            total: response * slowdown + self.overhead,
         }
     }
 }
--- a/lib/src/routing/health.rs
+++ b/lib/src/routing/health.rs
@@ -5,7 +5,7 @@
 /// The weight of a new observation.
 const WEIGHT: f32 = 0.25;
 
-/// The bounds of an observed ratio, so that one outlier doesn't decide.
+/// The bounds of an observed ratio, so that one outlier doesn't dominate.
 const RATIO_MAX: f32 = 20.0;
 const RATIO_MIN: f32 = 0.1;
 
--- a/lib/src/routing/slowdown.rs
+++ b/lib/src/routing/slowdown.rs
@@ -10,7 +10,7 @@
 /// The factor by which each new observation decays the earlier ones.
 const DECAY: f32 = 0.99;
 
-/// The largest ratio observed, so that one straggler doesn't dominate the fit.
+/// The upper bound of an observed ratio, so that one straggler doesn't dominate.
 const RATIO_MAX: f32 = 4.0;
 
 /// The upper bound of the fitted slope.
@@ -19,8 +19,8 @@
 /// The weight of a new observation of the slowdown that all endpoints share.
 const SHARED_WEIGHT: f32 = 0.05;
 
-/// The largest ratio observed for the shared slowdown, so that one straggler
-/// hardly changes it.
+/// The upper bound of a ratio observed for the shared slowdown, so that one
+/// straggler hardly changes it.
 const SHARED_RATIO_MAX: f32 = 2.5;
 
 /// A least-squares fit of `ratio = 1 + slope * occupancy`, with decaying weights.
--- a/lib/tests/test_chain_random.rs
+++ b/lib/tests/test_chain_random.rs
@@ -143,8 +143,8 @@
 
     /// Returns whether a non-idempotent stage has no open attempt.
     fn awaits_owner(&self) -> bool {
-        let mut attempts = self.attempts.values().filter(|t| t.stage == self.stage);
-        self.once_stages.get(self.stage) == Some(&true) && attempts.all(|t| t.ended)
+        let mut attempts = self.attempts.values().filter(|a| a.stage == self.stage);
+        self.once_stages.get(self.stage) == Some(&true) && attempts.all(|a| a.ended)
     }
 
     fn sent_to(&mut self, stage: usize, endpoint: &EndpointId) {
@@ -166,7 +166,7 @@
     fn sent(&mut self, attempt: AttemptId, stage: usize, from: u32) {
         assert_eq!(stage, self.stage, "only the current stage is sent");
         if self.once_stages[stage] {
-            let may_have_run = |t: &AttemptRecord| t.stage == stage && !t.proven_not_run;
+            let may_have_run = |a: &AttemptRecord| a.stage == stage && !a.proven_not_run;
             assert!(
                 !self.attempts.values().any(may_have_run),
                 "a non-idempotent stage is sent while it may have run"
@@ -188,7 +188,7 @@
             self.attempts.insert(attempt, record).is_none(),
             "attempt ids are unique"
         );
-        let count = self.attempts.values().filter(|t| t.stage == stage).count();
+        let count = self.attempts.values().filter(|a| a.stage == stage).count();
         assert!(count <= 5, "attempts are bounded");
     }
 
@@ -246,7 +246,7 @@
                 assert_eq!(self.stage, self.once_stages.len(), "all stages are done")
             }
             Outcome::NotRun => assert!(
-                self.attempts.values().all(|t| t.proven_not_run),
+                self.attempts.values().all(|a| a.proven_not_run),
                 "not-run is reported although an attempt may have run"
             ),
             Outcome::Unknown => assert!(
