--- a/lib/tests/test_chain_random.rs
+++ b/lib/tests/test_chain_random.rs
@@ -243,7 +243,7 @@
         self.finish = Some(outcome);
         match outcome {
             Outcome::Completed => {
-                assert_eq!(self.stage, self.once_stages.len(), "all stages are done")
+                assert_eq!(self.stage, self.once_stages.len(), "all stages are done");
             }
             Outcome::NotRun => assert!(
                 self.attempts.values().all(|a| a.proven_not_run),
