--- a/lib/src/placement/mod.rs
+++ b/lib/src/placement/mod.rs
@@ -1,17 +1,17 @@
-//! Which models run where, decided by the holder of a pool's lease.
+//! Placement of models on engines by the holder of a pool's lease.
 //!
-//! The planner turns demand and what engines report into orders, each with the
-//! holder's fencing number. The gate at each agent refuses older numbers, so
-//! that a holder that was paused past its lease changes nothing.
+//! The planner turns demand and engine reports into orders, each with the
+//! holder's fencing number. The gate of each agent refuses older numbers, so a
+//! holder that was paused past the end of its lease has no effect.
 
 mod gate;
 mod order;
 mod planner;
-mod roll;
+mod rollout;
 
 pub use gate::Gate;
 pub use gate::GateError;
-pub use gate::Passed;
+pub use gate::GateOutcome;
 pub use order::Build;
 pub use order::Decision;
 pub use order::Order;
@@ -19,8 +19,8 @@
 pub use order::Verb;
 pub use order::Why;
 pub use planner::Demand;
+pub use planner::DesiredModel;
 pub use planner::Engine;
 pub use planner::LoadState;
 pub use planner::Planner;
 pub use planner::PlannerSettings;
-pub use planner::Wish;
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! Plans which engine of a pool holds which models.
+//! The planner of the models on a pool's engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use super::order::OrderId;
 use super::order::Verb;
 use super::order::Why;
-use super::roll::Rolls;
+use super::rollout::ModelRollout;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
 use crate::ids::FencingNumber;
@@ -20,15 +20,15 @@
 /// The settings of a planner.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerSettings {
-    /// The share of an engine that demand may use before copies are added.
+    /// The target utilization of an engine; above it, copies are added.
     pub target: f64,
     /// How long a surplus must last before a copy is unloaded.
     pub surplus_hold: Duration,
-    /// After this an order whose effect isn't reported is given again.
+    /// The time after which an order without a reported effect is reissued.
     pub order_timeout: Duration,
-    /// Bytes a second that the weight store gives to this pool.
+    /// The weight store's bandwidth for this pool, in bytes a second.
     pub store_rate: f64,
-    /// Bytes that may be loaded at once after a pause.
+    /// The bytes that may be loaded in a burst after an idle period.
     pub store_burst: f64,
 }
 
@@ -44,47 +44,47 @@
     }
 }
 
-/// What the pool should hold of one model.
+/// The desired state of one model in the pool.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
-    /// The version to run; other versions are replaced by it.
+pub struct DesiredModel {
+    /// The version to run, which replaces other versions.
     pub version: String,
     /// The adapter to run with, if any.
     pub adapter: Option<String>,
-    /// The memory of one copy.
+    /// The memory size of one copy.
     pub size: Bytes,
-    /// The fewest copies, however small the demand.
-    pub least: usize,
+    /// The minimum number of copies, whatever the demand.
+    pub min_copies: usize,
 }
 
-/// What is asked of one model now.
+/// The current demand for one model.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
-    /// Engines' worth of work: 1.0 keeps one engine fully busy.
+    /// The demand in engines: 1.0 keeps one engine fully busy.
     pub engines: f64,
 }
 
-/// How far a build is on an engine.
+/// The load state of a build on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadState {
     /// It is being loaded.
     Loading,
-    /// It serves.
+    /// It is ready to serve.
     Ready,
 }
 
-/// One engine as last reported.
+/// The last reported state of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Its failure domain.
     pub domain: FailureDomain,
     /// Its memory for models.
     pub memory: Bytes,
-    /// What it holds.
+    /// The loaded builds, with their state and memory size.
     pub builds: BTreeMap<Build, (LoadState, Bytes)>,
-    /// Whether it takes orders: heard lately and not draining.
+    /// Whether it accepts orders: reported recently and not draining.
     pub usable: bool,
-    /// Its role, and the role wished for it, where they matter.
+    /// Its current and desired role, if it has roles.
     pub roles: Option<(String, String)>,
 }
 
@@ -93,7 +93,7 @@
         self.builds.values().map(|b| b.1.0).sum()
     }
 
-    pub(super) fn has(&self, model: &ModelName) -> bool {
+    pub(super) fn has_model(&self, model: &ModelName) -> bool {
         self.builds.keys().any(|b| b.model == *model)
     }
 
@@ -117,58 +117,58 @@
 struct Pending {
     verb: Verb,
     size: Bytes,
-    since: Time,
+    ordered_at: Time,
 }
 
-/// Plans for one pool while its lease is held.
+/// The planner of one pool, active while the pool's lease is held.
 #[derive(Debug, Clone)]
 pub struct Planner {
     settings: PlannerSettings,
     fence: Option<FencingNumber>,
-    next: OrderId,
+    last_id: OrderId,
     pending: BTreeMap<EndpointId, Pending>,
     surplus: BTreeMap<ModelName, Time>,
-    credit: f64,
-    credited: Time,
+    store_credit: f64,
+    credit_updated: Time,
 }
 
 impl Planner {
-    /// Starts without a lease.
+    /// Builds a planner without a lease.
     #[must_use]
     pub fn new(settings: PlannerSettings) -> Self {
         Self {
             settings,
             fence: None,
-            next: OrderId::default(),
+            last_id: OrderId::default(),
             pending: BTreeMap::new(),
             surplus: BTreeMap::new(),
-            credit: settings.store_burst,
-            credited: Time::ZERO,
+            store_credit: settings.store_burst,
+            credit_updated: Time::ZERO,
         }
     }
 
-    /// Takes in the lease: the holder's fencing number while it is valid.
+    /// Sets the lease: the holder's fencing number while it is valid.
     ///
-    /// The caller passes none as soon as the lease can't be proven, as when the
-    /// log is away past its term. Then nothing new is placed, and all that runs
-    /// keeps running.
-    pub fn lease(&mut self, fence: Option<FencingNumber>) {
+    /// The caller passes `None` as soon as the lease can't be proven, as when the
+    /// log is unavailable past the lease's term. Then no orders are issued, and
+    /// running models keep running.
+    pub fn set_lease(&mut self, fence: Option<FencingNumber>) {
         if fence == self.fence {
             return;
         }
         self.fence = fence;
-        // Orders and hold times of another claim are no base for this one.
-        self.next = OrderId::default();
+        // Orders and hold times of an earlier claim don't apply to this one.
+        self.last_id = OrderId::default();
         self.pending.clear();
         self.surplus.clear();
     }
 
-    /// Plans once and returns a decision for each order, and for each need
-    /// that can't be met now.
+    /// Runs one planning step and returns a decision for each order and for each
+    /// order withheld.
     pub fn plan(
         &mut self,
         now: Time,
-        wishes: &BTreeMap<ModelName, Wish>,
+        desired: &BTreeMap<ModelName, DesiredModel>,
         demand: &BTreeMap<ModelName, Demand>,
         engines: &BTreeMap<EndpointId, Engine>,
     ) -> Vec<Decision> {
@@ -176,25 +176,25 @@
             return Vec::new();
         };
         self.refill(now);
-        self.settle(now, engines);
-        let mut board = self.foresee(engines);
+        self.drop_settled(now, engines);
+        let mut projected = self.project(engines);
         let mut out = Vec::new();
-        for rolls in self.by_need(wishes, demand, &board) {
-            self.place(now, fence, &rolls, &mut board, &mut out);
+        for rollout in self.rollouts_by_shortfall(desired, demand, &projected) {
+            self.place_copies(now, fence, &rollout, &mut projected, &mut out);
         }
-        self.clear_unwished(now, fence, wishes, &mut board, &mut out);
-        self.set_roles(now, fence, &board, &mut out);
+        self.unload_undesired(now, fence, desired, &mut projected, &mut out);
+        self.set_roles(now, fence, &projected, &mut out);
         out
     }
 
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.credited).as_secs_f64() * self.settings.store_rate;
-        self.credit = (self.credit + earned).min(self.settings.store_burst);
-        self.credited = now;
+        let earned = now.since(self.credit_updated).as_secs_f64() * self.settings.store_rate;
+        self.store_credit = (self.store_credit + earned).min(self.settings.store_burst);
+        self.credit_updated = now;
     }
 
-    /// Drops pending orders whose effect is reported, or that take too long.
-    fn settle(&mut self, now: Time, engines: &BTreeMap<EndpointId, Engine>) {
+    /// Drops pending orders whose effect was reported or that timed out.
+    fn drop_settled(&mut self, now: Time, engines: &BTreeMap<EndpointId, Engine>) {
         let timeout = self.settings.order_timeout;
         self.pending.retain(|endpoint, pending| {
             let Some(engine) = engines.get(endpoint) else {
@@ -205,131 +205,147 @@
                 Verb::Unload(build) => !engine.builds.contains_key(build),
                 Verb::Role(role) => engine.roles.as_ref().is_none_or(|r| r.0 == *role),
             };
-            !done && now.since(pending.since) < timeout
+            !done && now.since(pending.ordered_at) < timeout
         });
     }
 
-    /// Returns the engines as they will be once pending orders are done.
+    /// Returns the engines as they will be once pending orders are executed.
     ///
-    /// Reports lag, and a plan made on them alone would give an order again at
-    /// each step until the report catches up.
-    fn foresee(&self, engines: &BTreeMap<EndpointId, Engine>) -> BTreeMap<EndpointId, Engine> {
-        let mut board = engines.clone();
+    /// Reports lag; a plan made from them alone would reissue an order at each
+    /// step until its effect is reported.
+    fn project(&self, engines: &BTreeMap<EndpointId, Engine>) -> BTreeMap<EndpointId, Engine> {
+        let mut projected = engines.clone();
         for (endpoint, pending) in &self.pending {
-            if let Some(engine) = board.get_mut(endpoint) {
+            if let Some(engine) = projected.get_mut(endpoint) {
                 apply(engine, &pending.verb, pending.size);
             }
         }
-        board
+        projected
     }
 
-    fn by_need(
+    fn rollouts_by_shortfall(
         &self,
-        wishes: &BTreeMap<ModelName, Wish>,
+        desired: &BTreeMap<ModelName, DesiredModel>,
         demand: &BTreeMap<ModelName, Demand>,
-        board: &BTreeMap<EndpointId, Engine>,
-    ) -> Vec<Rolls> {
-        let mut all: Vec<Rolls> = wishes
+        projected: &BTreeMap<EndpointId, Engine>,
+    ) -> Vec<ModelRollout> {
+        let mut all: Vec<ModelRollout> = desired
             .iter()
-            .map(|(model, wish)| {
+            .map(|(model, desired)| {
                 let demand = demand.get(model).copied().unwrap_or_default();
-                Rolls::new(model, wish, demand.engines, self.settings.target, board)
+                ModelRollout::new(
+                    model,
+                    desired,
+                    demand.engines,
+                    self.settings.target,
+                    projected,
+                )
             })
             .collect();
-        // The store's rate is shared, so the model that lacks most goes first.
+        // The store's bandwidth is shared, so the largest shortfall goes first.
         all.sort_by(|a, b| b.shortfall().total_cmp(&a.shortfall()));
         all
     }
 
-    fn place(
+    fn place_copies(
         &mut self,
         now: Time,
         fence: FencingNumber,
-        rolls: &Rolls,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        rollout: &ModelRollout,
+        projected: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let missing = rolls.missing();
-        let mut wanting = 0;
+        let missing = rollout.missing();
+        let mut unplaced = 0;
         for _ in 0..missing {
-            let Some(endpoint) = rolls.spot(board, |e| self.is_free(e)) else {
-                wanting += 1;
+            let Some(endpoint) = rollout.pick_engine(projected, |e| self.is_free(e)) else {
+                unplaced += 1;
                 continue;
             };
-            if self.credit < rolls.size.0 as f64 {
-                out.push(rolls.decide(None, Why::StoreRate));
+            if self.store_credit < rollout.size.0 as f64 {
+                out.push(rollout.decision(None, Why::StoreRate));
                 return;
             }
-            self.credit -= rolls.size.0 as f64;
-            let verb = Verb::Load(rolls.build.clone());
-            let order = self.order(now, fence, &endpoint, verb, rolls.size, board);
-            out.push(rolls.decide(Some(order), rolls.why_load()));
+            self.store_credit -= rollout.size.0 as f64;
+            let verb = Verb::Load(rollout.build.clone());
+            let order = self.order(now, fence, &endpoint, verb, rollout.size, projected);
+            out.push(rollout.decision(Some(order), rollout.why_load()));
         }
-        self.retire(now, fence, rolls, wanting, board, out);
+        self.unload_one(now, fence, rollout, unplaced, projected, out);
     }
 
-    /// Unloads what is replaced or surplus, without costing needed capacity.
-    fn retire(
+    /// Unloads one replaced or surplus copy without removing needed capacity.
+    fn unload_one(
         &mut self,
         now: Time,
         fence: FencingNumber,
-        rolls: &Rolls,
-        wanting: usize,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        rollout: &ModelRollout,
+        unplaced: usize,
+        projected: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let surplus = self.lasting_surplus(now, rolls);
-        let candidate = rolls.retirable(board, wanting > 0, surplus, |e| self.is_free(e));
+        let surplus = self.lasting_surplus(now, rollout);
+        let candidate = rollout.pick_unload(projected, unplaced > 0, surplus, |e| self.is_free(e));
         let Some((endpoint, build, why)) = candidate else {
-            if wanting > 0 {
-                out.push(rolls.decide(None, Why::NoRoom));
+            if unplaced > 0 {
+                out.push(rollout.decision(None, Why::NoRoom));
             }
             return;
         };
-        let order = self.order(now, fence, &endpoint, Verb::Unload(build), Bytes(0), board);
-        out.push(rolls.decide(Some(order), why));
+        let order = self.order(
+            now,
+            fence,
+            &endpoint,
+            Verb::Unload(build),
+            Bytes(0),
+            projected,
+        );
+        out.push(rollout.decision(Some(order), why));
     }
 
-    fn lasting_surplus(&mut self, now: Time, rolls: &Rolls) -> bool {
-        if !rolls.has_surplus() {
-            self.surplus.remove(&rolls.build.model);
+    fn lasting_surplus(&mut self, now: Time, rollout: &ModelRollout) -> bool {
+        if !rollout.has_surplus() {
+            self.surplus.remove(&rollout.build.model);
             return false;
         }
-        let since = *self.surplus.entry(rolls.build.model.clone()).or_insert(now);
+        let since = *self
+            .surplus
+            .entry(rollout.build.model.clone())
+            .or_insert(now);
         let lasting = now.since(since) >= self.settings.surplus_hold;
         if lasting {
-            // The next copy has to be surplus for as long again, so a dip in
-            // demand costs one copy, not all.
-            self.surplus.insert(rolls.build.model.clone(), now);
+            // Restarts the hold time for the next copy, so that a dip in demand
+            // removes one copy, not all.
+            self.surplus.insert(rollout.build.model.clone(), now);
         }
         lasting
     }
 
-    fn clear_unwished(
+    fn unload_undesired(
         &mut self,
         now: Time,
         fence: FencingNumber,
-        wishes: &BTreeMap<ModelName, Wish>,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        desired: &BTreeMap<ModelName, DesiredModel>,
+        projected: &mut BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let unwished: Vec<(EndpointId, Build)> = board
+        let undesired: Vec<(EndpointId, Build)> = projected
             .iter()
             .filter(|(endpoint, e)| e.usable && self.is_free(endpoint))
             .filter_map(|(endpoint, e)| {
-                let build = e.builds.keys().find(|b| !wishes.contains_key(&b.model))?;
+                let build = e.builds.keys().find(|b| !desired.contains_key(&b.model))?;
                 Some((endpoint.clone(), build.clone()))
             })
             .collect();
-        for (endpoint, build) in unwished {
-            // A holder that has just started may not know the configuration
-            // yet; a wish that is missing for a moment must not empty the pool.
+        for (endpoint, build) in undesired {
+            // A holder that has just started may lack the configuration; a
+            // briefly missing model must not be unloaded from the whole pool.
             let since = *self.surplus.entry(build.model.clone()).or_insert(now);
             if now.since(since) < self.settings.surplus_hold {
                 continue;
             }
             let verb = Verb::Unload(build.clone());
-            let order = self.order(now, fence, &endpoint, verb, Bytes(0), board);
+            let order = self.order(now, fence, &endpoint, verb, Bytes(0), projected);
             out.push(Decision {
                 order: Some(order),
                 build: Some(build),
@@ -344,19 +360,19 @@
         &mut self,
         now: Time,
         fence: FencingNumber,
-        board: &BTreeMap<EndpointId, Engine>,
+        projected: &BTreeMap<EndpointId, Engine>,
         out: &mut Vec<Decision>,
     ) {
-        let mut board = board.clone();
+        let mut projected = projected.clone();
         let differs = |e: &Engine| e.roles.as_ref().filter(|r| r.0 != r.1).map(|r| r.1.clone());
-        let changes: Vec<(EndpointId, String)> = board
+        let changes: Vec<(EndpointId, String)> = projected
             .iter()
             .filter(|(endpoint, e)| e.usable && self.is_free(endpoint))
             .filter_map(|(endpoint, e)| Some((endpoint.clone(), differs(e)?)))
             .collect();
         for (endpoint, role) in changes {
             let verb = Verb::Role(role);
-            let order = self.order(now, fence, &endpoint, verb, Bytes(0), &mut board);
+            let order = self.order(now, fence, &endpoint, verb, Bytes(0), &mut projected);
             out.push(Decision {
                 order: Some(order),
                 build: None,
@@ -367,7 +383,7 @@
         }
     }
 
-    /// Tells whether no order to the endpoint is under way.
+    /// Returns whether the endpoint has no pending order.
     fn is_free(&self, endpoint: &EndpointId) -> bool {
         !self.pending.contains_key(endpoint)
     }
@@ -379,20 +395,20 @@
         endpoint: &EndpointId,
         verb: Verb,
         size: Bytes,
-        board: &mut BTreeMap<EndpointId, Engine>,
+        projected: &mut BTreeMap<EndpointId, Engine>,
     ) -> Order {
-        self.next = OrderId(self.next.0 + 1);
-        if let Some(engine) = board.get_mut(endpoint) {
+        self.last_id = OrderId(self.last_id.0 + 1);
+        if let Some(engine) = projected.get_mut(endpoint) {
             apply(engine, &verb, size);
         }
         let pending = Pending {
             verb: verb.clone(),
             size,
-            since: now,
+            ordered_at: now,
         };
         self.pending.insert(endpoint.clone(), pending);
         Order {
-            id: self.next,
+            id: self.last_id,
             fence,
             endpoint: endpoint.clone(),
             verb,
--- a/lib/src/routing/baseline.rs
+++ b/lib/src/routing/baseline.rs
@@ -1,4 +1,4 @@
-//! The policies that ours is measured against.
+//! Baseline policies for comparison with [`super::Predicted`].
 
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -10,10 +10,10 @@
 use super::Why;
 use crate::time::Time;
 
-/// Takes the endpoints in turn.
+/// Chooses the endpoints in rotation.
 #[derive(Debug, Clone, Default)]
 pub struct RoundRobin {
-    turn: usize,
+    next_slot: usize,
 }
 
 impl Policy for RoundRobin {
@@ -30,14 +30,20 @@
     ) -> Option<Choice> {
         let count = pool.endpoints.len();
         let allowed = |slot: &usize| pool.allows(now, *slot, need);
-        let turn = self.turn;
-        let slot = (0..count).map(|i| (turn + i) % count).find(allowed)?;
-        self.turn = slot + 1;
-        Some(plain(now, pool, need, slot, Why::Turn))
+        let start = self.next_slot;
+        let slot = (0..count).map(|i| (start + i) % count).find(allowed)?;
+        self.next_slot = slot + 1;
+        Some(choice_without_alternatives(
+            now,
+            pool,
+            need,
+            slot,
+            Why::Turn,
+        ))
     }
 }
 
-/// Takes the endpoint with the fewest of this router's calls in flight.
+/// Chooses the endpoint with the fewest of this router's calls in flight.
 #[derive(Debug, Clone, Default)]
 pub struct LeastOutstanding;
 
@@ -62,17 +68,29 @@
             .map(|i| (start + i) % count)
             .filter(|&slot| pool.allows(now, slot, need))
             .min_by_key(|&slot| pool.endpoints[slot].outstanding)?;
-        Some(plain(now, pool, need, slot, Why::Outstanding))
+        Some(choice_without_alternatives(
+            now,
+            pool,
+            need,
+            slot,
+            Why::Outstanding,
+        ))
     }
 }
 
-fn plain(now: Time, pool: &Pool, need: &Need<'_>, slot: usize, why: Why) -> Choice {
+fn choice_without_alternatives(
+    now: Time,
+    pool: &Pool,
+    need: &Need<'_>,
+    slot: usize,
+    why: Why,
+) -> Choice {
     let forecast = pool.forecast(now, slot, need);
     Choice {
         slot,
         why,
         predicted: forecast.total,
-        plain: forecast.plain,
+        nominal: forecast.nominal,
         others: [None; 2],
     }
 }
--- a/lib/src/routing/fleet.rs
+++ b/lib/src/routing/fleet.rs
@@ -1,13 +1,13 @@
-//! All endpoints as one router sees them.
+//! A router's view of all endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::CacheUpdate;
 use super::Endpoint;
-use super::Home;
 use super::LoadReport;
 use super::Pool;
+use super::RouterLocation;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
 use crate::ids::Incarnation;
@@ -15,55 +15,55 @@
 use crate::ids::Region;
 use crate::time::Time;
 
-/// The seconds that a call spends on the way within a failure domain, between
-/// two of one region, and between regions. The users state 1 to 3 ms for the
-/// first two; the last is a usual figure between regions.
-const OVERHEAD_NEAR: f32 = 0.001;
-const OVERHEAD_DOMAIN: f32 = 0.004;
-const OVERHEAD_REGION: f32 = 0.040;
+/// The network overhead of a call within a failure domain, between failure
+/// domains of a region, and between regions. The requirements state 1 to 3 ms
+/// for the first two; the last is a typical figure between regions.
+const OVERHEAD_LOCAL_SECS: f32 = 0.001;
+const OVERHEAD_CROSS_DOMAIN_SECS: f32 = 0.004;
+const OVERHEAD_CROSS_REGION_SECS: f32 = 0.040;
 
-/// Work booked on an endpoint, to be released once.
+/// A call booked on an endpoint, to be released exactly once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Booking {
     slot: usize,
-    life: u64,
+    instance: u64,
     sent: Time,
 }
 
 impl Booking {
-    /// Returns the slot that the work was booked on.
+    /// Returns the slot of the booked endpoint.
     #[must_use]
     pub const fn slot(&self) -> usize {
         self.slot
     }
 }
 
-/// All endpoints as one router sees them.
+/// A router's view of all endpoints.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    home: Home,
+    location: RouterLocation,
     pools: BTreeMap<PoolName, Pool>,
-    places: BTreeMap<EndpointId, PoolName>,
+    endpoint_pools: BTreeMap<EndpointId, PoolName>,
     domains: Vec<FailureDomain>,
-    lives: u64,
+    instances: u64,
 }
 
 impl Fleet {
-    /// Builds an empty fleet for a router that stands at `home`.
+    /// Builds an empty fleet for a router at `location`.
     #[must_use]
-    pub const fn new(home: Home) -> Self {
+    pub const fn new(location: RouterLocation) -> Self {
         Self {
-            home,
+            location,
             pools: BTreeMap::new(),
-            places: BTreeMap::new(),
+            endpoint_pools: BTreeMap::new(),
             domains: Vec::new(),
-            lives: 0,
+            instances: 0,
         }
     }
 
-    /// Notes an endpoint, or a new incarnation of one.
+    /// Adds an endpoint or a new incarnation of one.
     ///
-    /// It gets no work before its first load report.
+    /// It receives no work before its first load report.
     pub fn upsert(
         &mut self,
         endpoint: EndpointId,
@@ -72,63 +72,67 @@
         region: &Region,
         incarnation: Incarnation,
     ) {
-        if self.places.get(&endpoint).is_some_and(|old| *old != pool) {
-            self.gone(&endpoint);
+        if self
+            .endpoint_pools
+            .get(&endpoint)
+            .is_some_and(|old| *old != pool)
+        {
+            self.mark_unreachable(&endpoint);
         }
-        let index = self.domain(domain);
+        let index = self.domain_index(domain);
         let overhead = self.overhead(domain, region);
-        self.lives += 1;
-        let life = self.lives;
-        let slots = self.pools.entry(pool.clone()).or_default();
-        let Some(entered) = slots.enter(&endpoint, incarnation, life) else {
+        self.instances += 1;
+        let instance = self.instances;
+        let members = self.pools.entry(pool.clone()).or_default();
+        let Some(inserted) = members.insert(&endpoint, incarnation, instance) else {
             return;
         };
-        slots.endpoints[entered.slot].place(index, overhead);
-        // An endpoint that moved to another pool is ousted from its old one
-        // later, and must stay where it is now.
-        if let Some(old) = entered.ousted
-            && self.places.get(&old) == Some(&pool)
+        members.endpoints[inserted.slot].set_location(index, overhead);
+        // The evicted endpoint may have moved to another pool since; its entry
+        // there must stay.
+        if let Some(old) = inserted.evicted
+            && self.endpoint_pools.get(&old) == Some(&pool)
         {
-            self.places.remove(&old);
+            self.endpoint_pools.remove(&old);
         }
-        self.places.insert(endpoint, pool);
+        self.endpoint_pools.insert(endpoint, pool);
     }
 
-    /// Takes in a load report.
+    /// Applies a load report.
     pub fn on_load(&mut self, now: Time, endpoint: &EndpointId, report: &LoadReport) {
         let Some((pool, slot)) = self.find_mut(endpoint) else {
             return;
         };
-        let models = pool.mask(&report.models);
-        pool.endpoints[slot].load(now, report, models);
+        let models = pool.model_mask(&report.models);
+        pool.endpoints[slot].apply_load(now, report, models);
     }
 
-    /// Takes in what an endpoint gained and dropped of its prefix cache.
+    /// Applies a change of an endpoint's prefix cache.
     pub fn on_cache(&mut self, endpoint: &EndpointId, update: &CacheUpdate) {
         let Some((pool, slot)) = self.find_mut(endpoint) else {
             return;
         };
-        pool.cache(slot, update);
+        pool.apply_cache(slot, update);
     }
 
-    /// Notes that an endpoint can't be reached any more.
+    /// Marks an endpoint as unreachable.
     ///
-    /// What is known of its cache stays for its return: links are replaced more
-    /// often than caches are lost, and agents tell only what is new.
-    pub fn gone(&mut self, endpoint: &EndpointId) {
+    /// Its known cache content is kept for reconnection: links are replaced more
+    /// often than caches are lost, and agents report only changes.
+    pub fn mark_unreachable(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
-            pool.leave(slot);
+            pool.mark_absent(slot);
         }
     }
 
-    /// Notes that an endpoint leaves and takes no new work.
-    pub fn drain(&mut self, endpoint: &EndpointId) {
+    /// Marks an endpoint as draining, so that it receives no new work.
+    pub fn mark_draining(&mut self, endpoint: &EndpointId) {
         if let Some((pool, slot)) = self.find_mut(endpoint) {
             pool.endpoints[slot].draining = true;
         }
     }
 
-    /// Sets the cost of a busy second of a pool's endpoint.
+    /// Sets the cost of a second of service time at a pool's endpoints.
     pub fn set_price(&mut self, pool: &PoolName, price: f64) {
         if !self.pools.contains_key(pool) {
             self.pools.insert(pool.clone(), Pool::default());
@@ -150,7 +154,7 @@
         &self.pools
     }
 
-    /// Returns a pool for a choice in it.
+    /// Returns a pool for the choice of an endpoint.
     pub fn pool_mut(&mut self, name: &PoolName) -> Option<&mut Pool> {
         self.pools.get_mut(name)
     }
@@ -158,74 +162,80 @@
     /// Returns an endpoint.
     #[must_use]
     pub fn endpoint(&self, id: &EndpointId) -> Option<&Endpoint> {
-        let pool = self.pools.get(self.places.get(id)?)?;
+        let pool = self.pools.get(self.endpoint_pools.get(id)?)?;
         pool.endpoints.get(pool.find(id)?)
     }
 
-    /// Returns the failure domain of an index.
+    /// Returns the failure domain with the given index.
     #[must_use]
     pub fn domain_name(&self, index: u16) -> Option<&FailureDomain> {
         self.domains.get(usize::from(index))
     }
 
-    /// Books work that is sent now.
+    /// Books a call that is sent at `now`.
     pub fn book(&mut self, now: Time, pool: &PoolName, slot: usize) -> Option<Booking> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(slot)?;
-        endpoint.sent(now);
+        endpoint.on_send(now);
         Some(Booking {
             slot,
-            life: endpoint.life,
+            instance: endpoint.instance,
             sent: now,
         })
     }
 
-    /// Releases booked work; returns the endpoint if it is still the same life.
+    /// Releases a booking; returns the endpoint if its slot still holds the
+    /// instance that was booked.
     pub fn release(&mut self, pool: &PoolName, booking: Booking) -> Option<&mut Endpoint> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(booking.slot)?;
-        if endpoint.life != booking.life {
+        if endpoint.instance != booking.instance {
             return None;
         }
-        endpoint.released(booking.sent);
+        endpoint.on_release(booking.sent);
         Some(endpoint)
     }
 
-    /// Returns the endpoint at a slot, if it is still the one named.
-    pub fn at(&mut self, pool: &PoolName, slot: usize, id: &EndpointId) -> Option<&mut Endpoint> {
+    /// Returns the endpoint at a slot if it still has the given id.
+    pub fn endpoint_at(
+        &mut self,
+        pool: &PoolName,
+        slot: usize,
+        id: &EndpointId,
+    ) -> Option<&mut Endpoint> {
         let endpoint = self.pools.get_mut(pool)?.endpoints.get_mut(slot)?;
         (endpoint.id == *id).then_some(endpoint)
     }
 
-    /// Notes how long a generation took, in multiples of the time predicted
-    /// for an idle endpoint, and how full its batch was.
-    pub fn dragged(&mut self, pool: &PoolName, crowd: f32, ratio: f32) {
+    /// Records the time of a generation as a multiple of the time predicted for
+    /// an idle endpoint, with the occupancy of its batch.
+    pub fn observe_batch_slowdown(&mut self, pool: &PoolName, occupancy: f32, ratio: f32) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.dragged(crowd, ratio);
+            pool.observe_batch_slowdown(occupancy, ratio);
         }
     }
 
-    /// Notes how many times its promised time a generation took.
-    pub fn missed(&mut self, pool: &PoolName, ratio: f32) {
+    /// Records the time of a generation as a multiple of the predicted time.
+    pub fn observe_overrun(&mut self, pool: &PoolName, ratio: f32) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.missed(ratio);
+            pool.observe_overrun(ratio);
         }
     }
 
-    /// Notes the work time of a completed call.
-    pub fn worked(&mut self, pool: &PoolName, slot: usize, work: Duration) {
+    /// Records the service time of a completed call.
+    pub fn observe_work(&mut self, pool: &PoolName, slot: usize, work: Duration) {
         if let Some(pool) = self.pools.get_mut(pool)
             && slot < pool.endpoints.len()
         {
-            pool.worked(slot, work.as_secs_f32());
+            pool.observe_work(slot, work.as_secs_f32());
         }
     }
 
     fn find_mut(&mut self, endpoint: &EndpointId) -> Option<(&mut Pool, usize)> {
-        let pool = self.pools.get_mut(self.places.get(endpoint)?)?;
+        let pool = self.pools.get_mut(self.endpoint_pools.get(endpoint)?)?;
         let slot = pool.find(endpoint)?;
         Some((pool, slot))
     }
 
-    fn domain(&mut self, domain: &FailureDomain) -> u16 {
+    fn domain_index(&mut self, domain: &FailureDomain) -> u16 {
         let known = self.domains.iter().position(|d| d == domain);
         let index = known.unwrap_or_else(|| {
             self.domains.push(domain.clone());
@@ -235,12 +245,12 @@
     }
 
     fn overhead(&self, domain: &FailureDomain, region: &Region) -> f32 {
-        if *region != self.home.region {
-            OVERHEAD_REGION
-        } else if *domain != self.home.domain {
-            OVERHEAD_DOMAIN
+        if *region != self.location.region {
+            OVERHEAD_CROSS_REGION_SECS
+        } else if *domain != self.location.domain {
+            OVERHEAD_CROSS_DOMAIN_SECS
         } else {
-            OVERHEAD_NEAR
+            OVERHEAD_LOCAL_SECS
         }
     }
 }
--- a/lib/src/routing/mod.rs
+++ b/lib/src/routing/mod.rs
@@ -1,7 +1,6 @@
-//! Where a stage goes: the router's view of endpoints and the choice among them.
+//! Routing of stages: the router's view of endpoints and the choice among them.
 
 mod baseline;
-mod drag;
 mod endpoint;
 mod fleet;
 mod health;
@@ -10,6 +9,7 @@
 mod predicted;
 mod prefix;
 mod report;
+mod slowdown;
 
 pub use baseline::LeastOutstanding;
 pub use baseline::RoundRobin;
@@ -25,7 +25,7 @@
 pub use policy::choose;
 pub use pool::Pool;
 pub use predicted::Predicted;
-pub use prefix::Holders;
+pub use prefix::PrefixIndex;
 pub use report::CacheUpdate;
-pub use report::Home;
 pub use report::LoadReport;
+pub use report::RouterLocation;
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -1,29 +1,29 @@
-//! Which endpoints of a pool hold which prefix blocks.
+//! An index of the prefix blocks cached by the endpoints of a pool.
 
 use std::collections::BTreeMap;
 
-/// The most blocks that are remembered for a pool.
+/// The most blocks indexed for a pool.
 ///
-/// At 680 endpoints an entry takes about 120 bytes, so the whole takes 4 MB.
+/// At 680 endpoints an entry takes about 120 bytes, so the index takes 4 MB.
 const BLOCKS_MAX: usize = 32_768;
 
 /// The endpoints that hold each prefix block, by slot of the pool.
 ///
-/// The knowledge is a hint: events come late and with gaps, and a wrong hint
-/// costs a prompt read again, never a wrong answer.
+/// The index is a hint: cache events arrive late and with gaps, and a wrong
+/// entry costs a repeated prefill, never a wrong answer.
 #[derive(Debug, Clone, Default)]
-pub struct Holders {
+pub struct PrefixIndex {
     blocks: BTreeMap<u64, Vec<u64>>,
-    alive: Vec<u64>,
-    deepest: Vec<u64>,
-    held: Vec<u16>,
+    candidates: Vec<u64>,
+    longest: Vec<u64>,
+    leading: Vec<u16>,
 }
 
-impl Holders {
-    /// Notes that a slot holds a block.
+impl PrefixIndex {
+    /// Adds a block held by a slot.
     pub fn add(&mut self, slot: usize, block: u64) {
         if self.blocks.len() >= BLOCKS_MAX && !self.blocks.contains_key(&block) {
-            // Hashes are evenly spread, so the first is as good as a random one.
+            // Hashes are evenly spread, so the first entry is as good as a random one.
             self.blocks.pop_first();
         }
         let words = self.blocks.entry(block).or_default();
@@ -34,8 +34,8 @@
         words[word] |= 1 << (slot % 64);
     }
 
-    /// Notes that a slot dropped a block.
-    pub fn drop_block(&mut self, slot: usize, block: u64) {
+    /// Removes a block dropped by a slot.
+    pub fn remove(&mut self, slot: usize, block: u64) {
         let Some(words) = self.blocks.get_mut(&block) else {
             return;
         };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Forgets all that a slot held.
+    /// Removes all blocks of a slot.
     pub fn clear(&mut self, slot: usize) {
         self.blocks.retain(|_, words| {
             if let Some(word) = words.get_mut(slot / 64) {
@@ -57,61 +57,61 @@
         });
     }
 
-    /// Finds how many of the leading blocks each of `slots` slots holds.
+    /// Counts the leading blocks of `prefix` that each of `slots` slots holds.
     ///
-    /// The answer is read with [`Holders::held`].
-    pub fn measure(&mut self, prefix: &[u64], slots: usize) {
-        self.held.clear();
-        self.held.resize(slots, 0);
-        self.alive.clear();
-        self.alive.resize(slots.div_ceil(64), u64::MAX);
-        self.deepest.clear();
+    /// The result is read with [`PrefixIndex::leading_blocks`].
+    pub fn match_prefix(&mut self, prefix: &[u64], slots: usize) {
+        self.leading.clear();
+        self.leading.resize(slots, 0);
+        self.candidates.clear();
+        self.candidates.resize(slots.div_ceil(64), u64::MAX);
+        self.longest.clear();
         for (index, block) in prefix.iter().enumerate() {
             let words = self.blocks.get(block).map_or(&[][..], Vec::as_slice);
-            let mut left = 0;
-            for (place, alive) in self.alive.iter_mut().enumerate() {
-                let still = *alive & words.get(place).copied().unwrap_or(0);
-                mark(&mut self.held, place, *alive & !still, index);
-                *alive = still;
-                left |= still;
+            let mut any = 0;
+            for (word_index, remaining) in self.candidates.iter_mut().enumerate() {
+                let holding = *remaining & words.get(word_index).copied().unwrap_or(0);
+                record_depth(&mut self.leading, word_index, *remaining & !holding, index);
+                *remaining = holding;
+                any |= holding;
             }
-            if left == 0 {
+            if any == 0 {
                 return;
             }
-            self.deepest.clone_from(&self.alive);
+            self.longest.clone_from(&self.candidates);
         }
-        for (place, &alive) in self.alive.iter().enumerate() {
-            mark(&mut self.held, place, alive, prefix.len());
+        for (word_index, &remaining) in self.candidates.iter().enumerate() {
+            record_depth(&mut self.leading, word_index, remaining, prefix.len());
         }
     }
 
-    /// Returns the slots that hold the most leading blocks, as last measured.
-    pub fn deepest(&self) -> impl Iterator<Item = usize> {
-        let words = self.deepest.iter().enumerate();
-        words.flat_map(|(place, &word)| {
+    /// Returns the slots that hold the most leading blocks of the last match.
+    pub fn longest(&self) -> impl Iterator<Item = usize> {
+        let words = self.longest.iter().enumerate();
+        words.flat_map(|(word_index, &word)| {
             let mut bits = word;
             std::iter::from_fn(move || {
-                let slot = (bits != 0).then(|| place * 64 + bits.trailing_zeros() as usize)?;
+                let slot = (bits != 0).then(|| word_index * 64 + bits.trailing_zeros() as usize)?;
                 bits &= bits - 1;
                 Some(slot)
             })
         })
     }
 
-    /// Returns the leading blocks that a slot holds, as last measured.
+    /// Returns the number of leading blocks that a slot holds in the last match.
     #[must_use]
-    pub fn held(&self, slot: usize) -> u16 {
-        self.held.get(slot).copied().unwrap_or(0)
+    pub fn leading_blocks(&self, slot: usize) -> u16 {
+        self.leading.get(slot).copied().unwrap_or(0)
     }
 }
 
-fn mark(held: &mut [u16], place: usize, mut bits: u64, blocks: usize) {
+fn record_depth(leading: &mut [u16], word_index: usize, mut bits: u64, blocks: usize) {
     if blocks == 0 {
         return;
     }
     while bits != 0 {
-        let slot = place * 64 + bits.trailing_zeros() as usize;
-        if let Some(entry) = held.get_mut(slot) {
+        let slot = word_index * 64 + bits.trailing_zeros() as usize;
+        if let Some(entry) = leading.get_mut(slot) {
             *entry = u16::try_from(blocks).unwrap_or(u16::MAX);
         }
         bits &= bits - 1;
--- a/lib/tests/chain_world.rs
+++ b/lib/tests/chain_world.rs
@@ -1,4 +1,4 @@
-//! A driver of one chain in virtual time, shared by the tests of chains.
+//! A driver for chains in virtual time, shared by the chain tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use snipeyoke_lib::chain::Chain;
 use snipeyoke_lib::chain::Event;
 use snipeyoke_lib::chain::Prompt;
+use snipeyoke_lib::chain::RequestSpec;
 use snipeyoke_lib::chain::Shared;
-use snipeyoke_lib::chain::Spec;
 use snipeyoke_lib::config::Pipeline;
 use snipeyoke_lib::config::Stage;
 use snipeyoke_lib::config::StageRole;
@@ -17,14 +17,14 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::Incarnation;
 use snipeyoke_lib::ids::RequestId;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::PolicyKind;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Tokens;
 use uuid::Uuid;
 
-/// The endpoints' load as last reported, repeated as time passes.
+/// A router's shared state, with load reports that repeat as time advances.
 #[derive(Debug)]
 pub struct World {
     pub shared: Shared,
@@ -34,7 +34,7 @@
 
 impl World {
     pub fn new(policy: PolicyKind, seed: u64) -> Self {
-        let home = Home {
+        let home = RouterLocation {
             domain: "a".parse().expect("a name"),
             region: "r".parse().expect("a name"),
         };
@@ -58,8 +58,8 @@
         self.reports.insert(endpoint, report);
     }
 
-    /// Moves time; every endpoint that still reports does so.
-    pub fn pass(&mut self, to: Time) {
+    /// Advances the time; every endpoint with a report sends it again.
+    pub fn advance(&mut self, to: Time) {
         self.now = self.now.max(to);
         for (endpoint, report) in &mut self.reports {
             report.seq += 1;
@@ -74,8 +74,7 @@
     }
 }
 
-/// Reads a stage from `role.pool`, where the role `once` is a call that is
-/// not idempotent.
+/// Parses a stage from `role.pool`; the role `once` is a non-idempotent call.
 pub fn stage(text: &str) -> Stage {
     let (role, pool) = text.split_once('.').expect("role.pool");
     let idempotent = role != "once";
@@ -89,13 +88,13 @@
     }
 }
 
-pub fn spec(now: Time, stages: &[String], deadline_ms: u64) -> Spec {
+pub fn spec(now: Time, stages: &[String], deadline_ms: u64) -> RequestSpec {
     let pipeline = Pipeline {
         deadline_ms,
         stages: stages.iter().map(|s| stage(s)).collect(),
         weights: Weights::default(),
     };
-    Spec {
+    RequestSpec {
         request: RequestId(Uuid::nil()),
         account: "acme".parse().expect("a name"),
         kind: "ask".parse().expect("a name"),
@@ -105,9 +104,9 @@
         prompt: Prompt {
             prefix: Vec::new(),
             tokens: Tokens(640),
-            max: Tokens(100),
+            max_output: Tokens(100),
         },
         stream: false,
-        slot: None,
+        slot_owner: None,
     }
 }
--- a/lib/tests/test_chain.rs
+++ b/lib/tests/test_chain.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of single requests.
+//! Scripted scenarios of single chains.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     world: World,
     chain: Option<Chain>,
     wake: Option<Time>,
-    begin: Time,
+    started_at: Time,
 }
 
 fn arg<T: std::str::FromStr>(case: &mut TestCase, name: &str) -> Option<T>
@@ -56,25 +56,25 @@
 impl Script {
     fn new() -> Self {
         let world = World::new(snipeyoke_lib::routing::PolicyKind::Predicted, 7);
-        let begin = world.now;
+        let started_at = world.now;
         Self {
             world,
             chain: None,
             wake: None,
-            begin,
+            started_at,
         }
     }
 
     fn run(&mut self, case: &mut TestCase) -> String {
         let mut text = String::new();
         if let Some(at) = arg::<u64>(case, "at") {
-            text = self.advance(self.begin + Duration::from_millis(at));
+            text = self.advance(self.started_at + Duration::from_millis(at));
         }
-        let more = match case.directive.as_str() {
+        let output = match case.directive.as_str() {
             "endpoint" => self.endpoint(case),
             "load" => self.load(case),
-            "gone" => self.gone(case),
-            "teach" => self.teach(case),
+            "gone" => self.unreachable(case),
+            "teach" => self.train(case),
             "request" => self.request(case),
             "owner" => self.owner(case),
             "wait" => String::new(),
@@ -82,7 +82,7 @@
             "verdict" => self.verdict(case),
             _ => self.event(case),
         };
-        text.push_str(&more);
+        text.push_str(&output);
         case.expect_empty().expect("no unknown argument");
         if text.is_empty() {
             text.push_str("-\n");
@@ -104,55 +104,55 @@
         let mut report = report(case);
         report.seq = self.world.reports.get(&id).map_or(0, |r| r.seq);
         self.world.reports.insert(id, report);
-        self.world.pass(self.world.now);
+        self.world.advance(self.world.now);
         String::new()
     }
 
-    fn gone(&mut self, case: &mut TestCase) -> String {
+    fn unreachable(&mut self, case: &mut TestCase) -> String {
         let id: EndpointId = arg(case, "id").expect("id=");
         self.world.reports.remove(&id);
-        self.world.shared.fleet.gone(&id);
+        self.world.shared.fleet.mark_unreachable(&id);
         String::new()
     }
 
     fn owner(&mut self, case: &mut TestCase) -> String {
         let chain = self.chain.as_mut().expect("a request");
-        chain.own(arg(case, "id"));
+        chain.set_owner(arg(case, "id"));
         String::new()
     }
 
-    fn teach(&mut self, case: &mut TestCase) -> String {
+    fn train(&mut self, case: &mut TestCase) -> String {
         let stage = arg(case, "stage").expect("stage=");
-        let took = Duration::from_millis(arg(case, "took").expect("took="));
+        let elapsed = Duration::from_millis(arg(case, "took").expect("took="));
         let name = "p".parse().expect("a name");
         let entry = self.world.shared.times.entry(&name, stage);
         entry.seen(self.world.now);
         for _ in 0..20 {
-            entry.took.observe(took);
+            entry.took.observe(elapsed);
         }
         String::new()
     }
 
-    /// Sends requests one after the other and answers each after its time, or
-    /// `times` as late where `slow` has it.
+    /// Runs requests one after the other, each completed after the time `took`,
+    /// or `times` as long at the endpoint `slow`.
     fn answers(&mut self, case: &mut TestCase) -> String {
         let stages: Vec<String> = case.take_args("stages").expect("stages=(..)");
         let count = arg(case, "count").expect("count=");
-        let took = Duration::from_millis(arg(case, "took").expect("took="));
+        let elapsed = Duration::from_millis(arg(case, "took").expect("took="));
         let slow: Option<String> = arg(case, "slow");
         let times = arg(case, "times").unwrap_or(1);
         for _ in 0..count {
-            self.begin = self.world.now;
+            self.started_at = self.world.now;
             self.chain = Some(Chain::new(spec(self.world.now, &stages, 60_000)));
             self.wake = None;
             let sent = self.feed(Event::Start);
             let late = slow
                 .as_ref()
                 .is_some_and(|id| sent.contains(&format!("to={id} ")));
-            let after = if late { took * times } else { took };
-            self.world.pass(self.begin + after);
+            let after = if late { elapsed * times } else { elapsed };
+            self.world.advance(self.started_at + after);
             let usage = Usage {
-                work: took,
+                work: elapsed,
                 ..Usage::default()
             };
             self.feed(Event::Ended {
@@ -168,10 +168,10 @@
         let id: EndpointId = arg(case, "id").expect("id=");
         let now = self.world.now;
         let mut pools = self.world.shared.fleet.pools().values();
-        let seen =
-            pools.find_map(|pool| Some(pool.endpoints()[pool.find(&id)?].health().slow(now)));
-        let slow = seen.expect("an endpoint");
-        format!("{slow:.1} times as slow as promised\n")
+        let slowdown =
+            pools.find_map(|pool| Some(pool.endpoints()[pool.find(&id)?].health().slowdown(now)));
+        let slowdown = slowdown.expect("an endpoint");
+        format!("{slowdown:.1} times as slow as promised\n")
     }
 
     fn request(&mut self, case: &mut TestCase) -> String {
@@ -179,8 +179,8 @@
         let deadline = arg(case, "deadline").unwrap_or(3_000);
         let mut spec = spec(self.world.now, &stages, deadline);
         spec.stream = flag(case, "stream");
-        spec.slot = arg(case, "slot");
-        self.begin = self.world.now;
+        spec.slot_owner = arg(case, "slot");
+        self.started_at = self.world.now;
         self.chain = Some(Chain::new(spec));
         self.wake = None;
         self.feed(Event::Start)
@@ -229,26 +229,26 @@
         self.feed(event)
     }
 
-    /// Lets time pass, with every wake on the way.
+    /// Advances the time and handles every wake-up until then.
     fn advance(&mut self, to: Time) -> String {
         let mut text = String::new();
         for wakes in 0.. {
             let Some(at) = self.wake.filter(|&at| at <= to) else {
                 break;
             };
-            assert!(wakes < 1_000, "time passes from wake to wake");
+            assert!(wakes < 1_000, "each wake-up advances the time");
             self.wake = None;
-            self.world.pass(at);
+            self.world.advance(at);
             text.push_str(&self.feed(Event::Wake));
         }
-        self.world.pass(to);
+        self.world.advance(to);
         text
     }
 
     fn feed(&mut self, event: Event) -> String {
         let chain = self.chain.as_mut().expect("a request");
         let actions = self.world.feed(chain, event);
-        let at = self.world.now.since(self.begin).as_millis();
+        let at = self.world.now.since(self.started_at).as_millis();
         let mut text = String::new();
         for action in actions {
             if let Action::WakeAt(wake) = action {
@@ -268,12 +268,12 @@
             attempt,
             stage,
             endpoint,
-            left,
+            remaining,
             priority,
             resume_from,
         } => format!(
             "send {attempt} stage={stage} to={endpoint} left={} priority={priority} from={resume_from}",
-            left.as_millis()
+            remaining.as_millis()
         ),
         Action::Cancel { attempt } => format!("cancel {attempt}"),
         Action::Deliver { attempt, skip } => format!("deliver {attempt} skip={skip}"),
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn follows_the_scenarios() {
+fn chain_scenarios() {
     datadriven::walk("tests/scenarios/chain", |file| {
         let mut script = Script::new();
         file.run(|case| script.run(case));
--- a/lib/tests/test_fleet.rs
+++ b/lib/tests/test_fleet.rs
@@ -1,4 +1,4 @@
-//! What a router keeps of an endpoint.
+//! Tests of a router's state of endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,17 +11,17 @@
 use snipeyoke_lib::routing::CacheUpdate;
 use snipeyoke_lib::routing::Endpoint;
 use snipeyoke_lib::routing::Fleet;
-use snipeyoke_lib::routing::Home;
 use snipeyoke_lib::routing::LoadReport;
 use snipeyoke_lib::routing::Need;
 use snipeyoke_lib::routing::PolicyKind;
+use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::routing::Why;
 use snipeyoke_lib::routing::choose;
 use snipeyoke_lib::time::Time;
 
 use crate::chain_world::World;
 
-fn why(world: &mut World) -> Why {
+fn choice_reason(world: &mut World) -> Why {
     let name = "gen".parse().expect("a name");
     let pool = world.shared.fleet.pool_mut(&name).expect("it was made");
     let need = Need {
@@ -54,9 +54,9 @@
     world
 }
 
-fn back(world: &mut World, incarnation: u64) {
+fn reconnect(world: &mut World, incarnation: u64) {
     let id: snipeyoke_lib::ids::EndpointId = "g1".parse().expect("a name");
-    world.shared.fleet.gone(&id);
+    world.shared.fleet.mark_unreachable(&id);
     world.shared.fleet.upsert(
         id.clone(),
         "gen".parse().expect("a name"),
@@ -69,21 +69,21 @@
 }
 
 #[test]
-fn a_replaced_link_keeps_what_is_known_of_the_cache() {
-    // Prompts with a shared prefix would be read again everywhere.
-    // The link to an agent is replaced, the endpoint lives on, and its agent
-    // tells only news. So the knowledge stays until a new life or a gap.
+fn a_replaced_link_keeps_the_known_cache() {
+    // Guards against repeated prefills of shared prefixes after a link to an
+    // agent is replaced. The agent reports only changes, so the known cache
+    // content must stay until a new incarnation or a gap.
     let mut world = world();
-    assert_eq!(why(&mut world), Why::Prefix);
-    back(&mut world, 1);
-    assert_eq!(why(&mut world), Why::Prefix);
+    assert_eq!(choice_reason(&mut world), Why::Prefix);
+    reconnect(&mut world, 1);
+    assert_eq!(choice_reason(&mut world), Why::Prefix);
 }
 
 #[test]
-fn a_new_life_starts_with_an_empty_cache() {
+fn a_new_incarnation_starts_with_an_empty_cache() {
     let mut world = world();
-    back(&mut world, 2);
-    assert_eq!(why(&mut world), Why::Predicted);
+    reconnect(&mut world, 2);
+    assert_eq!(choice_reason(&mut world), Why::Predicted);
 }
 
 proptest! {
@@ -94,15 +94,14 @@
         ..ProptestConfig::default()
     })]
 
-    // A call would be booked on, and answered for, the wrong endpoint.
-    // Endpoints come, go, move to another pool and take over the slots of
-    // others, while calls of the old ones are still in flight. Each must be
-    // found where it is, and nobody may lose a slot while it has calls.
+    // Guards against calls booked on the wrong endpoint. Endpoints are added,
+    // become unreachable, move to another pool and reuse slots while calls are in
+    // flight; none may lose its slot while it has calls.
     #[test]
     fn finds_each_endpoint_in_its_slot(
         steps in prop::collection::vec((0..4_u8, 0..6_u8, 0..2_u8), 1..60),
     ) {
-        let mut fleet = Fleet::new(Home {
+        let mut fleet = Fleet::new(RouterLocation {
             domain: "a".parse().expect("a name"),
             region: "r".parse().expect("a name"),
         });
@@ -120,7 +119,7 @@
                     prop_assert!(held.is_some(), "{id} is not in {pool}");
                     last.insert(id, pool);
                 }
-                2 => fleet.gone(&id),
+                2 => fleet.mark_unreachable(&id),
                 _ => {
                     let slot = fleet.pool(&pool).and_then(|p| p.find(&id));
                     let booking = slot.and_then(|s| fleet.book(Time::ZERO, &pool, s));
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner of a pool and of the gate at its agents.
+//! Tests of a pool's planner and of the agents' gate.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -17,25 +17,25 @@
 use snipeyoke_lib::ids::ModelName;
 use snipeyoke_lib::placement::Build;
 use snipeyoke_lib::placement::Demand;
+use snipeyoke_lib::placement::DesiredModel;
 use snipeyoke_lib::placement::Engine;
 use snipeyoke_lib::placement::Gate;
 use snipeyoke_lib::placement::GateError;
+use snipeyoke_lib::placement::GateOutcome;
 use snipeyoke_lib::placement::LoadState;
 use snipeyoke_lib::placement::Order;
 use snipeyoke_lib::placement::OrderId;
-use snipeyoke_lib::placement::Passed;
 use snipeyoke_lib::placement::Planner;
 use snipeyoke_lib::placement::PlannerSettings;
 use snipeyoke_lib::placement::Verb;
-use snipeyoke_lib::placement::Wish;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
-/// A pool of engines that do what they are told at once.
+/// A pool of engines that execute orders immediately.
 struct Pool {
     now: Time,
     planner: Planner,
-    wishes: BTreeMap<ModelName, Wish>,
+    desired: BTreeMap<ModelName, DesiredModel>,
     demand: BTreeMap<ModelName, Demand>,
     engines: BTreeMap<EndpointId, Engine>,
 }
@@ -50,7 +50,7 @@
         Self {
             now: Time::ZERO,
             planner: Planner::new(settings),
-            wishes: BTreeMap::new(),
+            desired: BTreeMap::new(),
             demand: BTreeMap::new(),
             engines: BTreeMap::new(),
         }
@@ -59,7 +59,7 @@
     fn plan(&mut self) -> (String, Vec<Order>) {
         let decisions = self
             .planner
-            .plan(self.now, &self.wishes, &self.demand, &self.engines);
+            .plan(self.now, &self.desired, &self.demand, &self.engines);
         let mut text = String::new();
         for decision in &decisions {
             writeln!(text, "{decision}").expect("text");
@@ -71,7 +71,7 @@
     }
 
     fn size(&self, model: &ModelName) -> Bytes {
-        self.wishes.get(model).map_or(Bytes(10), |w| w.size)
+        self.desired.get(model).map_or(Bytes(10), |w| w.size)
     }
 }
 
@@ -146,18 +146,18 @@
                 version,
                 adapter,
             } = build(&arg("build"));
-            let least = number("least") as usize;
-            pool.wishes.insert(
+            let min_copies = number("least") as usize;
+            pool.desired.insert(
                 model,
-                Wish {
+                DesiredModel {
                     version,
                     adapter,
                     size: Bytes(10),
-                    least,
+                    min_copies,
                 },
             );
         }
-        "unwish" => pool.wishes.clear(),
+        "unwish" => pool.desired.clear(),
         "demand" => {
             let engines = arg("engines").parse().expect("a number of engines");
             pool.demand
@@ -165,7 +165,7 @@
         }
         "lease" => pool
             .planner
-            .lease(arg("fence").parse().ok().map(FencingNumber)),
+            .set_lease(arg("fence").parse().ok().map(FencingNumber)),
         "plan" => {
             let (text, orders) = pool.plan();
             for order in orders {
@@ -190,44 +190,49 @@
 }
 
 #[test]
-fn the_gate_refuses_an_old_holder_whatever_it_learned_first() {
-    // The caller finds its model gone: a holder paused past its lease wakes up
-    // and unloads what the new holder loaded. The agent restarted in between
-    // and has seen no order of the new holder. It learned the claim from the
-    // log, so the old number is refused all the same.
+fn the_gate_refuses_an_old_holder_after_an_observed_claim() {
+    // Guards against an old holder, paused past the end of its lease, unloading
+    // a model of the new holder. The agent restarted and has no order of the new
+    // holder, but it read the new lease claim from the log.
     let mut gate = Gate::default();
     gate.observe(FencingNumber(9));
-    let refused = gate.pass(FencingNumber(4), OrderId(77));
+    let refused = gate.check(FencingNumber(4), OrderId(77));
     assert_matches!(refused, Err(error) if error.is_old_fence());
-    assert_eq!(gate.pass(FencingNumber(9), OrderId(1)), Ok(Passed::New));
     assert_eq!(
-        gate.pass(FencingNumber(9), OrderId(1)),
-        Ok(Passed::Repeated)
+        gate.check(FencingNumber(9), OrderId(1)),
+        Ok(GateOutcome::New)
+    );
+    assert_eq!(
+        gate.check(FencingNumber(9), OrderId(1)),
+        Ok(GateOutcome::Repeated)
+    );
+    assert_eq!(
+        gate.check(FencingNumber(9), OrderId(3)),
+        Ok(GateOutcome::New)
     );
-    assert_eq!(gate.pass(FencingNumber(9), OrderId(3)), Ok(Passed::New));
     assert_matches!(
-        gate.pass(FencingNumber(9), OrderId(2)),
+        gate.check(FencingNumber(9), OrderId(2)),
         Err(GateError::OldOrder { .. })
     );
-    assert_eq!(gate.pass(FencingNumber(12), OrderId(1)), Ok(Passed::New));
+    assert_eq!(
+        gate.check(FencingNumber(12), OrderId(1)),
+        Ok(GateOutcome::New)
+    );
     assert_eq!(gate.highest(), FencingNumber(12));
 }
 
-/// An order on its way, with the number of the step at which it arrives.
+/// An order in transit, with the step at which it arrives.
 #[derive(Debug)]
-struct Flying {
+struct InFlight {
     arrives: usize,
     order: Order,
 }
 
 #[test]
 fn crossed_orders_leave_the_newer_holders_state() {
-    // The caller is answered by an old model, or by none: two holders believe
-    // they hold the lease, one paused past its end, and their orders cross on
-    // the way. One wishes for version 1, the newer one for version 2. The gate
-    // at each agent lets numbers only rise and the newer holder plans from what
-    // is reported, so the pool ends with version 2 alone, at full count, and
-    // once the old one is refused capacity never falls below the demand.
+    // Guards against an old model, or none, after orders of two holders cross:
+    // one was paused past its lease and wants version 1, the newer one version 2.
+    // Version 2 must end alone; with the old one fenced, capacity covers demand.
     let strategy = (
         any::<u64>(),
         prop::collection::vec((any::<bool>(), 0usize..6), 40),
@@ -238,13 +243,13 @@
         ..Config::default()
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let check = |(_, turns): (u64, Vec<(bool, usize)>)| {
+    let check = |(_, steps): (u64, Vec<(bool, usize)>)| {
         let mut race = Race::new();
-        for (step, (older, delay)) in turns.iter().enumerate() {
-            race.turn(step, *older, *delay);
+        for (step, (older, delay)) in steps.iter().enumerate() {
+            race.run_step(step, *older, *delay);
         }
-        for step in turns.len()..turns.len() + 60 {
-            race.turn(step, false, 0);
+        for step in steps.len()..steps.len() + 60 {
+            race.run_step(step, false, 0);
         }
         for (endpoint, engine) in &race.pool.engines {
             let builds: Vec<String> = engine.builds.keys().map(ToString::to_string).collect();
@@ -271,7 +276,7 @@
     pool: Pool,
     older: Planner,
     gates: BTreeMap<EndpointId, Gate>,
-    flying: Vec<Flying>,
+    in_flight: Vec<InFlight>,
 }
 
 impl Race {
@@ -288,26 +293,28 @@
         let model: ModelName = "m".parse().expect("a name");
         pool.demand.insert(model, Demand { engines: 2.0 });
         let mut older = pool.planner.clone();
-        older.lease(Some(FencingNumber(5)));
-        pool.planner.lease(Some(FencingNumber(8)));
+        older.set_lease(Some(FencingNumber(5)));
+        pool.planner.set_lease(Some(FencingNumber(8)));
         Self {
             pool,
             older,
             gates: BTreeMap::new(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    fn turn(&mut self, step: usize, older: bool, delay: usize) {
+    fn run_step(&mut self, step: usize, older: bool, delay: usize) {
         self.pool.now = self.pool.now + Duration::from_secs(61);
         let version = if older { "1" } else { "2" };
-        let wish = Wish {
+        let desired = DesiredModel {
             version: version.to_owned(),
             adapter: None,
             size: Bytes(10),
-            least: 1,
+            min_copies: 1,
         };
-        self.pool.wishes.insert("m".parse().expect("a name"), wish);
+        self.pool
+            .desired
+            .insert("m".parse().expect("a name"), desired);
         if older {
             std::mem::swap(&mut self.older, &mut self.pool.planner);
         }
@@ -316,15 +323,15 @@
             std::mem::swap(&mut self.older, &mut self.pool.planner);
         }
         let arrives = step + delay;
-        self.flying
-            .extend(orders.into_iter().map(|order| Flying { arrives, order }));
-        let (due, later) = std::mem::take(&mut self.flying)
+        self.in_flight
+            .extend(orders.into_iter().map(|order| InFlight { arrives, order }));
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|f| f.arrives <= step);
-        self.flying = later;
-        let due: Vec<Flying> = due;
-        for Flying { order, .. } in due {
-            self.arrive(&order);
+        self.in_flight = later;
+        let due: Vec<InFlight> = due;
+        for InFlight { order, .. } in due {
+            self.deliver(&order);
         }
         let serving = |e: &&Engine| !e.builds.is_empty();
         let ready = self.pool.engines.values().filter(serving).count();
@@ -332,9 +339,9 @@
         assert!(!fenced || ready >= 2, "only {ready} engines serve");
     }
 
-    fn arrive(&mut self, order: &Order) {
+    fn deliver(&mut self, order: &Order) {
         let gate = self.gates.entry(order.endpoint.clone()).or_default();
-        if gate.pass(order.fence, order.id) != Ok(Passed::New) {
+        if gate.check(order.fence, order.id) != Ok(GateOutcome::New) {
             return;
         }
         let engine = self.pool.engines.get_mut(&order.endpoint).expect("known");
