--- a/lib/src/serving/batching/fill.rs
+++ b/lib/src/serving/batching/fill.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use super::maker::Maker;
+use super::endpoint::StageEndpoint;
 use super::queue::BatchCall;
 use super::queue::BatchItem;
 use super::queue::BatchQueue;
-use super::queue::Call;
-use super::queue::Held;
+use super::queue::InFlightCall;
 use super::queue::JobId;
-use super::queue::OVERDUE;
-use super::queue::OVERDUE_MORE;
+use super::queue::JobState;
+use super::queue::OVERDUE_FACTOR;
+use super::queue::OVERDUE_MARGIN;
 use crate::ids::EndpointId;
 use crate::time::Time;
 use crate::units::Bytes;
@@ -19,34 +19,34 @@
 ///
 /// Sizes of results are only approximate; a tenth covers the spread of some
 /// dozen of them.
-const ROOM_USED: f64 = 0.9;
+const USABLE_MEMORY_FRACTION: f64 = 0.9;
 
 /// How far a level of urgency puts a job's goal off.
 ///
 /// About two calls: less urgent jobs wait while calls are scarce, and go in
 /// turn as soon as they are not.
-const URGENCY_STEP: Duration = Duration::from_millis(500);
+const PRIORITY_STEP: Duration = Duration::from_millis(500);
 
 impl BatchQueue {
-    pub(super) fn next_send(&mut self, now: Time) -> Option<BatchCall> {
-        let spots = self.spots(now);
-        let idle = spots.iter().filter(|s| s.idle);
-        let free = idle.map(|s| s.free).max()?;
-        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting_items() > 0);
+    pub(super) fn next_batch(&mut self, now: Time) -> Option<BatchCall> {
+        let candidates = self.candidates(now);
+        let ready = candidates.iter().filter(|c| c.is_ready);
+        let free = ready.map(|c| c.free_memory).max()?;
+        let waiting = self.jobs.iter().filter(|(_, j)| j.waiting_items() > 0);
         waiting
-            .map(|(_, h)| self.need(h))
+            .map(|(_, j)| self.min_memory(j))
             .min()
             .filter(|&n| n <= free)?;
-        let order = self.order();
+        let order = self.send_order();
         for &(_, id) in &order {
-            let held = &self.jobs[&id];
-            if free < self.need(held) {
+            let job_state = &self.jobs[&id];
+            if free < self.min_memory(job_state) {
                 continue;
             }
-            let spot = self.best(now, held, &spots)?;
-            if spot.idle {
-                let maker = spot.id.clone();
-                return Some(self.fill(now, &maker, id, &order));
+            let candidate = self.best_candidate(now, job_state, &candidates)?;
+            if candidate.is_ready {
+                let endpoint = candidate.id.clone();
+                return Some(self.fill_batch(now, &endpoint, id, &order));
             }
         }
         None
@@ -58,17 +58,17 @@
     /// Those that can still be on time go by their goal, put off by a step for
     /// each level of urgency; the late ones after them, as an answer that is
     /// late anyway loses less by waiting.
-    fn order(&self) -> Vec<(bool, JobId)> {
-        let waiting = self.jobs.iter().filter(|(_, h)| h.waiting_items() > 0);
+    fn send_order(&self) -> Vec<(bool, JobId)> {
+        let waiting = self.jobs.iter().filter(|(_, j)| j.waiting_items() > 0);
         let mut order: Vec<(bool, Time, JobId)> = waiting
-            .map(|(&id, held)| {
-                let late = held.late;
-                let by = if late {
-                    held.job.deadline
+            .map(|(&id, job_state)| {
+                let late = job_state.late;
+                let time = if late {
+                    job_state.job.deadline
                 } else {
-                    held.job.target
+                    job_state.job.target
                 };
-                (late, by + step(held), id)
+                (late, time + priority_delay(job_state), id)
             })
             .collect();
         order.sort();
@@ -76,17 +76,18 @@
     }
 
     /// Returns the time in which all that waits would be done.
-    pub(super) fn clear_time(&self, now: Time) -> Duration {
+    pub(super) fn backlog_time(&self, now: Time) -> Duration {
         let calls = self.waiting_items() as f64 / self.limits.max_items as f64;
-        let slots = f64::from(self.limits.slots) * self.speeds(now);
-        self.expected(self.limits.max_items).mul_f64(calls / slots)
+        let slots = f64::from(self.limits.slots) * self.effective_endpoints(now);
+        self.expected_time(self.limits.max_items)
+            .mul_f64(calls / slots)
     }
 
     /// Returns the number of endpoints that work, slow ones as parts of one.
-    pub(super) fn speeds(&self, now: Time) -> f64 {
-        let well = |m: &&Maker| m.is_usable() && !m.health.is_paused(now);
-        let speed = |m: &Maker| 1.0 / f64::from(m.health.slowness(now).max(0.5));
-        let speeds: f64 = self.makers.values().filter(well).map(speed).sum();
+    pub(super) fn effective_endpoints(&self, now: Time) -> f64 {
+        let healthy = |e: &&StageEndpoint| e.is_usable() && !e.health.is_paused(now);
+        let speed = |e: &StageEndpoint| 1.0 / f64::from(e.health.slowness(now).max(0.5));
+        let speeds: f64 = self.endpoints.values().filter(healthy).map(speed).sum();
         speeds.max(0.1)
     }
 
@@ -94,81 +95,83 @@
     ///
     /// A job is not begun in parts for lack of room: its first results would
     /// take room for as long as the last ones wait for some.
-    fn least(&self, held: &Held) -> usize {
-        let most =
-            self.limits.result_memory.0 as f64 * ROOM_USED / held.job.result_bytes.0.max(1) as f64;
-        held.waiting_items()
+    fn min_items(&self, job_state: &JobState) -> usize {
+        let fitting = self.limits.result_memory.0 as f64 * USABLE_MEMORY_FRACTION
+            / job_state.job.result_bytes.0.max(1) as f64;
+        job_state
+            .waiting_items()
             .min(self.limits.max_items)
-            .min((most as usize).max(1))
+            .min((fitting as usize).max(1))
     }
 
     /// Returns the memory that makes a call for a job worth while.
-    pub(super) fn need(&self, held: &Held) -> u64 {
-        self.least(held) as u64 * held.job.result_bytes.0.max(1)
+    pub(super) fn min_memory(&self, job_state: &JobState) -> u64 {
+        self.min_items(job_state) as u64 * job_state.job.result_bytes.0.max(1)
     }
 
     /// Returns the memory for results that an endpoint has left.
-    pub(super) fn free(&mut self, now: Time, maker: &EndpointId) -> u64 {
-        let Some(maker) = self.makers.get_mut(maker) else {
+    pub(super) fn free_memory(&mut self, now: Time, endpoint: &EndpointId) -> u64 {
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return 0;
         };
-        let taken = maker.room.taken(now).0;
+        let used = endpoint.memory.used(now).0;
         // A result larger than all of the memory can only be tried.
-        if taken == 0 {
+        if used == 0 {
             return u64::MAX;
         }
-        let room = (self.limits.result_memory.0 as f64 * ROOM_USED) as u64;
-        room.saturating_sub(taken)
+        let usable = (self.limits.result_memory.0 as f64 * USABLE_MEMORY_FRACTION) as u64;
+        usable.saturating_sub(used)
     }
 
     /// Returns how many results of a job an endpoint has room for.
-    fn fits(&mut self, now: Time, maker: &EndpointId, id: JobId) -> usize {
+    fn fitting_items(&mut self, now: Time, endpoint: &EndpointId, id: JobId) -> usize {
         let each = self.jobs[&id].job.result_bytes.0.max(1);
-        let free = self.free(now, maker);
+        let free = self.free_memory(now, endpoint);
         if free == u64::MAX {
-            let room = (self.limits.result_memory.0 as f64 * ROOM_USED) as u64;
-            return (room / each).max(1) as usize;
+            let usable = (self.limits.result_memory.0 as f64 * USABLE_MEMORY_FRACTION) as u64;
+            return (usable / each).max(1) as usize;
         }
         (free / each) as usize
     }
 
-    fn fill(
+    fn fill_batch(
         &mut self,
         now: Time,
-        maker: &EndpointId,
+        endpoint: &EndpointId,
         first: JobId,
         order: &[(bool, JobId)],
     ) -> BatchCall {
-        let share = self.share(now);
+        let per_endpoint = self.items_per_idle_endpoint(now);
         let mut items = Vec::new();
-        let mut each = Vec::new();
-        let mut booked = 0;
+        let mut result_bytes = Vec::new();
+        let mut reserved = 0;
         // Among jobs that are alike late, those whose results are read near
         // this endpoint go along first; the others have endpoints of their own.
         let mut others: Vec<(bool, bool, JobId)> = order
             .iter()
             .filter(|&&(_, id)| id != first)
-            .map(|&(late, id)| (late, !self.is_near(maker, id), id))
+            .map(|&(late, id)| (late, !self.is_local(endpoint, id), id))
             .collect();
-        others.sort_by_key(|&(late, afar, _)| (late, afar));
+        others.sort_by_key(|&(late, remote, _)| (late, remote));
         let others = others.into_iter().map(|(_, _, id)| id);
         for id in std::iter::once(first).chain(others) {
-            let most = self.most(maker, id, (first, share), items.len());
-            let fits = self.fits(now, maker, id);
-            let short_of_room = id != first && fits < most.min(self.least(&self.jobs[&id]));
-            let fits = fits.min(most);
-            if fits == 0 || short_of_room {
+            let allowed = self.max_items_of(endpoint, id, (first, per_endpoint), items.len());
+            let fits = self.fitting_items(now, endpoint, id);
+            let short_of_memory =
+                id != first && fits < allowed.min(self.min_items(&self.jobs[&id]));
+            let fits = fits.min(allowed);
+            if fits == 0 || short_of_memory {
                 continue;
             }
-            let size = self.jobs[&id].job.result_bytes;
-            let taken = self.take(now, id, fits);
-            let bytes = size.0 * taken.len() as u64;
-            booked += bytes;
-            self.book(maker, Bytes(bytes));
-            each.extend(taken.iter().map(|_| size));
-            items.extend(taken);
+            let each = self.jobs[&id].job.result_bytes;
+            let dequeued = self.dequeue_items(now, id, fits);
+            let bytes = each.0 * dequeued.len() as u64;
+            reserved += bytes;
+            self.reserve_memory(endpoint, Bytes(bytes));
+            result_bytes.extend(dequeued.iter().map(|_| each));
+            items.extend(dequeued);
         }
-        self.start(now, maker, items, each, Bytes(booked))
+        self.start_call(now, endpoint, items, result_bytes, Bytes(reserved))
     }
 
     /// Returns how many pieces of a job a call with `held` pieces takes.
@@ -176,48 +179,56 @@
     /// While endpoints are idle a job stays whole and the idle ones share what
     /// waits. When a batch for each of them waits, calls are filled with parts
     /// of jobs too: what then counts is the work done for each call.
-    fn most(
+    fn max_items_of(
         &self,
-        maker: &EndpointId,
+        endpoint: &EndpointId,
         id: JobId,
-        (first, share): (JobId, usize),
-        held: usize,
+        (first, per_endpoint): (JobId, usize),
+        filled: usize,
     ) -> usize {
-        let wanted = self.jobs[&id].waiting_items();
-        let batch = self.limits.max_items.min(self.makers[maker].most);
-        let crowded = share >= batch;
-        let most = if id == first || crowded || self.is_near(maker, id) {
-            batch
+        let waiting = self.jobs[&id].waiting_items();
+        let max = self
+            .limits
+            .max_items
+            .min(self.endpoints[endpoint].max_items);
+        let backlogged = per_endpoint >= max;
+        let allowed = if id == first || backlogged || self.is_local(endpoint, id) {
+            max
         } else {
-            share.min(batch)
+            per_endpoint.min(max)
         };
-        let left = most.saturating_sub(held);
-        let whole = wanted <= left || id == first || crowded;
-        if whole { left } else { 0 }
+        let remaining = allowed.saturating_sub(filled);
+        let fits = waiting <= remaining || id == first || backlogged;
+        if fits { remaining } else { 0 }
     }
 
     /// Returns the pieces for each call if idle endpoints share what waits.
-    fn share(&self, now: Time) -> usize {
-        let idle = self.makers.values();
-        let idle = idle.filter(|m| m.is_usable() && m.calls < self.limits.slots && m.full <= now);
+    fn items_per_idle_endpoint(&self, now: Time) -> usize {
+        let idle = self.endpoints.values();
+        let idle = idle
+            .filter(|e| e.is_usable() && e.in_flight < self.limits.slots && e.full_until <= now);
         self.waiting_items().div_ceil(idle.count().max(1))
     }
 
-    fn take(&mut self, now: Time, id: JobId, most: usize) -> Vec<BatchItem> {
-        let Some(held) = self.jobs.get_mut(&id) else {
+    fn dequeue_items(&mut self, now: Time, id: JobId, max: usize) -> Vec<BatchItem> {
+        let Some(job_state) = self.jobs.get_mut(&id) else {
             return Vec::new();
         };
-        let job = &held.job;
-        let waiting = held.pieces.iter_mut().filter(|(_, p)| p.waiting).take(most);
-        let items = waiting.map(|(&piece, state)| {
-            state.waiting = false;
-            state.running += 1;
+        let job = &job_state.job;
+        let waiting = job_state
+            .items
+            .iter_mut()
+            .filter(|(_, i)| i.waiting)
+            .take(max);
+        let items = waiting.map(|(&item, item_state)| {
+            item_state.waiting = false;
+            item_state.in_flight += 1;
             BatchItem {
                 job: id,
                 request: job.request.clone(),
                 fingerprint: job.fingerprint,
                 stage: job.stage,
-                item: piece,
+                item,
                 remaining: job.deadline.since(now),
                 input: job.input.clone(),
                 key: job.key.clone(),
@@ -226,62 +237,62 @@
         items.collect()
     }
 
-    fn book(&mut self, maker: &EndpointId, bytes: Bytes) {
-        if let Some(maker) = self.makers.get_mut(maker) {
-            maker.room.book(bytes);
+    fn reserve_memory(&mut self, endpoint: &EndpointId, bytes: Bytes) {
+        if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
+            endpoint.memory.reserve(bytes);
         }
     }
 
-    fn start(
+    fn start_call(
         &mut self,
         now: Time,
-        maker: &EndpointId,
+        endpoint: &EndpointId,
         items: Vec<BatchItem>,
-        each: Vec<Bytes>,
-        booked: Bytes,
+        result_bytes: Vec<Bytes>,
+        reserved: Bytes,
     ) -> BatchCall {
-        let expected = self.expected(items.len());
-        let crowded = self.waiting_items() >= self.limits.max_items;
-        let Some(maker) = self.makers.get_mut(maker) else {
+        let expected = self.expected_time(items.len());
+        let backlogged = self.waiting_items() >= self.limits.max_items;
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             unreachable!("the endpoint was just chosen");
         };
-        let call = self.next_call;
+        let id = self.next_call;
         self.next_call += 1;
-        let begin = if maker.calls < self.limits.slots {
+        let started_at = if endpoint.in_flight < self.limits.slots {
             now
         } else {
-            maker.free_at.max(now)
+            endpoint.free_at.max(now)
         };
-        maker.calls += 1;
-        maker.free_at = begin + expected.mul_f32(maker.health.slowness(now).max(0.5));
-        let sent = Call {
-            endpoint: maker.entry.id.clone(),
+        endpoint.in_flight += 1;
+        endpoint.free_at = started_at + expected.mul_f32(endpoint.health.slowness(now).max(0.5));
+        let in_flight_call = InFlightCall {
+            endpoint: endpoint.entry.id.clone(),
             items: items.iter().map(|i| (i.job, i.item)).collect(),
-            booked,
-            each,
-            began: begin,
+            reserved,
+            result_bytes,
+            started_at,
             expected,
-            overdue: Some(begin + expected * OVERDUE + OVERDUE_MORE),
-            given_up: false,
-            crowded,
+            overdue_at: Some(started_at + expected * OVERDUE_FACTOR + OVERDUE_MARGIN),
+            abandoned: false,
+            backlogged,
         };
-        self.calls.insert(call, sent);
-        let longest = items.iter().map(|i| i.remaining).max().unwrap_or_default();
+        self.calls.insert(id, in_flight_call);
+        let timeout = items.iter().map(|i| i.remaining).max().unwrap_or_default();
         BatchCall {
-            id: call,
-            entry: maker.entry.clone(),
+            id,
+            entry: endpoint.entry.clone(),
             items,
             expected,
-            timeout: longest,
+            timeout,
         }
     }
 
-    pub(super) fn expected(&self, pieces: usize) -> Duration {
-        self.limits.call_overhead + self.limits.item_time * pieces as u32
+    pub(super) fn expected_time(&self, items: usize) -> Duration {
+        self.limits.call_overhead + self.limits.item_time * items as u32
     }
 }
 
 /// Returns how far a job's urgency puts it off.
-pub(super) fn step(held: &Held) -> Duration {
-    URGENCY_STEP * u32::from(held.job.priority)
+pub(super) fn priority_delay(job_state: &JobState) -> Duration {
+    PRIORITY_STEP * u32::from(job_state.job.priority)
 }
--- a/lib/src/serving/batching/first_goals.rs
+++ b/lib/src/serving/batching/first_targets.rs
@@ -16,49 +16,49 @@
 use crate::time::Time;
 
 /// The time between two looks for goals that nobody comes back for.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
 #[derive(Debug, Clone, Copy)]
-struct First {
-    goal: Time,
+struct FirstAttempt {
+    target: Time,
     /// When its caller has given up for good.
-    until: Time,
+    expires_at: Time,
 }
 
 /// The first goal of each request that a queue saw lately.
 #[derive(Debug, Clone, Default)]
-pub(super) struct FirstGoals {
-    goals: BTreeMap<u64, First>,
-    swept: Time,
+pub(super) struct FirstTargets {
+    attempts: BTreeMap<u64, FirstAttempt>,
+    last_sweep: Time,
 }
 
-impl FirstGoals {
+impl FirstTargets {
     /// Returns the goal of a job: that of the first one for the same work, if
     /// there was one.
-    pub(super) fn goal(&mut self, job: &Job) -> Time {
+    pub(super) fn target(&mut self, job: &Job) -> Time {
         if job.key.is_empty() {
             return job.target;
         }
         let text = format!("{} {}", job.stage, job.key);
         let id = rapidhash_v3_seeded(text.as_bytes(), &SECRETS);
-        let new = First {
-            goal: job.target,
-            until: job.deadline,
+        let attempt = FirstAttempt {
+            target: job.target,
+            expires_at: job.deadline,
         };
-        let first = self.goals.entry(id).or_insert(new);
-        first.goal = first.goal.min(job.target);
-        first.until = first.until.max(job.deadline);
-        first.goal
+        let first = self.attempts.entry(id).or_insert(attempt);
+        first.target = first.target.min(job.target);
+        first.expires_at = first.expires_at.max(job.deadline);
+        first.target
     }
 
     /// Forgets the goals that nobody comes back for.
     pub(super) fn sweep(&mut self, now: Time) {
-        if now.since(self.swept) < SWEEP_EVERY {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        self.goals.retain(|_, first| first.until > now);
+        self.last_sweep = now;
+        self.attempts.retain(|_, first| first.expires_at > now);
     }
 }
--- a/lib/src/serving/batching/mod.rs
+++ b/lib/src/serving/batching/mod.rs
@@ -1,15 +1,15 @@
 //! Stage work in pieces: what a request still needs, and how calls are filled.
 
+mod call_result;
+mod endpoint;
 mod fill;
-mod first_goals;
-mod maker;
+mod first_targets;
 mod on_time;
-mod place;
+mod placement;
 mod plan;
 mod queue;
-mod room;
-mod settle;
-mod times;
+mod result_memory;
+mod stage_times;
 
 pub use plan::PlanError;
 pub use plan::ReadyStage;
@@ -23,5 +23,5 @@
 pub use queue::Job;
 pub use queue::JobId;
 pub use queue::JobResult;
-pub use room::ResultMemory;
-pub use times::StageTimes;
+pub use result_memory::ResultMemory;
+pub use stage_times::StageTimes;
--- a/lib/src/serving/batching/plan.rs
+++ b/lib/src/serving/batching/plan.rs
@@ -5,11 +5,11 @@
 use derive_more::Display;
 use derive_more::Error;
 
-use super::times::StageTimes;
+use super::stage_times::StageTimes;
 use crate::serving::catalog::Stage;
 
 /// The most times that one stage is done again for lost results.
-const AGAIN_MAX: u8 = 2;
+const MAX_RESTARTS: u8 = 2;
 
 /// What the pieces of a stage start from.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,42 +36,42 @@
 #[derive(Display, Error)]
 pub enum PlanError {
     /// The number of counts is not the number of stages.
-    #[display("{found} counts for {wanted} stages: give one count for each stage")]
-    Counts {
+    #[display("{found} counts for {expected} stages: give one count for each stage")]
+    CountMismatch {
         /// The counts given.
         found: usize,
         /// The stages of the route.
-        wanted: usize,
+        expected: usize,
     },
     /// A stage lost its results too often.
-    #[display("stage {stage} lost its results {AGAIN_MAX} times: come back later")]
-    Lost {
+    #[display("stage {stage} lost its results {MAX_RESTARTS} times: come back later")]
+    ResultsLost {
         /// The stage.
         stage: usize,
     },
 }
 
 #[derive(Debug, Clone, Default)]
-struct Progress {
-    count: u32,
-    after: Vec<usize>,
+struct StageProgress {
+    item_count: u32,
+    depends_on: Vec<usize>,
     results: BTreeMap<u32, String>,
     /// Pieces that were given out and have not come back.
-    open: Vec<u32>,
-    again: u8,
-    freed: bool,
+    in_flight: Vec<u32>,
+    restarts: u8,
+    released: bool,
 }
 
-impl Progress {
+impl StageProgress {
     fn is_done(&self) -> bool {
-        self.results.len() as u32 == self.count
+        self.results.len() as u32 == self.item_count
     }
 }
 
 /// The stage work of one request.
 #[derive(Debug, Clone)]
 pub struct StagePlan {
-    stages: Vec<Progress>,
+    stages: Vec<StageProgress>,
 }
 
 impl StagePlan {
@@ -80,19 +80,22 @@
     /// # Errors
     ///
     /// Returns [`PlanError::Counts`] if the counts don't fit the stages.
-    pub fn new(stages: &[Stage], counts: &[u32]) -> Result<Self, PlanError> {
-        if stages.len() != counts.len() {
-            return Err(PlanError::Counts {
-                found: counts.len(),
-                wanted: stages.len(),
+    pub fn new(stages: &[Stage], item_counts: &[u32]) -> Result<Self, PlanError> {
+        if stages.len() != item_counts.len() {
+            return Err(PlanError::CountMismatch {
+                found: item_counts.len(),
+                expected: stages.len(),
             });
         }
-        let present = |&i: &usize| counts.get(i).is_some_and(|&c| c > 0);
-        let progress = stages.iter().zip(counts).map(|(stage, &count)| Progress {
-            count,
-            after: stage.depends_on.iter().copied().filter(present).collect(),
-            ..Progress::default()
-        });
+        let present = |&i: &usize| item_counts.get(i).is_some_and(|&c| c > 0);
+        let progress = stages
+            .iter()
+            .zip(item_counts)
+            .map(|(stage, &count)| StageProgress {
+                item_count: count,
+                depends_on: stage.depends_on.iter().copied().filter(present).collect(),
+                ..StageProgress::default()
+            });
         Ok(Self {
             stages: progress.collect(),
         })
@@ -103,48 +106,55 @@
     /// A stage with large results waits while others take longer anyway. The
     /// one that takes longest never waits, so there is always one under way.
     pub fn start_ready(&mut self, times: &StageTimes) -> Vec<ReadyStage> {
-        let mut orders = Vec::new();
+        let mut ready = Vec::new();
         let missing = (0..self.stages.len()).filter(|&s| !self.stages[s].is_done());
-        let rest = missing
+        let longest = missing
             .map(|s| times.remaining(s))
             .max()
             .unwrap_or_default();
         for stage in 0..self.stages.len() {
-            let held = &self.stages[stage];
-            if held.is_done() || !held.after.iter().all(|&a| self.stages[a].is_done()) {
+            let progress = &self.stages[stage];
+            if progress.is_done()
+                || !progress
+                    .depends_on
+                    .iter()
+                    .all(|&d| self.stages[d].is_done())
+            {
                 continue;
             }
-            if times.can_defer(stage, rest) {
+            if times.can_defer(stage, longest) {
                 continue;
             }
-            let missing = (0..held.count).filter(|p| !held.results.contains_key(p));
-            let pieces: Vec<u32> = missing.filter(|p| !held.open.contains(p)).collect();
-            if pieces.is_empty() {
+            let missing = (0..progress.item_count).filter(|i| !progress.results.contains_key(i));
+            let items: Vec<u32> = missing
+                .filter(|i| !progress.in_flight.contains(i))
+                .collect();
+            if items.is_empty() {
                 continue;
             }
-            let work = if held.after.is_empty() {
+            let input = if progress.depends_on.is_empty() {
                 StageInput::Key
             } else {
-                StageInput::Results(self.results(&held.after))
+                StageInput::Results(self.results(&progress.depends_on))
             };
-            self.stages[stage].open.extend(&pieces);
-            orders.push(ReadyStage {
+            self.stages[stage].in_flight.extend(&items);
+            ready.push(ReadyStage {
                 stage,
-                items: pieces,
-                input: work,
+                items,
+                input,
             });
         }
-        orders
+        ready
     }
 
     /// Notes the result of a piece.
-    pub fn on_result(&mut self, stage: usize, piece: u32, handle: String) {
-        let Some(held) = self.stages.get_mut(stage) else {
+    pub fn on_result(&mut self, stage: usize, item: u32, handle: String) {
+        let Some(progress) = self.stages.get_mut(stage) else {
             return;
         };
-        held.open.retain(|&p| p != piece);
-        if piece < held.count {
-            held.results.entry(piece).or_insert(handle);
+        progress.in_flight.retain(|&i| i != item);
+        if item < progress.item_count {
+            progress.results.entry(item).or_insert(handle);
         }
     }
 
@@ -153,18 +163,18 @@
     /// # Errors
     ///
     /// Returns [`PlanError::Lost`] if this happened too often.
-    pub fn on_failure(&mut self, stage: usize, piece: u32) -> Result<(), PlanError> {
-        let Some(held) = self.stages.get_mut(stage) else {
+    pub fn on_failure(&mut self, stage: usize, item: u32) -> Result<(), PlanError> {
+        let Some(progress) = self.stages.get_mut(stage) else {
             return Ok(());
         };
-        held.open.retain(|&p| p != piece);
-        Self::again(held, stage)
+        progress.in_flight.retain(|&i| i != item);
+        Self::count_restart(progress, stage)
     }
 
     /// Notes that a piece is not under way any more.
-    pub fn on_cancelled(&mut self, stage: usize, piece: u32) {
-        if let Some(held) = self.stages.get_mut(stage) {
-            held.open.retain(|&p| p != piece);
+    pub fn on_cancelled(&mut self, stage: usize, item: u32) {
+        if let Some(progress) = self.stages.get_mut(stage) {
+            progress.in_flight.retain(|&i| i != item);
         }
     }
 
@@ -174,13 +184,13 @@
     /// # Errors
     ///
     /// Returns [`PlanError::Lost`] if this happened too often.
-    pub fn on_inputs_gone(&mut self, stage: usize, piece: u32) -> Result<(), PlanError> {
-        self.on_failure(stage, piece)?;
-        let before = self
+    pub fn on_inputs_gone(&mut self, stage: usize, item: u32) -> Result<(), PlanError> {
+        self.on_failure(stage, item)?;
+        let dependencies = self
             .stages
             .get(stage)
-            .map_or_else(Vec::new, |s| s.after.clone());
-        for stage in before {
+            .map_or_else(Vec::new, |s| s.depends_on.clone());
+        for stage in dependencies {
             self.restart(stage)?;
         }
         Ok(())
@@ -199,35 +209,35 @@
     }
 
     fn restart(&mut self, stage: usize) -> Result<(), PlanError> {
-        let held = &mut self.stages[stage];
-        if !held.is_done() {
+        let progress = &mut self.stages[stage];
+        if !progress.is_done() {
             return Ok(());
         }
-        held.results.clear();
-        held.freed = false;
-        Self::again(held, stage)?;
+        progress.results.clear();
+        progress.released = false;
+        Self::count_restart(progress, stage)?;
         // Its own inputs may have been given back when it was done.
-        let before = self.stages[stage].after.clone();
-        for earlier in before {
-            if self.stages[earlier].freed {
+        let dependencies = self.stages[stage].depends_on.clone();
+        for earlier in dependencies {
+            if self.stages[earlier].released {
                 self.restart(earlier)?;
             }
         }
         Ok(())
     }
 
-    const fn again(held: &mut Progress, stage: usize) -> Result<(), PlanError> {
-        if held.again >= AGAIN_MAX {
-            return Err(PlanError::Lost { stage });
+    const fn count_restart(progress: &mut StageProgress, stage: usize) -> Result<(), PlanError> {
+        if progress.restarts >= MAX_RESTARTS {
+            return Err(PlanError::ResultsLost { stage });
         }
-        held.again += 1;
+        progress.restarts += 1;
         Ok(())
     }
 
     /// Tells whether every stage is done.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.stages.iter().all(Progress::is_done)
+        self.stages.iter().all(StageProgress::is_done)
     }
 
     /// Returns the results that the request itself needs.
@@ -240,14 +250,14 @@
     pub fn take_unneeded(&mut self) -> Vec<String> {
         let mut handles = Vec::new();
         for stage in 0..self.stages.len() {
-            let mut followers = self.stages.iter().filter(|s| s.after.contains(&stage));
-            let held = &self.stages[stage];
-            let followed = held.count > 0 && followers.clone().next().is_some();
-            if held.freed || !followed || !followers.all(Progress::is_done) {
+            let mut dependents = self.stages.iter().filter(|s| s.depends_on.contains(&stage));
+            let progress = &self.stages[stage];
+            let has_dependents = progress.item_count > 0 && dependents.clone().next().is_some();
+            if progress.released || !has_dependents || !dependents.all(StageProgress::is_done) {
                 continue;
             }
-            handles.extend(held.results.values().cloned());
-            self.stages[stage].freed = true;
+            handles.extend(progress.results.values().cloned());
+            self.stages[stage].released = true;
         }
         handles
     }
@@ -256,16 +266,16 @@
     #[must_use]
     pub fn is_released(&self) -> bool {
         let last = self.last_stages();
-        last.iter().any(|&stage| self.stages[stage].freed)
+        last.iter().any(|&stage| self.stages[stage].released)
     }
 
     /// Returns all results that were not given back yet.
     pub fn take_remaining(&mut self) -> Vec<String> {
         let mut handles = Vec::new();
-        for held in &mut self.stages {
-            if !held.freed {
-                handles.extend(held.results.values().cloned());
-                held.freed = true;
+        for progress in &mut self.stages {
+            if !progress.released {
+                handles.extend(progress.results.values().cloned());
+                progress.released = true;
             }
         }
         handles
@@ -274,16 +284,18 @@
     /// Returns the number of pieces from a stage on, by stage.
     #[must_use]
     pub fn item_counts(&self) -> Vec<u32> {
-        self.stages.iter().map(|s| s.count).collect()
+        self.stages.iter().map(|s| s.item_count).collect()
     }
 
     fn last_stages(&self) -> Vec<usize> {
-        let followed = |i: &usize| {
+        let has_dependents = |i: &usize| {
             self.stages
                 .iter()
-                .any(|s| s.count > 0 && s.after.contains(i))
+                .any(|s| s.item_count > 0 && s.depends_on.contains(i))
         };
-        (0..self.stages.len()).filter(|i| !followed(i)).collect()
+        (0..self.stages.len())
+            .filter(|i| !has_dependents(i))
+            .collect()
     }
 
     fn results(&self, stages: &[usize]) -> Vec<String> {
--- a/lib/src/serving/batching/queue.rs
+++ b/lib/src/serving/batching/queue.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::first_goals::FirstGoals;
-use super::maker::Maker;
+use super::endpoint::StageEndpoint;
+use super::first_targets::FirstTargets;
 use super::plan::StageInput;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
@@ -23,22 +23,22 @@
 /// given to another endpoint.
 ///
 /// Usual calls stay below one and a half; a stopped endpoint never answers.
-pub(super) const OVERDUE: u32 = 3;
+pub(super) const OVERDUE_FACTOR: u32 = 3;
 
 /// The time on top of it, for the way there and back.
-pub(super) const OVERDUE_MORE: Duration = Duration::from_millis(60);
+pub(super) const OVERDUE_MARGIN: Duration = Duration::from_millis(60);
 
 /// The most times that the pieces of one job are given out again.
-pub(super) const AGAIN_MAX: u32 = 4;
+pub(super) const MAX_RETRIES: u32 = 4;
 
 /// How long a result that nobody needs may wait to be given back with others.
 ///
 /// About one call: long enough to tell an endpoint of several at once, short
 /// enough that its memory never holds more than the work of two calls.
-const GIVE_BACK_AFTER: Duration = Duration::from_millis(250);
+const MAX_RELEASE_DELAY: Duration = Duration::from_millis(250);
 
 /// The part of an endpoint's memory at which results are given back at once.
-const PRESSURE: f64 = 0.3;
+const RELEASE_FILL_FRACTION: f64 = 0.3;
 
 /// How long an endpoint without room is left alone.
 ///
@@ -50,7 +50,7 @@
 ///
 /// More urgent work goes on arriving in the meantime, usually about as much as
 /// is done: at a third there is still a fair chance.
-const HOPE: f64 = 0.33;
+const MAX_BACKLOG_FRACTION: f64 = 0.33;
 
 /// Numbers the jobs of one queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -164,66 +164,66 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub(super) struct Piece {
-    pub(super) running: u32,
+pub(super) struct ItemState {
+    pub(super) in_flight: u32,
     pub(super) waiting: bool,
-    pub(super) made: Option<(String, EndpointId)>,
+    pub(super) result: Option<(String, EndpointId)>,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Held {
+pub(super) struct JobState {
     pub(super) job: Job,
-    pub(super) pieces: BTreeMap<u32, Piece>,
-    pub(super) again: u32,
+    pub(super) items: BTreeMap<u32, ItemState>,
+    pub(super) retries: u32,
     /// Whether it is not among those that can be on time together.
     pub(super) late: bool,
 }
 
-impl Held {
+impl JobState {
     pub(super) fn waiting_items(&self) -> usize {
-        self.pieces.values().filter(|p| p.waiting).count()
+        self.items.values().filter(|i| i.waiting).count()
     }
 
     pub(super) fn is_running(&self) -> bool {
-        let mut pieces = self.pieces.values();
-        pieces.any(|p| p.running > 0 && p.made.is_none())
+        let mut items = self.items.values();
+        items.any(|i| i.in_flight > 0 && i.result.is_none())
     }
 
     pub(super) fn is_done(&self) -> bool {
-        self.pieces.values().all(|p| p.made.is_some())
+        self.items.values().all(|i| i.result.is_some())
     }
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Call {
+pub(super) struct InFlightCall {
     pub(super) endpoint: EndpointId,
     pub(super) items: Vec<(JobId, u32)>,
-    pub(super) booked: Bytes,
-    pub(super) each: Vec<Bytes>,
-    pub(super) began: Time,
+    pub(super) reserved: Bytes,
+    pub(super) result_bytes: Vec<Bytes>,
+    pub(super) started_at: Time,
     pub(super) expected: Duration,
-    pub(super) overdue: Option<Time>,
+    pub(super) overdue_at: Option<Time>,
     /// Whether its slot was given to other calls.
-    pub(super) given_up: bool,
+    pub(super) abandoned: bool,
     /// Whether a batch or more still waited when it left.
-    pub(super) crowded: bool,
+    pub(super) backlogged: bool,
 }
 
 /// The pieces that wait for one service, and the calls under way.
 #[derive(Debug, Clone)]
 pub struct BatchQueue {
     pub(super) limits: BatchLimits,
-    pub(super) makers: BTreeMap<EndpointId, Maker>,
-    pub(super) jobs: BTreeMap<JobId, Held>,
-    pub(super) calls: BTreeMap<u64, Call>,
+    pub(super) endpoints: BTreeMap<EndpointId, StageEndpoint>,
+    pub(super) jobs: BTreeMap<JobId, JobState>,
+    pub(super) calls: BTreeMap<u64, InFlightCall>,
     pub(super) next_job: u64,
     pub(super) next_call: u64,
-    pub(super) ends: Vec<JobResult>,
-    first_goals: FirstGoals,
+    pub(super) results: Vec<JobResult>,
+    first_targets: FirstTargets,
     /// The pieces that an endpoint does in a second while many wait.
-    pub(super) pace: Option<f64>,
+    pub(super) item_rate: Option<f64>,
     /// When it was last looked at which jobs can be on time.
-    pub(super) sorted: Time,
+    pub(super) late_updated_at: Time,
 }
 
 impl BatchQueue {
@@ -232,15 +232,15 @@
     pub fn new(limits: BatchLimits) -> Self {
         Self {
             limits,
-            makers: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             jobs: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_job: 0,
             next_call: 0,
-            ends: Vec::new(),
-            first_goals: FirstGoals::default(),
-            pace: None,
-            sorted: Time::ZERO,
+            results: Vec::new(),
+            first_targets: FirstTargets::default(),
+            item_rate: None,
+            late_updated_at: Time::ZERO,
         }
     }
 
@@ -257,23 +257,24 @@
 
     /// Sets the endpoints that may get calls.
     pub fn set_endpoints<'a>(&mut self, entries: impl Iterator<Item = &'a Entry>) {
-        for maker in self.makers.values_mut() {
-            maker.present = false;
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.present = false;
         }
         for entry in entries {
-            let same = |m: &Maker| m.entry.born == entry.born && m.entry.address == entry.address;
-            match self.makers.get_mut(&entry.id) {
-                Some(maker) if same(maker) => {
-                    maker.present = true;
-                    maker.entry = entry.clone();
+            let is_same =
+                |e: &StageEndpoint| e.entry.born == entry.born && e.entry.address == entry.address;
+            match self.endpoints.get_mut(&entry.id) {
+                Some(endpoint) if is_same(endpoint) => {
+                    endpoint.present = true;
+                    endpoint.entry = entry.clone();
                 }
                 _ => {
-                    self.makers
-                        .insert(entry.id.clone(), Maker::new(entry.clone()));
+                    self.endpoints
+                        .insert(entry.id.clone(), StageEndpoint::new(entry.clone()));
                 }
             }
         }
-        self.makers.retain(|_, m| m.present || m.calls > 0);
+        self.endpoints.retain(|_, e| e.present || e.in_flight > 0);
     }
 
     /// Returns the number of jobs that are not done.
@@ -285,46 +286,46 @@
     /// Returns the number of pieces that wait for a call.
     #[must_use]
     pub fn waiting_items(&self) -> usize {
-        self.jobs.values().map(Held::waiting_items).sum()
+        self.jobs.values().map(JobState::waiting_items).sum()
     }
 
     /// Takes in a job.
     pub fn submit(&mut self, mut job: Job) -> JobId {
-        job.target = self.first_goals.goal(&job);
+        job.target = self.first_targets.target(&job);
         let id = JobId(self.next_job);
         self.next_job += 1;
-        let waiting = Piece {
+        let waiting = ItemState {
             waiting: true,
-            ..Piece::default()
+            ..ItemState::default()
         };
-        let pieces = job.items.iter().map(|&p| (p, waiting.clone()));
-        let held = Held {
-            pieces: pieces.collect(),
+        let items = job.items.iter().map(|&i| (i, waiting.clone()));
+        let job_state = JobState {
+            items: items.collect(),
             job,
-            again: 0,
+            retries: 0,
             late: false,
         };
-        self.jobs.insert(id, held);
+        self.jobs.insert(id, job_state);
         id
     }
 
     /// Ends the jobs of a request that is quarantined.
     pub fn fail_request(&mut self, request: Fingerprint) {
-        let theirs = |h: &Held| h.job.fingerprint == Some(request);
-        let found = self.jobs.iter().filter(|(_, h)| theirs(h));
+        let is_of_request = |j: &JobState| j.job.fingerprint == Some(request);
+        let found = self.jobs.iter().filter(|(_, j)| is_of_request(j));
         let ids: Vec<JobId> = found.map(|(&id, _)| id).collect();
         for id in ids {
-            self.end(id, Some(ItemOutcome::Failed), Duration::ZERO);
+            self.finish_job(id, Some(ItemOutcome::Failed), Duration::ZERO);
         }
     }
 
     /// Drops a job that nobody waits for; its results are given back.
     pub fn cancel(&mut self, now: Time, id: JobId) {
-        let Some(held) = self.jobs.remove(&id) else {
+        let Some(job_state) = self.jobs.remove(&id) else {
             return;
         };
-        for piece in held.pieces.into_values() {
-            if let Some((handle, endpoint)) = piece.made {
+        for item in job_state.items.into_values() {
+            if let Some((handle, endpoint)) = item.result {
                 self.release(now, &endpoint, handle);
             }
         }
@@ -332,9 +333,9 @@
 
     /// Notes that nobody needs a result any more.
     pub fn release(&mut self, now: Time, endpoint: &EndpointId, handle: String) {
-        if let Some(maker) = self.makers.get_mut(endpoint) {
-            maker.unneeded.push(handle);
-            maker.unneeded_since.get_or_insert(now);
+        if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
+            endpoint.releases.push(handle);
+            endpoint.releases_since.get_or_insert(now);
         }
     }
 
@@ -344,17 +345,17 @@
     /// owner has gone, and the next owner finds endpoints full that nobody
     /// uses. So all are given back, several at once as long as there is room.
     pub fn take_releases(&mut self, now: Time) -> Vec<(Entry, Vec<String>)> {
-        let room = self.limits.result_memory.0 as f64;
+        let capacity = self.limits.result_memory.0 as f64;
         let mut out = Vec::new();
-        for maker in self.makers.values_mut() {
-            let Some(since) = maker.unneeded_since else {
+        for endpoint in self.endpoints.values_mut() {
+            let Some(since) = endpoint.releases_since else {
                 continue;
             };
-            let short = maker.room.taken(now).0 as f64 > PRESSURE * room;
-            if short || now.since(since) >= GIVE_BACK_AFTER {
-                maker.unneeded_since = None;
-                let handles = std::mem::take(&mut maker.unneeded);
-                out.push((maker.entry.clone(), handles));
+            let is_short = endpoint.memory.used(now).0 as f64 > RELEASE_FILL_FRACTION * capacity;
+            if is_short || now.since(since) >= MAX_RELEASE_DELAY {
+                endpoint.releases_since = None;
+                let handles = std::mem::take(&mut endpoint.releases);
+                out.push((endpoint.entry.clone(), handles));
             }
         }
         out
@@ -365,52 +366,56 @@
     /// Before this they still take its memory: a call that overtakes the word
     /// would find no room.
     pub fn on_released(&mut self, endpoint: &EndpointId, handles: &[String]) {
-        if let Some(maker) = self.makers.get_mut(endpoint) {
+        if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             for handle in handles {
-                maker.room.free(handle);
+                endpoint.memory.remove(handle);
             }
         }
     }
 
     /// Returns the jobs that ended since the last call.
     pub fn take_results(&mut self) -> Vec<JobResult> {
-        std::mem::take(&mut self.ends)
+        std::mem::take(&mut self.results)
     }
 
     /// Returns when [`Self::poll`] has something to do though nothing happens.
     #[must_use]
     pub fn wake(&self, now: Time) -> Time {
-        let overdue = self.calls.values().filter_map(|c| c.overdue);
+        let overdue = self.calls.values().filter_map(|c| c.overdue_at);
         // A job with a piece at work ends with that piece, not with its time.
         // Its time, once over, would ask for a look again and again.
-        let ends = |h: &&Held| h.waiting_items() > 0 && !h.is_running();
-        let waiting = self.jobs.values().filter(ends);
-        let due = waiting.map(|h| h.job.deadline - self.expected(1));
-        let full = self.makers.values().map(|m| m.full);
-        let full = full.filter(|&at| at > Time::ZERO);
-        let unneeded = self.makers.values().filter_map(|m| m.unneeded_since);
-        let unneeded = unneeded.map(|since| since + GIVE_BACK_AFTER);
-        let lead = self.lead().filter(|&at| at > now);
-        let all = overdue.chain(due).chain(full).chain(unneeded).chain(lead);
+        let can_expire = |j: &&JobState| j.waiting_items() > 0 && !j.is_running();
+        let waiting = self.jobs.values().filter(can_expire);
+        let expiry = waiting.map(|j| j.job.deadline - self.expected_time(1));
+        let full_until = self.endpoints.values().map(|e| e.full_until);
+        let full_until = full_until.filter(|&at| at > Time::ZERO);
+        let releases = self.endpoints.values().filter_map(|e| e.releases_since);
+        let releases = releases.map(|since| since + MAX_RELEASE_DELAY);
+        let send_ahead = self.next_send_ahead().filter(|&at| at > now);
+        let all = overdue
+            .chain(expiry)
+            .chain(full_until)
+            .chain(releases)
+            .chain(send_ahead);
         all.min().unwrap_or(Time::NEVER)
     }
 
     /// Returns the calls to make now.
     pub fn poll(&mut self, now: Time) -> Vec<BatchCall> {
-        self.first_goals.sweep(now);
-        self.give_out_overdue(now);
-        self.sort_out(now);
-        self.end_hopeless(now);
-        for maker in self.makers.values_mut() {
-            if maker.full <= now {
-                maker.full = Time::ZERO;
+        self.first_targets.sweep(now);
+        self.requeue_overdue(now);
+        self.mark_late_jobs(now);
+        self.fail_hopeless(now);
+        for endpoint in self.endpoints.values_mut() {
+            if endpoint.full_until <= now {
+                endpoint.full_until = Time::ZERO;
             }
         }
-        let mut sends = Vec::new();
-        while let Some(send) = self.next_send(now) {
-            sends.push(send);
+        let mut calls = Vec::new();
+        while let Some(call) = self.next_batch(now) {
+            calls.push(call);
         }
-        sends
+        calls
     }
 
     /// Takes in what became of a call.
@@ -418,49 +423,49 @@
         let Some(call) = self.calls.remove(&call) else {
             return;
         };
-        self.note_maker(now, &call, &result);
+        self.update_endpoint(now, &call, &result);
         match result {
             CallResult::Answered(outcomes) if outcomes.len() == call.items.len() => {
-                let items = call.items.iter().zip(&call.each).zip(outcomes);
-                for ((&(job, piece), &each), outcome) in items {
-                    self.piece_ended(now, &call, (job, piece), each, outcome);
+                let items = call.items.iter().zip(&call.result_bytes).zip(outcomes);
+                for ((&(job, item), &each), outcome) in items {
+                    self.on_item_outcome(now, &call, (job, item), each, outcome);
                 }
             }
-            CallResult::Answered(_) | CallResult::Broken => self.again(&call, true),
-            CallResult::Refused | CallResult::WrongEndpoint => self.again(&call, false),
+            CallResult::Answered(_) | CallResult::Broken => self.retry_items(&call, true),
+            CallResult::Refused | CallResult::WrongEndpoint => self.retry_items(&call, false),
         }
     }
 
     // A stopped endpoint keeps its connection open and never answers. Waiting
     // for it loses the request although others could do the piece in time; the
     // first result is taken, a second one is given back.
-    fn give_out_overdue(&mut self, now: Time) {
-        let due = |c: &&mut Call| c.overdue.is_some_and(|at| at <= now);
-        let mut given = Vec::new();
-        for call in self.calls.values_mut().filter(due) {
-            call.overdue = None;
-            let ratio = now.since(call.began).as_secs_f32() / call.expected.as_secs_f32();
-            if let Some(maker) = self.makers.get_mut(&call.endpoint) {
-                maker.health.record_response(now, ratio);
-                maker.health.record_broken(now);
+    fn requeue_overdue(&mut self, now: Time) {
+        let is_overdue = |c: &&mut InFlightCall| c.overdue_at.is_some_and(|at| at <= now);
+        let mut requeued = Vec::new();
+        for call in self.calls.values_mut().filter(is_overdue) {
+            call.overdue_at = None;
+            let ratio = now.since(call.started_at).as_secs_f32() / call.expected.as_secs_f32();
+            if let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) {
+                endpoint.health.record_response(now, ratio);
+                endpoint.health.record_broken(now);
                 // An answer that was lost on its way never comes: the endpoint
                 // stands idle while its slot looks taken. If it is only slow,
                 // the next call waits in its own queue.
-                maker.calls = maker.calls.saturating_sub(1);
-                maker.room.unbook(call.booked);
+                endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+                endpoint.memory.unreserve(call.reserved);
             }
-            call.given_up = true;
-            given.extend(call.items.iter().copied());
+            call.abandoned = true;
+            requeued.extend(call.items.iter().copied());
         }
-        for (id, piece) in given {
-            let Some(held) = self.jobs.get_mut(&id) else {
+        for (id, item) in requeued {
+            let Some(job_state) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if let Some(state) = held.pieces.get_mut(&piece) {
+            if let Some(item_state) = job_state.items.get_mut(&item) {
                 // The call that was given up may never end: what fails elsewhere
                 // must not wait for it.
-                state.running = state.running.saturating_sub(1);
-                state.waiting |= state.made.is_none() && state.running == 0;
+                item_state.in_flight = item_state.in_flight.saturating_sub(1);
+                item_state.waiting |= item_state.result.is_none() && item_state.in_flight == 0;
             }
         }
     }
@@ -470,18 +475,18 @@
     /// A request that is held to its end and then refused costs its caller the
     /// time in which it could have come back. What is known to be too late is
     /// told at once.
-    fn end_hopeless(&mut self, now: Time) {
-        let least = self.expected(1);
-        let clear = self.clear_time(now);
-        let hopeless = |h: &Held| {
-            let left = h.job.deadline.since(now);
-            let late = h.late && clear > left.mul_f64(HOPE);
-            h.waiting_items() > 0 && !h.is_running() && (least > left || late)
+    fn fail_hopeless(&mut self, now: Time) {
+        let min_time = self.expected_time(1);
+        let backlog = self.backlog_time(now);
+        let hopeless = |j: &JobState| {
+            let remaining = j.job.deadline.since(now);
+            let late = j.late && backlog > remaining.mul_f64(MAX_BACKLOG_FRACTION);
+            j.waiting_items() > 0 && !j.is_running() && (min_time > remaining || late)
         };
-        let found = self.jobs.iter().filter(|(_, h)| hopeless(h));
+        let found = self.jobs.iter().filter(|(_, j)| hopeless(j));
         let ids: Vec<JobId> = found.map(|(&id, _)| id).collect();
         for id in ids {
-            self.end(id, Some(ItemOutcome::Late), clear);
+            self.finish_job(id, Some(ItemOutcome::Late), backlog);
         }
     }
 }
--- a/lib/src/serving/budget.rs
+++ b/lib/src/serving/budget.rs
@@ -15,13 +15,13 @@
 ///
 /// Windows of the nodes and of the bound don't begin together, and a node that
 /// left takes its requests with it; a tenth covers both.
-const SPENT: f64 = 0.9;
+const BOUND_FRACTION: f64 = 0.9;
 
 /// The part of the slack that is spent.
 ///
 /// A node that has not met all others yet counts too few of them; with a fifth
 /// kept back, one in five may be missing.
-const SLACK_SPENT: f64 = 0.8;
+const SLACK_FRACTION: f64 = 0.8;
 
 /// The bound on repeats.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -37,12 +37,12 @@
 #[derive(Debug, Clone, Default)]
 struct Window {
     requests: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 impl Window {
     fn trim(&mut self, from: Time) {
-        for times in [&mut self.requests, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|&t| t < from) {
                 times.pop_front();
             }
@@ -90,15 +90,15 @@
     /// Takes one repeat out, if there is one.
     pub fn try_spend(&mut self, now: Time, service: &PoolName) -> bool {
         let from = now - self.limits.window;
-        let extra = SLACK_SPENT * self.limits.extra / self.nodes as f64;
-        let ratio = SPENT * self.limits.ratio;
+        let slack = SLACK_FRACTION * self.limits.extra / self.nodes as f64;
+        let ratio = BOUND_FRACTION * self.limits.ratio;
         let window = self.window(service);
         window.trim(from);
-        let allowed = ratio * window.requests.len() as f64 + extra;
-        if window.repeats.len() as f64 + 1.0 > allowed {
+        let allowed = ratio * window.requests.len() as f64 + slack;
+        if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 
--- a/lib/src/serving/catalog.rs
+++ b/lib/src/serving/catalog.rs
@@ -90,18 +90,18 @@
     ///
     /// The same draw gives the same target as long as the weights stay.
     #[must_use]
-    pub fn choose_target(&self, draw: u64) -> Option<&PoolName> {
+    pub fn choose_target(&self, sample: u64) -> Option<&PoolName> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         if total == 0 {
             return self.targets.first().map(|t| &t.service);
         }
-        let mut left = draw % total;
+        let mut remaining = sample % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/lib/src/serving/durations.rs
+++ b/lib/src/serving/durations.rs
@@ -21,7 +21,7 @@
 
 /// The deviation before a second request was seen, as a logarithm: a factor of
 /// 1.6.
-const FIRST_DEVIATION: f64 = 0.5;
+const INITIAL_DEVIATION: f64 = 0.5;
 
 /// What an answer costs beside its length, in tokens: the time to its first event.
 const FIXED_TOKENS: f64 = 20.0;
@@ -29,10 +29,10 @@
 /// The mean deviations above the mean that answers stay below.
 ///
 /// One or two streams in a hundred take longer.
-const DEVIATIONS: f64 = 3.0;
+const BOUND_DEVIATIONS: f64 = 3.0;
 
 /// The shortest time that is told from none, of a token as well, in seconds.
-const SHORTEST: f64 = 0.001;
+const MIN_SECONDS: f64 = 0.001;
 
 /// How long the parts of a request took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,24 +63,24 @@
 
 impl Spread {
     fn bound(&self) -> f64 {
-        (self.mean + DEVIATIONS * self.deviation).exp()
+        (self.mean + BOUND_DEVIATIONS * self.deviation).exp()
     }
 }
 
 /// A spread that is learned; `None` until something was seen.
 #[derive(Debug, Clone, Copy, Default)]
-struct Learned(Option<Spread>);
+struct Estimate(Option<Spread>);
 
-impl Learned {
+impl Estimate {
     fn observe(&mut self, value: f64) {
-        let value = value.max(SHORTEST).ln();
-        let known = self.0.get_or_insert(Spread {
+        let value = value.max(MIN_SECONDS).ln();
+        let estimate = self.0.get_or_insert(Spread {
             mean: value,
-            deviation: FIRST_DEVIATION,
+            deviation: INITIAL_DEVIATION,
         });
-        let off = value - known.mean;
-        known.mean += WEIGHT * off;
-        known.deviation += WEIGHT * (off.abs() - known.deviation);
+        let difference = value - estimate.mean;
+        estimate.mean += WEIGHT * difference;
+        estimate.deviation += WEIGHT * (difference.abs() - estimate.deviation);
     }
 
     fn bound(&self) -> Option<f64> {
@@ -89,34 +89,34 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Times {
-    wait: Learned,
+struct RouteTimes {
+    wait: Estimate,
     /// Of answers whose length nobody told, in seconds.
-    answer: Learned,
+    answer: Estimate,
     /// Of answers whose length was told, in seconds a token.
-    token: Learned,
+    token: Estimate,
 }
 
 /// The times that requests take, by route.
 #[derive(Debug, Clone, Default)]
 pub struct Durations {
-    routes: BTreeMap<String, Times>,
+    routes: BTreeMap<String, RouteTimes>,
 }
 
 impl Durations {
     /// Notes how long a request took that was answered.
-    pub fn observe(&mut self, route: &str, took: RequestTiming) {
+    pub fn observe(&mut self, route: &str, timing: RequestTiming) {
         if !self.routes.contains_key(route) {
-            self.routes.insert(route.to_owned(), Times::default());
+            self.routes.insert(route.to_owned(), RouteTimes::default());
         }
-        let Some(known) = self.routes.get_mut(route) else {
+        let Some(estimate) = self.routes.get_mut(route) else {
             unreachable!("the route was just inserted");
         };
-        known.wait.observe(took.wait.as_secs_f64());
-        let answer = took.answer.as_secs_f64();
-        match took.tokens {
-            Some(tokens) => known.token.observe(answer / cost(tokens)),
-            None => known.answer.observe(answer),
+        estimate.wait.observe(timing.wait.as_secs_f64());
+        let answer = timing.answer.as_secs_f64();
+        match timing.tokens {
+            Some(tokens) => estimate.token.observe(answer / token_cost(tokens)),
+            None => estimate.answer.observe(answer),
         }
     }
 
@@ -125,14 +125,19 @@
     ///
     /// `tokens` is the length that the request's caller expects of the answer.
     #[must_use]
-    pub fn bound(&self, route: &str, tokens: Option<u32>, ahead: Remaining) -> Option<Duration> {
-        let known = self.routes.get(route)?;
+    pub fn bound(
+        &self,
+        route: &str,
+        tokens: Option<u32>,
+        remaining: Remaining,
+    ) -> Option<Duration> {
+        let estimate = self.routes.get(route)?;
         let answer = match tokens {
-            Some(tokens) => known.token.bound()? * cost(tokens),
-            None => known.answer.bound()?,
+            Some(tokens) => estimate.token.bound()? * token_cost(tokens),
+            None => estimate.answer.bound()?,
         };
-        let wait = match ahead {
-            Remaining::All => known.wait.bound()?,
+        let wait = match remaining {
+            Remaining::All => estimate.wait.bound()?,
             Remaining::Answer => 0.0,
         };
         let bound = Duration::try_from_secs_f64(wait + answer);
@@ -141,6 +146,6 @@
 }
 
 /// Returns what an answer costs, in tokens.
-fn cost(tokens: u32) -> f64 {
+fn token_cost(tokens: u32) -> f64 {
     f64::from(tokens) + FIXED_TOKENS
 }
--- a/lib/src/serving/events.rs
+++ b/lib/src/serving/events.rs
@@ -7,14 +7,14 @@
 ///
 /// Events hold a few tokens; a longer one is no stream of this kind, and
 /// keeping it would take memory without bound.
-const EVENT_MAX: usize = 256 << 10;
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// Why a stream can't go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum EventError {
     /// An event is longer than allowed.
-    #[display("an event has over {EVENT_MAX} bytes: use another endpoint")]
+    #[display("an event has over {MAX_EVENT_BYTES} bytes: use another endpoint")]
     TooLong,
     /// An event's id does not follow the last one.
     #[display("event {found} does not follow event {last}: use another endpoint")]
@@ -29,8 +29,8 @@
 /// Takes bytes of one client's stream and gives whole events in order.
 #[derive(Debug, Clone, Default)]
 pub struct EventAssembler {
-    rest: Vec<u8>,
-    last: Option<u64>,
+    partial: Vec<u8>,
+    last_id: Option<u64>,
     count: u64,
 }
 
@@ -39,8 +39,8 @@
     #[must_use]
     pub const fn resume_after(last: Option<u64>) -> Self {
         Self {
-            rest: Vec::new(),
-            last,
+            partial: Vec::new(),
+            last_id: last,
             count: 0,
         }
     }
@@ -48,7 +48,7 @@
     /// Returns the id of the last event given out.
     #[must_use]
     pub const fn last_id(&self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 
     /// Returns the number of events given out.
@@ -60,12 +60,12 @@
     /// Tells whether a part of an event waits for its rest.
     #[must_use]
     pub const fn has_partial(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 
     /// Drops a part of an event, as its endpoint won't send the rest.
     pub fn discard_partial(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 
     /// Takes bytes and returns the whole events in them.
@@ -74,26 +74,26 @@
     ///
     /// Returns [`EventError`] if an event is too long or out of order.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, EventError> {
-        self.rest.extend_from_slice(bytes);
+        self.partial.extend_from_slice(bytes);
         let mut out = Vec::new();
         let mut start = 0;
-        while let Some(len) = event_len(&self.rest[start..]) {
-            let event = &self.rest[start..start + len];
+        while let Some(len) = event_len(&self.partial[start..]) {
+            let event = &self.partial[start..start + len];
             if let Some(id) = event_id(event) {
                 // An id at or before the last one was sent already: a run that
                 // began again, or a doubled event.
-                if self.last.is_some_and(|last| id <= last) {
+                if self.last_id.is_some_and(|last| id <= last) {
                     start += len;
                     continue;
                 }
-                self.last = Some(id);
+                self.last_id = Some(id);
                 self.count += 1;
             }
             out.extend_from_slice(event);
             start += len;
         }
-        self.rest.drain(..start);
-        if self.rest.len() > EVENT_MAX {
+        self.partial.drain(..start);
+        if self.partial.len() > MAX_EVENT_BYTES {
             return Err(EventError::TooLong);
         }
         Ok(out)
--- a/lib/src/serving/first_event.rs
+++ b/lib/src/serving/first_event.rs
@@ -11,37 +11,45 @@
 /// The tokens that a request costs beside its prompt.
 ///
 /// A step of the batch and the way there and back, some tens of milliseconds.
-const FIXED: f32 = 2_000.0;
+const FIXED_TOKENS: f32 = 2_000.0;
 
 /// The time of a token before anything was learned, in seconds.
 ///
 /// Engines of today read some 50 tokens a millisecond.
-const FIRST_GUESS: f32 = 20e-6;
+const DEFAULT_TOKEN_SECONDS: f32 = 20e-6;
 
 /// The time to the first event, by service.
 #[derive(Debug, Clone, Default)]
 pub struct FirstEventTimes {
-    seconds: BTreeMap<PoolName, f32>,
+    token_seconds: BTreeMap<PoolName, f32>,
 }
 
 impl FirstEventTimes {
     /// Returns the time expected to the first event of a prompt.
     #[must_use]
     pub fn expected(&self, service: &PoolName, tokens: u32) -> Duration {
-        let each = self.seconds.get(service).copied().unwrap_or(FIRST_GUESS);
-        Duration::from_secs_f32(each * (tokens as f32 + FIXED))
+        let token_time = self
+            .token_seconds
+            .get(service)
+            .copied()
+            .unwrap_or(DEFAULT_TOKEN_SECONDS);
+        Duration::from_secs_f32(token_time * (tokens as f32 + FIXED_TOKENS))
     }
 
     /// Notes how long a first event took; returns its ratio to what was expected.
-    pub fn observe(&mut self, service: &PoolName, tokens: u32, took: Duration) -> f32 {
-        let each = took.as_secs_f32() / (tokens as f32 + FIXED);
-        let known = self.seconds.get(service).copied().unwrap_or(each);
-        let ratio = each / known.max(1e-9);
+    pub fn observe(&mut self, service: &PoolName, tokens: u32, elapsed: Duration) -> f32 {
+        let token_time = elapsed.as_secs_f32() / (tokens as f32 + FIXED_TOKENS);
+        let average = self
+            .token_seconds
+            .get(service)
+            .copied()
+            .unwrap_or(token_time);
+        let ratio = token_time / average.max(1e-9);
         // One endpoint that stands still must not change what is expected of
         // the others.
-        let bounded = each.min(4.0 * known);
-        self.seconds
-            .insert(service.clone(), known + WEIGHT * (bounded - known));
+        let bounded = token_time.min(4.0 * average);
+        self.token_seconds
+            .insert(service.clone(), average + WEIGHT * (bounded - average));
         ratio
     }
 }
--- a/lib/src/serving/health.rs
+++ b/lib/src/serving/health.rs
@@ -13,13 +13,13 @@
 const WEIGHT: f32 = 0.2;
 
 /// The first pause after a broken connection.
-const PAUSE_FIRST: Duration = Duration::from_millis(400);
+const INITIAL_PAUSE: Duration = Duration::from_millis(400);
 
 /// The longest pause after broken connections.
 ///
 /// An endpoint that is back within seconds should not wait much longer than
 /// its own restart took.
-const PAUSE_MAX: Duration = Duration::from_millis(3_200);
+const MAX_PAUSE: Duration = Duration::from_millis(3_200);
 
 /// The time after which half of what was learned is forgotten.
 ///
@@ -30,20 +30,20 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Health {
     slowness: f32,
-    failures: f32,
-    broken: u32,
-    resume: Time,
-    seen: Time,
+    failure_rate: f32,
+    consecutive_breaks: u32,
+    paused_until: Time,
+    updated_at: Time,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
             slowness: 1.0,
-            failures: 0.0,
-            broken: 0,
-            resume: Time::ZERO,
-            seen: Time::ZERO,
+            failure_rate: 0.0,
+            consecutive_breaks: 0,
+            paused_until: Time::ZERO,
+            updated_at: Time::ZERO,
         }
     }
 }
@@ -51,54 +51,54 @@
 impl Health {
     /// Notes an answer that took `ratio` times what was expected.
     pub fn record_response(&mut self, now: Time, ratio: f32) {
-        self.fade(now);
+        self.apply_decay(now);
         let ratio = ratio.clamp(0.1, 50.0);
         self.slowness += WEIGHT * (ratio - self.slowness);
-        self.failures -= WEIGHT * self.failures;
-        self.broken = 0;
-        self.resume = Time::ZERO;
+        self.failure_rate -= WEIGHT * self.failure_rate;
+        self.consecutive_breaks = 0;
+        self.paused_until = Time::ZERO;
     }
 
     /// Notes an answer that says that the work failed.
     pub fn record_failure(&mut self, now: Time) {
-        self.fade(now);
-        self.failures += WEIGHT * (1.0 - self.failures);
+        self.apply_decay(now);
+        self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
     }
 
     /// Notes a connection that failed or went silent: it is avoided for a while.
     pub fn record_broken(&mut self, now: Time) {
         self.record_failure(now);
-        let pause = PAUSE_FIRST.saturating_mul(1 << self.broken.min(6));
-        self.broken += 1;
-        self.resume = now + pause.min(PAUSE_MAX);
+        let pause = INITIAL_PAUSE.saturating_mul(1 << self.consecutive_breaks.min(6));
+        self.consecutive_breaks += 1;
+        self.paused_until = now + pause.min(MAX_PAUSE);
     }
 
     /// Tells whether it is not to be used now.
     #[must_use]
     pub fn is_paused(&self, now: Time) -> bool {
-        now < self.resume
+        now < self.paused_until
     }
 
     /// Returns how many times slower than expected it answers.
     #[must_use]
     pub fn slowness(&self, now: Time) -> f32 {
-        1.0 + (self.slowness - 1.0) * self.kept(now)
+        1.0 + (self.slowness - 1.0) * self.decay(now)
     }
 
     /// Returns the share of answers that failed, of late.
     #[must_use]
     pub fn failure_rate(&self, now: Time) -> f32 {
-        self.failures * self.kept(now)
+        self.failure_rate * self.decay(now)
     }
 
-    fn kept(&self, now: Time) -> f32 {
-        let halves = now.since(self.seen).as_secs_f32() / HALF_LIFE.as_secs_f32();
-        0.5_f32.powf(halves)
+    fn decay(&self, now: Time) -> f32 {
+        let half_lives = now.since(self.updated_at).as_secs_f32() / HALF_LIFE.as_secs_f32();
+        0.5_f32.powf(half_lives)
     }
 
-    fn fade(&mut self, now: Time) {
+    fn apply_decay(&mut self, now: Time) {
         self.slowness = self.slowness(now);
-        self.failures = self.failure_rate(now);
-        self.seen = now;
+        self.failure_rate = self.failure_rate(now);
+        self.updated_at = now;
     }
 }
--- a/lib/tests/test_batching.rs
+++ b/lib/tests/test_batching.rs
@@ -58,54 +58,54 @@
     queue
 }
 
-fn job(request: &str, pieces: u32, goal: u64, due: u64) -> Job {
+fn job(request: &str, items: u32, target: u64, deadline: u64) -> Job {
     Job {
         request: request.to_owned(),
         fingerprint: None,
         stage: 0,
-        items: (0..pieces).collect(),
+        items: (0..items).collect(),
         input: StageInput::Key,
         key: request.to_owned(),
         result_bytes: Bytes(8_000),
-        target: at(goal),
-        deadline: at(due),
+        target: at(target),
+        deadline: at(deadline),
         priority: 0,
         result_domain: None,
         input_source: None,
     }
 }
 
-fn made(send: &BatchCall) -> CallResult {
+fn produced(call: &BatchCall) -> CallResult {
     let handle = |i: &snipeyoke_lib::serving::batching::BatchItem| {
         ItemOutcome::Produced(format!(
             "{}/{}.{}.{}",
-            send.entry.id, i.request, i.stage, i.item
+            call.entry.id, i.request, i.stage, i.item
         ))
     };
-    CallResult::Answered(send.items.iter().map(handle).collect())
+    CallResult::Answered(call.items.iter().map(handle).collect())
 }
 
-fn requests(send: &BatchCall) -> Vec<&str> {
-    send.items.iter().map(|i| i.request.as_str()).collect()
+fn requests(call: &BatchCall) -> Vec<&str> {
+    call.items.iter().map(|i| i.request.as_str()).collect()
 }
 
-fn failure(ends: &[JobResult], id: JobId) -> Option<&ItemOutcome> {
-    let end = ends.iter().find(|e| e.job == id).expect("the job ended");
+fn failure(results: &[JobResult], id: JobId) -> Option<&ItemOutcome> {
+    let end = results.iter().find(|e| e.job == id).expect("the job ended");
     end.failure.as_ref()
 }
 
 #[test]
-fn one_piece_leaves_at_once() {
+fn single_item_is_sent_at_once() {
     // A lone caller waits for nobody: its piece goes out in the same turn.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r1", 1, 500, 3_000));
-    let sends = queue.poll(at(0));
-    assert_eq!(sends.len(), 1);
-    assert_eq!(sends[0].items.len(), 1);
+    let calls = queue.poll(at(0));
+    assert_eq!(calls.len(), 1);
+    assert_eq!(calls[0].items.len(), 1);
 }
 
 #[test]
-fn what_waits_leaves_in_full_calls() {
+fn waiting_items_are_sent_in_full_batches() {
     // In a burst all endpoints are at work. A call costs as much as nine pieces
     // in it, so pieces that leave one by one would be done at a fifth of the
     // rate and callers would be late. What waited leaves together.
@@ -116,44 +116,44 @@
         queue.submit(job(&format!("r{n}"), 2, 900, 3_000));
     }
     assert!(queue.poll(at(1)).is_empty());
-    queue.on_call_ended(at(166), first[0].id, made(&first[0]));
+    queue.on_call_ended(at(166), first[0].id, produced(&first[0]));
     let next = queue.poll(at(166));
     assert_eq!(next[0].items.len(), 8);
 }
 
 #[test]
-fn crowded_calls_take_parts_of_jobs() {
+fn batches_split_jobs_under_backlog() {
     // Jobs of five pieces leave three places of a batch of eight empty. While a
     // batch for every endpoint waits these places are a third of the service.
     let mut queue = queue(&[("p1", "a")]);
     for n in 0..4 {
         queue.submit(job(&format!("r{n}"), 5, 2_000, 5_000));
     }
-    let sends = queue.poll(at(0));
-    assert_eq!(sends[0].items.len(), 8);
+    let calls = queue.poll(at(0));
+    assert_eq!(calls[0].items.len(), 8);
 }
 
 #[test]
-fn idle_endpoints_share_what_waits() {
+fn idle_endpoints_share_waiting_jobs() {
     // Two jobs and two idle endpoints: in one call the second caller would wait
     // for the first one's pieces while an endpoint stands idle.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     queue.submit(job("r1", 2, 900, 3_000));
     queue.submit(job("r2", 2, 900, 3_000));
-    let sends = queue.poll(at(0));
-    assert_eq!(sends.len(), 2);
+    let calls = queue.poll(at(0));
+    assert_eq!(calls.len(), 2);
 }
 
 #[test]
-fn urgent_pieces_go_first_and_late_ones_last() {
+fn urgent_items_go_first_and_late_items_last() {
     // Three callers wait for one endpoint: one is late already, one has a
     // less urgent kind, one is urgent. The late one gains nothing by going
     // first, the other two are served by urgency.
-    let narrow = BatchLimits {
+    let single_item = BatchLimits {
         max_items: 1,
         ..limits()
     };
-    let mut queue = queue_with(narrow, &[("p1", "a")]);
+    let mut queue = queue_with(single_item, &[("p1", "a")]);
     queue.submit(job("late", 1, 50, 9_000));
     let mut second = job("second", 1, 900, 9_000);
     second.priority = 2;
@@ -162,16 +162,16 @@
     let mut order = Vec::new();
     let mut now = 0;
     for _ in 0..3 {
-        let sends = queue.poll(at(now));
-        order.extend(requests(&sends[0]).iter().map(ToString::to_string));
+        let calls = queue.poll(at(now));
+        order.extend(requests(&calls[0]).iter().map(ToString::to_string));
         now += 166;
-        queue.on_call_ended(at(now), sends[0].id, made(&sends[0]));
+        queue.on_call_ended(at(now), calls[0].id, produced(&calls[0]));
     }
     assert_eq!(order, ["first", "second", "late"]);
 }
 
 #[test]
-fn no_hope_is_told_at_once() {
+fn hopeless_job_fails_at_once() {
     // The queue holds ten seconds of work and the caller waits two more. Held
     // to its deadline it would learn nothing and could not come back in time.
     let mut queue = queue(&[("p1", "a")]);
@@ -180,15 +180,15 @@
     }
     let id = queue.submit(job("late", 1, 100, 2_000));
     queue.poll(at(0));
-    let ends = queue.take_results();
-    assert_eq!(failure(&ends, id), Some(&ItemOutcome::Late));
-    let backlog = ends[0].backlog;
+    let results = queue.take_results();
+    assert_eq!(failure(&results, id), Some(&ItemOutcome::Late));
+    let backlog = results[0].backlog;
     assert!(backlog > Duration::from_secs(9), "{backlog:?}");
     assert!(backlog < Duration::from_secs(11), "{backlog:?}");
 }
 
 #[test]
-fn late_work_with_time_left_is_kept() {
+fn late_job_with_remaining_time_is_kept() {
     // One call is ahead of a caller that is late already but has seconds left:
     // an answer that is late is still worth something to it.
     let mut queue = queue(&[("p1", "a")]);
@@ -200,32 +200,32 @@
 }
 
 #[test]
-fn a_full_endpoint_gets_no_more_than_fits() {
+fn endpoint_gets_no_more_items_than_fit_in_memory() {
     // Results of 3 MB fill 36 MB with a dozen. A call beyond that does its work
     // for nothing: the endpoint answers that there is no room. Begun in part, a
     // job's first results would take room for as long as the rest waits for
     // some, so it waits whole, and a job that fits goes first.
     let mut queue = queue(&[("p1", "a")]);
-    for (n, pieces) in [(0, 8), (1, 8), (2, 2)] {
-        let mut large = job(&format!("r{n}"), pieces, 900 + n, 3_000);
+    for (n, items) in [(0, 8), (1, 8), (2, 2)] {
+        let mut large = job(&format!("r{n}"), items, 900 + n, 3_000);
         large.result_bytes = Bytes(3_000_000);
         queue.submit(large);
     }
     let first = queue.poll(at(0));
     assert_eq!(first[0].items.len(), 8);
-    queue.on_call_ended(at(278), first[0].id, made(&first[0]));
+    queue.on_call_ended(at(278), first[0].id, produced(&first[0]));
     let second = queue.poll(at(278));
     assert_eq!(
         requests(&second[0]),
         ["r2", "r2"],
         "nine tenths of 36 MB hold ten results"
     );
-    queue.on_call_ended(at(460), second[0].id, made(&second[0]));
+    queue.on_call_ended(at(460), second[0].id, produced(&second[0]));
     assert!(queue.poll(at(460)).is_empty());
 }
 
 #[test]
-fn results_take_room_until_the_endpoint_was_told() {
+fn results_use_memory_until_the_release_is_delivered() {
     // The word that drops results and the next call go out together, on two
     // connections. If the call overtakes the word it finds no room.
     let mut queue = queue(&[("p1", "a")]);
@@ -233,33 +233,33 @@
     large.result_bytes = Bytes(4_000_000);
     queue.submit(large.clone());
     let first = queue.poll(at(0));
-    queue.on_call_ended(at(278), first[0].id, made(&first[0]));
-    let ends = queue.take_results();
-    for (_, handle, endpoint) in ends[0].produced.clone() {
+    queue.on_call_ended(at(278), first[0].id, produced(&first[0]));
+    let results = queue.take_results();
+    for (_, handle, endpoint) in results[0].produced.clone() {
         queue.release(at(280), &endpoint, handle);
     }
-    let told = queue.take_releases(at(280));
-    assert_eq!(told[0].1.len(), 8);
+    let releases = queue.take_releases(at(280));
+    assert_eq!(releases[0].1.len(), 8);
     large.request = "r1".to_owned();
     queue.submit(large);
     assert!(
         queue.poll(at(281)).is_empty(),
         "32 of 36 MB are still taken"
     );
-    queue.on_released(&told[0].0.id, &told[0].1);
+    queue.on_released(&releases[0].0.id, &releases[0].1);
     assert_eq!(queue.poll(at(285))[0].items.len(), 8);
 }
 
 #[test]
-fn few_results_are_given_back_together() {
+fn few_results_are_released_together() {
     // A call for each result would cost more than the memory is worth; left to
     // lapse they would fill the endpoint for its next owner.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r0", 2, 900, 3_000));
     let first = queue.poll(at(0));
-    queue.on_call_ended(at(180), first[0].id, made(&first[0]));
-    let ends = queue.take_results();
-    for (_, handle, endpoint) in ends[0].produced.clone() {
+    queue.on_call_ended(at(180), first[0].id, produced(&first[0]));
+    let results = queue.take_results();
+    for (_, handle, endpoint) in results[0].produced.clone() {
         queue.release(at(200), &endpoint, handle);
     }
     assert!(queue.take_releases(at(300)).is_empty());
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_silent_endpoint_loses_its_pieces_to_another() {
+fn overdue_items_are_sent_to_another_endpoint() {
     // An endpoint is stopped: its connection stays open and no answer comes.
     // The caller would be late by seconds; after three times the usual time
     // the pieces go to another endpoint, and the first result is taken.
@@ -279,65 +279,65 @@
     let second = queue.poll(at(560));
     assert_eq!(second.len(), 1);
     assert_ne!(second[0].entry.id, first[0].entry.id);
-    queue.on_call_ended(at(730), second[0].id, made(&second[0]));
+    queue.on_call_ended(at(730), second[0].id, produced(&second[0]));
     assert_eq!(failure(&queue.take_results(), id), None);
     // The late result of the first one is of no use: it is given back.
-    queue.on_call_ended(at(900), first[0].id, made(&first[0]));
-    let told = queue.take_releases(at(1_200));
-    assert_eq!(told[0].0.id, first[0].entry.id);
+    queue.on_call_ended(at(900), first[0].id, produced(&first[0]));
+    let releases = queue.take_releases(at(1_200));
+    assert_eq!(releases[0].0.id, first[0].entry.id);
 }
 
 #[test]
-fn a_refused_call_costs_its_pieces_nothing() {
+fn refused_calls_use_up_no_retries() {
     // Another owner fills the endpoint; it refuses the call and nothing ran.
     // The pieces wait for it, as often as it takes while there is time.
     let mut queue = queue(&[("p1", "a")]);
     let id = queue.submit(job("r1", 1, 3_000, 9_000));
     let mut now = 0;
     for _ in 0..12 {
-        let sends = queue.poll(at(now));
-        queue.on_call_ended(at(now + 2), sends[0].id, CallResult::Refused);
+        let calls = queue.poll(at(now));
+        queue.on_call_ended(at(now + 2), calls[0].id, CallResult::Refused);
         now += 200;
     }
-    let sends = queue.poll(at(now));
-    queue.on_call_ended(at(now + 166), sends[0].id, made(&sends[0]));
+    let calls = queue.poll(at(now));
+    queue.on_call_ended(at(now + 166), calls[0].id, produced(&calls[0]));
     assert_eq!(failure(&queue.take_results(), id), None);
 }
 
 #[test]
-fn pieces_go_where_their_results_are_read() {
+fn items_run_in_the_domain_that_reads_their_results() {
     // Results of megabytes are dear to carry between failure domains. With the
     // near endpoint busy for a little, they wait for it; with a long queue
     // there they go elsewhere.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     for n in 0..2 {
-        let mut near = job(&format!("r{n}"), 5, 5_000, 9_000);
-        near.result_bytes = Bytes(3_000_000);
-        near.result_domain = Some("b".parse().expect("a name"));
-        queue.submit(near);
-        let sends = queue.poll(at(n));
+        let mut large = job(&format!("r{n}"), 5, 5_000, 9_000);
+        large.result_bytes = Bytes(3_000_000);
+        large.result_domain = Some("b".parse().expect("a name"));
+        queue.submit(large);
+        let calls = queue.poll(at(n));
         if n == 0 {
-            assert_eq!(sends[0].entry.id.as_str(), "p2");
+            assert_eq!(calls[0].entry.id.as_str(), "p2");
         } else {
-            assert!(sends.is_empty(), "it waits for p2, which is free in 230 ms");
+            assert!(calls.is_empty(), "it waits for p2, which is free in 230 ms");
         }
     }
     for n in 2..8 {
-        let mut near = job(&format!("r{n}"), 3, 5_000, 9_000);
-        near.result_bytes = Bytes(1_000);
-        near.result_domain = Some("b".parse().expect("a name"));
-        queue.submit(near);
+        let mut large = job(&format!("r{n}"), 3, 5_000, 9_000);
+        large.result_bytes = Bytes(1_000);
+        large.result_domain = Some("b".parse().expect("a name"));
+        queue.submit(large);
     }
-    let sends = queue.poll(at(10));
+    let calls = queue.poll(at(10));
     assert_eq!(
-        sends[0].entry.id.as_str(),
+        calls[0].entry.id.as_str(),
         "p1",
         "small results go anywhere"
     );
 }
 
 #[test]
-fn a_reborn_endpoint_starts_with_empty_hands() {
+fn restarted_endpoint_starts_with_empty_memory() {
     // The endpoint crashed and is back under its name. Its memory is empty and
     // what it did before is gone; calls are not held back for it.
     let mut queue = queue(&[("p1", "a")]);
@@ -345,26 +345,26 @@
     large.result_bytes = Bytes(4_000_000);
     queue.submit(large.clone());
     let first = queue.poll(at(0));
-    queue.on_call_ended(at(278), first[0].id, made(&first[0]));
-    let mut again = entry("p1", "a");
-    again.born = Some(7);
-    queue.set_endpoints(std::iter::once(&again));
+    queue.on_call_ended(at(278), first[0].id, produced(&first[0]));
+    let mut restarted = entry("p1", "a");
+    restarted.born = Some(7);
+    queue.set_endpoints(std::iter::once(&restarted));
     large.request = "r1".to_owned();
     queue.submit(large);
     assert_eq!(queue.poll(at(300))[0].items.len(), 8);
 }
 
 #[test]
-fn a_look_that_changes_nothing_is_not_repeated_at_once() {
+fn poll_without_progress_does_not_wake_at_once() {
     // A job has one piece at work and one waiting when its time is over. The
     // waiting piece can't end the job and no endpoint is idle. If the queue
     // asks to be looked at again at once, its owner spins: it answers nobody,
     // and its neighbours take it for dead.
-    let narrow = BatchLimits {
+    let single_item = BatchLimits {
         max_items: 1,
         ..limits()
     };
-    let mut queue = queue_with(narrow, &[("p1", "a")]);
+    let mut queue = queue_with(single_item, &[("p1", "a")]);
     queue.submit(job("r1", 2, 200, 300));
     assert_eq!(queue.poll(at(0)).len(), 1);
     for now in [10, 150, 200, 300, 301, 400, 620] {
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn the_next_call_leaves_before_the_last_one_ends() {
+fn next_call_is_sent_before_the_last_one_ends() {
     // Whole batches wait for an endpoint that is some milliseconds away. If the
     // next call leaves only when the last one's answer is here, the endpoint
     // stands idle for the way back and forth, at every call of a burst.
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn a_lost_answer_does_not_take_its_endpoint_out() {
+fn lost_response_does_not_block_its_endpoint() {
     // The only endpoint works on a piece and its answer is lost: the connection
     // stays open, nothing comes. The endpoint itself stands idle. Callers who
     // come later would wait for the first call's end, seconds away.
@@ -405,18 +405,18 @@
     queue.poll(at(560));
     let later = queue.submit(job("r1", 1, 3_000, 9_000));
     let mut now = 560;
-    let mut sends = Vec::new();
-    while sends.is_empty() && now < 2_000 {
+    let mut calls = Vec::new();
+    while calls.is_empty() && now < 2_000 {
         now += 50;
-        sends = queue.poll(at(now));
+        calls = queue.poll(at(now));
     }
     assert!(now < 1_200, "the endpoint is asked again at {now} ms");
-    queue.on_call_ended(at(now + 182), sends[0].id, made(&sends[0]));
+    queue.on_call_ended(at(now + 182), calls[0].id, produced(&calls[0]));
     assert_eq!(failure(&queue.take_results(), later), None);
 }
 
 #[test]
-fn pieces_go_where_their_inputs_lie() {
+fn items_run_in_the_domain_of_their_inputs() {
     // Sixteen pieces read half a megabyte each and make a few kilobytes. Done
     // in another failure domain, eight megabytes cross; their results, which
     // are read there, don't weigh that much.
@@ -427,38 +427,42 @@
         ..job(request, 8, 2_000, 5_000)
     };
     queue.submit(reading("r1", "b"));
-    let sends = queue.poll(at(0));
-    assert_eq!(sends[0].entry.id.as_str(), "p2");
+    let calls = queue.poll(at(0));
+    assert_eq!(calls[0].entry.id.as_str(), "p2");
     // The one nearby is at work for a while longer than the way costs.
     queue.submit(reading("r2", "b"));
-    let sends = queue.poll(at(1));
-    assert_eq!(sends[0].entry.id.as_str(), "p1");
+    let calls = queue.poll(at(1));
+    assert_eq!(calls[0].entry.id.as_str(), "p1");
 }
 
 #[test]
-fn a_pause_between_bursts_is_not_taken_for_slowness() {
+fn idle_time_between_bursts_does_not_lower_the_rate() {
     // The last call of a burst ends, and its endpoint has nothing to do for a
     // minute. Counted as a part of the next burst's first call, the pause would
     // make the endpoint look slow; in the next burst callers that can be on
     // time together would be taken for late, and go in the wrong order.
     let mut queue = queue(&[("p1", "a")]);
-    let call_at = |queue: &mut BatchQueue, ms: u64| {
-        let sends = queue.poll(at(ms));
-        queue.on_call_ended(at(ms + 278), sends[0].id, made(&sends[0]));
-        requests(&sends[0])[0].to_owned()
+    let run_call = |queue: &mut BatchQueue, ms: u64| {
+        let calls = queue.poll(at(ms));
+        queue.on_call_ended(at(ms + 278), calls[0].id, produced(&calls[0]));
+        requests(&calls[0])[0].to_owned()
     };
     for minute in 0..30 {
         let start = minute * 60_000;
         let submit = |n: u64| job(&format!("r{n}"), 8, start + 1_100 + n, start + 5_000);
         let ids = [0, 1, 2].map(|n| queue.submit(submit(n)));
-        assert_eq!(call_at(&mut queue, start), "r0", "in minute {minute}");
-        assert_eq!(call_at(&mut queue, start + 300), "r1", "in minute {minute}");
+        assert_eq!(run_call(&mut queue, start), "r0", "in minute {minute}");
+        assert_eq!(
+            run_call(&mut queue, start + 300),
+            "r1",
+            "in minute {minute}"
+        );
         queue.cancel(at(start + 600), ids[2]);
     }
 }
 
 #[test]
-fn what_comes_back_is_due_from_its_first_time_on() {
+fn retried_request_keeps_its_first_target() {
     // A burst: the caller of r0 was refused and is back two seconds later. Its
     // answer is late already; r1, which is new and less urgent by its own word,
     // can still be on time and must not wait behind it.
@@ -466,16 +470,16 @@
     let first = queue.submit(job("r0", 8, 600, 9_000));
     queue.cancel(at(10), first);
     assert!(queue.poll(at(10)).is_empty());
-    let mut back = job("r0", 8, 2_600, 9_000);
-    back.request = "r0 again".to_owned();
-    queue.submit(back);
+    let mut retried = job("r0", 8, 2_600, 9_000);
+    retried.request = "r0 again".to_owned();
+    queue.submit(retried);
     queue.submit(job("r1", 8, 2_700, 9_000));
-    let sent = queue.poll(at(2_000));
-    assert_eq!(sent[0].items[0].request, "r1");
+    let calls = queue.poll(at(2_000));
+    assert_eq!(calls[0].items[0].request, "r1");
 }
 
 #[test]
-fn a_key_is_forgotten_with_its_caller() {
+fn key_is_forgotten_after_its_deadline() {
     // Nobody comes back after its time is over; who then uses the same key is
     // somebody else.
     let mut queue = queue(&[("i-1", "a")]);
@@ -484,12 +488,12 @@
     queue.poll(at(4_500));
     queue.submit(job("r0", 8, 5_100, 9_000));
     queue.submit(job("r1", 8, 5_200, 9_000));
-    let sent = queue.poll(at(4_600));
-    assert_eq!(sent[0].items[0].request, "r0");
+    let calls = queue.poll(at(4_600));
+    assert_eq!(calls[0].items[0].request, "r0");
 }
 
 #[test]
-fn a_piece_that_fails_beside_a_lost_call_is_done_again() {
+fn item_that_fails_after_an_abandoned_call_is_retried() {
     // An endpoint's answer is lost on its way. What it was to do is given to
     // another one, where one piece fails. Taken for still running at the first,
     // that piece waits until its caller has given up.
@@ -506,33 +510,33 @@
     // The lost answer comes after all, and says that the piece failed there.
     let failed = CallResult::Answered(vec![ItemOutcome::Failed]);
     queue.on_call_ended(at(1_250), first[0].id, failed);
-    queue.on_call_ended(at(1_400), third[0].id, made(&third[0]));
-    let ends = queue.take_results();
-    assert_eq!(failure(&ends, JobId(0)), None);
+    queue.on_call_ended(at(1_400), third[0].id, produced(&third[0]));
+    let results = queue.take_results();
+    assert_eq!(failure(&results, JobId(0)), None);
 }
 
 /// Guards against pieces of a quarantined request that wait, or come back from
 /// endpoints that ended, and are handed to further endpoints.
 #[test]
-fn pieces_of_a_quarantined_request_leave_no_more() {
+fn items_of_a_quarantined_request_are_not_sent() {
     let mut queue = queue(&[("p1", "a"), ("p2", "a")]);
-    let deadly = Job {
+    let quarantined = Job {
         fingerprint: Some(Fingerprint(7)),
         ..job("r1", 1, 500, 3_000)
     };
-    let id = queue.submit(deadly);
-    let sent = queue.poll(at(0));
-    assert_eq!(sent[0].items[0].fingerprint, Some(Fingerprint(7)));
+    let id = queue.submit(quarantined);
+    let calls = queue.poll(at(0));
+    assert_eq!(calls[0].items[0].fingerprint, Some(Fingerprint(7)));
 
     queue.fail_request(Fingerprint(7));
-    queue.on_call_ended(at(10), sent[0].id, CallResult::Broken);
+    queue.on_call_ended(at(10), calls[0].id, CallResult::Broken);
     let other = queue.submit(job("r2", 1, 500, 3_000));
 
     assert_eq!(
         failure(&queue.take_results(), id),
         Some(&ItemOutcome::Failed)
     );
-    let sent = queue.poll(at(500));
-    let jobs: Vec<JobId> = sent.iter().flat_map(|s| &s.items).map(|i| i.job).collect();
+    let calls = queue.poll(at(500));
+    let jobs: Vec<JobId> = calls.iter().flat_map(|s| &s.items).map(|i| i.job).collect();
     assert_eq!(jobs, [other]);
 }
--- a/lib/tests/test_plan.rs
+++ b/lib/tests/test_plan.rs
@@ -10,17 +10,17 @@
 use snipeyoke_lib::serving::catalog::Stage;
 use snipeyoke_lib::units::Bytes;
 
-fn stages(after: &[&[usize]]) -> Vec<Stage> {
-    let stage = |a: &&[usize]| Stage {
+fn stages(depends_on: &[&[usize]]) -> Vec<Stage> {
+    let stage = |d: &&[usize]| Stage {
         service: "s".parse().expect("a name"),
-        depends_on: a.to_vec(),
+        depends_on: d.to_vec(),
         result_bytes: Bytes(10),
     };
-    after.iter().map(stage).collect()
+    depends_on.iter().map(stage).collect()
 }
 
 /// Times of stages that all take the same time and make small results.
-fn even(count: usize) -> StageTimes {
+fn uniform_times(count: usize) -> StageTimes {
     let stages: Vec<Stage> = (0..count).flat_map(|_| stages(&[&[]])).collect();
     let counts = vec![1; count];
     StageTimes::new(&stages, &counts, Duration::ZERO, |_| Some(limits()))
@@ -38,59 +38,65 @@
     }
 }
 
-fn finish(plan: &mut StagePlan, stage: usize, pieces: u32) {
-    for piece in 0..pieces {
-        plan.on_result(stage, piece, format!("h{stage}.{piece}"));
+fn finish(plan: &mut StagePlan, stage: usize, items: u32) {
+    for item in 0..items {
+        plan.on_result(stage, item, format!("h{stage}.{item}"));
     }
 }
 
 #[test]
-fn a_stage_begins_with_all_results_of_those_before() {
+fn stage_starts_once_its_dependencies_are_done() {
     let mut plan = StagePlan::new(&stages(&[&[], &[0], &[1]]), &[2, 1, 3]).expect("three counts");
-    let orders = plan.start_ready(&even(4));
-    assert_eq!((orders.len(), orders[0].items.len()), (1, 2));
-    assert_eq!(orders[0].input, StageInput::Key);
+    let ready = plan.start_ready(&uniform_times(4));
+    assert_eq!((ready.len(), ready[0].items.len()), (1, 2));
+    assert_eq!(ready[0].input, StageInput::Key);
     plan.on_result(0, 0, "a".to_owned());
     assert!(
-        plan.start_ready(&even(4)).is_empty(),
+        plan.start_ready(&uniform_times(4)).is_empty(),
         "one result is missing"
     );
     plan.on_result(0, 1, "b".to_owned());
     let inputs = vec!["a".to_owned(), "b".to_owned()];
     assert_eq!(
-        plan.start_ready(&even(4))[0].input,
+        plan.start_ready(&uniform_times(4))[0].input,
         StageInput::Results(inputs)
     );
     finish(&mut plan, 1, 1);
     assert_eq!(plan.take_unneeded(), ["a", "b"]);
-    plan.start_ready(&even(4));
+    plan.start_ready(&uniform_times(4));
     finish(&mut plan, 2, 3);
     assert_eq!(plan.inputs(), ["h2.0", "h2.1", "h2.2"]);
 }
 
 #[test]
-fn stages_without_pieces_are_left_out() {
+fn stages_without_items_are_skipped() {
     let mut plan = StagePlan::new(&stages(&[&[], &[0]]), &[0, 2]).expect("two counts");
-    assert_eq!(plan.start_ready(&even(4))[0].input, StageInput::Key);
+    assert_eq!(
+        plan.start_ready(&uniform_times(4))[0].input,
+        StageInput::Key
+    );
     let error = StagePlan::new(&stages(&[&[], &[0]]), &[1]).expect_err("a count is missing");
     assert_eq!(
         error,
-        PlanError::Counts {
+        PlanError::CountMismatch {
             found: 1,
-            wanted: 2
+            expected: 2
         }
     );
 }
 
 #[test]
-fn a_stage_that_loses_its_results_again_and_again_ends_the_request() {
+fn repeated_loss_of_results_fails_the_request() {
     let mut plan = StagePlan::new(&stages(&[&[]]), &[1]).expect("a count");
     for _ in 0..2 {
-        plan.start_ready(&even(4));
+        plan.start_ready(&uniform_times(4));
         finish(&mut plan, 0, 1);
         plan.on_results_gone().expect("twice");
     }
-    plan.start_ready(&even(4));
+    plan.start_ready(&uniform_times(4));
     finish(&mut plan, 0, 1);
-    assert_eq!(plan.on_results_gone(), Err(PlanError::Lost { stage: 0 }));
+    assert_eq!(
+        plan.on_results_gone(),
+        Err(PlanError::ResultsLost { stage: 0 })
+    );
 }
