--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -57,7 +57,7 @@
         if ticket.route.stages.is_empty() {
             return Ok(None);
         }
-        let plan = StagePlan::new(&ticket.route.stages, &ticket.ask.pieces)?;
+        let plan = StagePlan::new(&ticket.route.stages, &ticket.ask.item_counts)?;
         Ok(Some(Self {
             dispatcher: ticket.shared.dispatcher.clone(),
             plan,
@@ -130,7 +130,7 @@
             stage: order.stage,
             items: order.items.clone(),
             input: order.input,
-            key: ticket.ask.piece_key.clone(),
+            key: ticket.ask.item_key.clone(),
             result_bytes: stage.result_bytes,
             target: later(now, times.target(order.stage, ticket.goal)),
             deadline: later(now, times.deadline(order.stage, ticket.due)),
