--- a/lib/tests/test_batching.rs
+++ b/lib/tests/test_batching.rs
@@ -1,4 +1,4 @@
-//! The queue of stage pieces under load and faults.
+//! Tests of the batch queue under load and faults.
 
 use std::time::Duration;
 
@@ -96,7 +96,7 @@
 
 #[test]
 fn single_item_is_sent_at_once() {
-    // A lone caller waits for nobody: its piece goes out in the same turn.
+    // A lone item must not wait for others: it is sent in the same poll.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r1", 1, 500, 3_000));
     let calls = queue.poll(at(0));
@@ -106,9 +106,8 @@
 
 #[test]
 fn waiting_items_are_sent_in_full_batches() {
-    // In a burst all endpoints are at work. A call costs as much as nine pieces
-    // in it, so pieces that leave one by one would be done at a fifth of the
-    // rate and callers would be late. What waited leaves together.
+    // In a burst all endpoints are busy. A call costs as much as nine items in it, so items sent
+    // one by one would be done at a fifth of the rate and callers would be late.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r0", 1, 500, 3_000));
     let first = queue.poll(at(0));
@@ -123,8 +122,8 @@
 
 #[test]
 fn batches_split_jobs_under_backlog() {
-    // Jobs of five pieces leave three places of a batch of eight empty. While a
-    // batch for every endpoint waits these places are a third of the service.
+    // Jobs of five items leave three of the eight places of a batch empty. Under backlog that
+    // wastes a third of the service's capacity.
     let mut queue = queue(&[("p1", "a")]);
     for n in 0..4 {
         queue.submit(job(&format!("r{n}"), 5, 2_000, 5_000));
@@ -135,8 +134,8 @@
 
 #[test]
 fn idle_endpoints_share_waiting_jobs() {
-    // Two jobs and two idle endpoints: in one call the second caller would wait
-    // for the first one's pieces while an endpoint stands idle.
+    // Two jobs and two idle endpoints: in a single call, the second caller would wait for the
+    // first one's items while an endpoint is idle.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     queue.submit(job("r1", 2, 900, 3_000));
     queue.submit(job("r2", 2, 900, 3_000));
@@ -146,9 +145,8 @@
 
 #[test]
 fn urgent_items_go_first_and_late_items_last() {
-    // Three callers wait for one endpoint: one is late already, one has a
-    // less urgent kind, one is urgent. The late one gains nothing by going
-    // first, the other two are served by urgency.
+    // Three callers wait for one endpoint: one is late already, one is less urgent, one is
+    // urgent. The late one gains nothing by going first; the others go by priority.
     let single_item = BatchLimits {
         max_items: 1,
         ..limits()
@@ -172,8 +170,8 @@
 
 #[test]
 fn hopeless_job_fails_at_once() {
-    // The queue holds ten seconds of work and the caller waits two more. Held
-    // to its deadline it would learn nothing and could not come back in time.
+    // The queue holds ten seconds of work and the caller waits two seconds at most. Held until its
+    // deadline it would be refused too late to retry.
     let mut queue = queue(&[("p1", "a")]);
     for n in 0..36 {
         queue.submit(job(&format!("r{n}"), 8, 20_000, 60_000));
@@ -189,8 +187,8 @@
 
 #[test]
 fn late_job_with_remaining_time_is_kept() {
-    // One call is ahead of a caller that is late already but has seconds left:
-    // an answer that is late is still worth something to it.
+    // One call is ahead of a job that misses its target time but has seconds until its deadline: a
+    // late response is still useful.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r1", 8, 900, 3_000));
     queue.poll(at(0));
@@ -201,10 +199,8 @@
 
 #[test]
 fn endpoint_gets_no_more_items_than_fit_in_memory() {
-    // Results of 3 MB fill 36 MB with a dozen. A call beyond that does its work
-    // for nothing: the endpoint answers that there is no room. Begun in part, a
-    // job's first results would take room for as long as the rest waits for
-    // some, so it waits whole, and a job that fits goes first.
+    // A dozen results of 3 MB fill 36 MB, and the endpoint fails items without memory. Started in
+    // part, a job would hold memory while its rest waits, so a whole job that fits goes first.
     let mut queue = queue(&[("p1", "a")]);
     for (n, items) in [(0, 8), (1, 8), (2, 2)] {
         let mut large = job(&format!("r{n}"), items, 900 + n, 3_000);
@@ -226,8 +222,8 @@
 
 #[test]
 fn results_use_memory_until_the_release_is_delivered() {
-    // The word that drops results and the next call go out together, on two
-    // connections. If the call overtakes the word it finds no room.
+    // A release and the next call are sent at once on two connections. If the call overtakes the
+    // release, it finds no memory.
     let mut queue = queue(&[("p1", "a")]);
     let mut large = job("r0", 8, 900, 3_000);
     large.result_bytes = Bytes(4_000_000);
@@ -244,7 +240,7 @@
     queue.submit(large);
     assert!(
         queue.poll(at(281)).is_empty(),
-        "32 of 36 MB are still taken"
+        "32 of 36 MB are still in use"
     );
     queue.on_released(&releases[0].0.id, &releases[0].1);
     assert_eq!(queue.poll(at(285))[0].items.len(), 8);
@@ -252,8 +248,8 @@
 
 #[test]
 fn few_results_are_released_together() {
-    // A call for each result would cost more than the memory is worth; left to
-    // lapse they would fill the endpoint for its next owner.
+    // A release call per result would cost more than its memory; left to expire, results would
+    // fill the endpoint for its next owner.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r0", 2, 900, 3_000));
     let first = queue.poll(at(0));
@@ -269,9 +265,8 @@
 
 #[test]
 fn overdue_items_are_sent_to_another_endpoint() {
-    // An endpoint is stopped: its connection stays open and no answer comes.
-    // The caller would be late by seconds; after three times the usual time
-    // the pieces go to another endpoint, and the first result is taken.
+    // A stopped endpoint keeps its connection open and never responds, which would delay the
+    // caller by seconds. After three times the usual time another endpoint gets the items.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     let id = queue.submit(job("r1", 1, 3_000, 9_000));
     let first = queue.poll(at(0));
@@ -281,7 +276,7 @@
     assert_ne!(second[0].entry.id, first[0].entry.id);
     queue.on_call_ended(at(730), second[0].id, produced(&second[0]));
     assert_eq!(failure(&queue.take_results(), id), None);
-    // The late result of the first one is of no use: it is given back.
+    // The late result of the first call is unneeded, so it is released.
     queue.on_call_ended(at(900), first[0].id, produced(&first[0]));
     let releases = queue.take_releases(at(1_200));
     assert_eq!(releases[0].0.id, first[0].entry.id);
@@ -289,8 +284,8 @@
 
 #[test]
 fn refused_calls_use_up_no_retries() {
-    // Another owner fills the endpoint; it refuses the call and nothing ran.
-    // The pieces wait for it, as often as it takes while there is time.
+    // Another owner fills the endpoint, which refuses calls without running them. Such refusals
+    // must not exhaust the retries of a job that still has time.
     let mut queue = queue(&[("p1", "a")]);
     let id = queue.submit(job("r1", 1, 3_000, 9_000));
     let mut now = 0;
@@ -306,9 +301,8 @@
 
 #[test]
 fn items_run_in_the_domain_that_reads_their_results() {
-    // Results of megabytes are dear to carry between failure domains. With the
-    // near endpoint busy for a little, they wait for it; with a long queue
-    // there they go elsewhere.
+    // Results of megabytes are expensive to transfer between failure domains. Their items wait
+    // for a local endpoint that is busy briefly, while small results go anywhere.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     for n in 0..2 {
         let mut large = job(&format!("r{n}"), 5, 5_000, 9_000);
@@ -338,8 +332,8 @@
 
 #[test]
 fn restarted_endpoint_starts_with_empty_memory() {
-    // The endpoint crashed and is back under its name. Its memory is empty and
-    // what it did before is gone; calls are not held back for it.
+    // The endpoint crashed and restarted under its name. Its results are gone and its memory is
+    // empty, so calls must not be held back for memory.
     let mut queue = queue(&[("p1", "a")]);
     let mut large = job("r0", 8, 900, 3_000);
     large.result_bytes = Bytes(4_000_000);
@@ -356,10 +350,8 @@
 
 #[test]
 fn poll_without_progress_does_not_wake_at_once() {
-    // A job has one piece at work and one waiting when its time is over. The
-    // waiting piece can't end the job and no endpoint is idle. If the queue
-    // asks to be looked at again at once, its owner spins: it answers nobody,
-    // and its neighbours take it for dead.
+    // A job has one item in flight and one waiting at its deadline; no endpoint is idle. If the
+    // queue wakes at once, its owner spins, responds to nobody, and its peers take it for dead.
     let single_item = BatchLimits {
         max_items: 1,
         ..limits()
@@ -375,9 +367,8 @@
 
 #[test]
 fn next_call_is_sent_before_the_last_one_ends() {
-    // Whole batches wait for an endpoint that is some milliseconds away. If the
-    // next call leaves only when the last one's answer is here, the endpoint
-    // stands idle for the way back and forth, at every call of a burst.
+    // Full batches wait for an endpoint. If the next call were sent only after the last response,
+    // the endpoint would be idle for a round trip of some milliseconds at every call of a burst.
     let mut queue = queue(&[("p1", "a")]);
     for n in 0..5 {
         queue.submit(job(&format!("r{n}"), 8, 9_000, 20_000));
@@ -389,16 +380,15 @@
     assert_eq!(
         queue.poll(at(228)).len(),
         1,
-        "278 ms is when the first one ends"
+        "the first call ends at 278 ms"
     );
     assert!(queue.poll(at(240)).is_empty(), "one call ahead is enough");
 }
 
 #[test]
 fn lost_response_does_not_block_its_endpoint() {
-    // The only endpoint works on a piece and its answer is lost: the connection
-    // stays open, nothing comes. The endpoint itself stands idle. Callers who
-    // come later would wait for the first call's end, seconds away.
+    // The response of the only endpoint is lost while its connection stays open. The endpoint is
+    // idle, but later callers would wait seconds for the first call to end.
     let mut queue = queue(&[("p1", "a")]);
     queue.submit(job("r0", 1, 3_000, 9_000));
     queue.poll(at(0));
@@ -410,16 +400,15 @@
         now += 50;
         calls = queue.poll(at(now));
     }
-    assert!(now < 1_200, "the endpoint is asked again at {now} ms");
+    assert!(now < 1_200, "the endpoint is sent a call again at {now} ms");
     queue.on_call_ended(at(now + 182), calls[0].id, produced(&calls[0]));
     assert_eq!(failure(&queue.take_results(), later), None);
 }
 
 #[test]
 fn items_run_in_the_domain_of_their_inputs() {
-    // Sixteen pieces read half a megabyte each and make a few kilobytes. Done
-    // in another failure domain, eight megabytes cross; their results, which
-    // are read there, don't weigh that much.
+    // Sixteen items read half a megabyte each and produce a few kilobytes. In another failure
+    // domain they would transfer eight megabytes, which outweighs where the results are read.
     let mut queue = queue(&[("p1", "a"), ("p2", "b")]);
     let reading = |request: &str, domain: &str| Job {
         result_domain: Some("a".parse().expect("a name")),
@@ -429,7 +418,7 @@
     queue.submit(reading("r1", "b"));
     let calls = queue.poll(at(0));
     assert_eq!(calls[0].entry.id.as_str(), "p2");
-    // The one nearby is at work for a while longer than the way costs.
+    // The local endpoint is busy for longer than the transfer costs.
     queue.submit(reading("r2", "b"));
     let calls = queue.poll(at(1));
     assert_eq!(calls[0].entry.id.as_str(), "p1");
@@ -437,10 +426,8 @@
 
 #[test]
 fn idle_time_between_bursts_does_not_lower_the_rate() {
-    // The last call of a burst ends, and its endpoint has nothing to do for a
-    // minute. Counted as a part of the next burst's first call, the pause would
-    // make the endpoint look slow; in the next burst callers that can be on
-    // time together would be taken for late, and go in the wrong order.
+    // An endpoint is idle for a minute between bursts. Counted as part of the next call, the gap
+    // would lower the item rate, so that jobs on time would count as late and go out of order.
     let mut queue = queue(&[("p1", "a")]);
     let run_call = |queue: &mut BatchQueue, ms: u64| {
         let calls = queue.poll(at(ms));
@@ -463,9 +450,8 @@
 
 #[test]
 fn retried_request_keeps_its_first_target() {
-    // A burst: the caller of r0 was refused and is back two seconds later. Its
-    // answer is late already; r1, which is new and less urgent by its own word,
-    // can still be on time and must not wait behind it.
+    // The caller of r0 was refused in a burst and retries two seconds later, when it is late
+    // already. The new r1, with a later target, can be on time and must not wait behind it.
     let mut queue = queue(&[("i-1", "a")]);
     let first = queue.submit(job("r0", 8, 600, 9_000));
     queue.cancel(at(10), first);
@@ -480,8 +466,7 @@
 
 #[test]
 fn key_is_forgotten_after_its_deadline() {
-    // Nobody comes back after its time is over; who then uses the same key is
-    // somebody else.
+    // Callers don't retry after their deadline, so a later request with the same key is unrelated.
     let mut queue = queue(&[("i-1", "a")]);
     let first = queue.submit(job("r0", 8, 600, 3_000));
     queue.cancel(at(10), first);
@@ -494,9 +479,8 @@
 
 #[test]
 fn item_that_fails_after_an_abandoned_call_is_retried() {
-    // An endpoint's answer is lost on its way. What it was to do is given to
-    // another one, where one piece fails. Taken for still running at the first,
-    // that piece waits until its caller has given up.
+    // An endpoint's response is lost, and its item fails at another one. Counted as still in
+    // flight at the first, the item would wait until its caller has given up.
     let mut queue = queue(&[("p1", "a"), ("p2", "a")]);
     queue.submit(job("r1", 1, 900, 9_000));
     let first = queue.poll(at(0));
@@ -506,8 +490,8 @@
     let failed = CallResult::Answered(vec![ItemOutcome::Failed]);
     queue.on_call_ended(at(1_200), second[0].id, failed);
     let third = queue.poll(at(1_200));
-    assert_eq!(third.len(), 1, "nobody else does it");
-    // The lost answer comes after all, and says that the piece failed there.
+    assert_eq!(third.len(), 1, "no other call runs the item");
+    // The lost response arrives after all and reports that the item failed there too.
     let failed = CallResult::Answered(vec![ItemOutcome::Failed]);
     queue.on_call_ended(at(1_250), first[0].id, failed);
     queue.on_call_ended(at(1_400), third[0].id, produced(&third[0]));
@@ -515,8 +499,8 @@
     assert_eq!(failure(&results, JobId(0)), None);
 }
 
-/// Guards against pieces of a quarantined request that wait, or come back from
-/// endpoints that ended, and are handed to further endpoints.
+/// Guards against sending items of a quarantined request, which wait or are retried after an
+/// endpoint ended, to further endpoints.
 #[test]
 fn items_of_a_quarantined_request_are_not_sent() {
     let mut queue = queue(&[("p1", "a"), ("p2", "a")]);
--- a/lib/tests/test_plan.rs
+++ b/lib/tests/test_plan.rs
@@ -1,4 +1,4 @@
-//! The stages of one request.
+//! Tests of the stage plan of a request.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     depends_on.iter().map(stage).collect()
 }
 
-/// Times of stages that all take the same time and make small results.
+/// Times of stages with equal durations and small results.
 fn uniform_times(count: usize) -> StageTimes {
     let stages: Vec<Stage> = (0..count).flat_map(|_| stages(&[&[]])).collect();
     let counts = vec![1; count];
--- a/lib/tests/test_shutdown.rs
+++ b/lib/tests/test_shutdown.rs
@@ -1,4 +1,4 @@
-//! What a node that leaves still begins.
+//! Tests of which requests a node accepts during its shutdown.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Time::from_millis(millis)
 }
 
-/// A node that has eight seconds from the start of time.
+/// The schedule of a node that shuts down within eight seconds of time zero.
 const fn shutdown() -> Shutdown {
     Shutdown {
         out_of_rotation: Time::from_millis(2_300),
@@ -42,8 +42,7 @@
     assert!(shutdown().should_refuse(at(2_400), &stream(2_300, 60_000, 10)));
 }
 
-/// Guards against a plain request that passes since the node is not yet gone, and
-/// is given up at once.
+/// Guards against accepting a plain request, since the node still runs, that is cancelled at once.
 #[test]
 fn plain_request_is_refused_if_it_would_be_cancelled() {
     let request = PendingRequest {
@@ -60,8 +59,7 @@
     assert!(shutdown().should_refuse(at(6_900), &unknown));
 }
 
-/// Guards against a request that is given up early although its deadline, not the
-/// node, ends it.
+/// Guards against refusing a request early although its deadline ends it before the shutdown.
 #[test]
 fn request_with_an_earlier_deadline_is_not_refused() {
     let request = stream(0, 6_000, 7_000);
