--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -315,7 +315,7 @@
 fn note_error(ticket: &Ticket, endpoint: &EndpointId, error: &CallError) {
     let now = ticket.shared.now();
     if let Some(health) = ticket.shared.directory().health_mut(endpoint) {
-        health.record_broken(now);
+        health.record_connection_failure(now);
     }
     log::warn!(event = "call-failed", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
 }
--- a/lib/src/serving/batching/call_result.rs
+++ b/lib/src/serving/batching/call_result.rs
@@ -47,7 +47,7 @@
             // The calls of another owner fill the endpoint; it is healthy.
             CallResult::Refused => endpoint.full_until = now + FULL_PAUSE,
             CallResult::WrongEndpoint => endpoint.present = false,
-            CallResult::Broken => endpoint.health.record_broken(now),
+            CallResult::Broken => endpoint.health.record_connection_failure(now),
         }
     }
 
--- a/lib/src/serving/batching/queue.rs
+++ b/lib/src/serving/batching/queue.rs
@@ -442,7 +442,7 @@
             let ratio = now.since(call.started_at).as_secs_f32() / call.expected.as_secs_f32();
             if let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) {
                 endpoint.health.record_response(now, ratio);
-                endpoint.health.record_broken(now);
+                endpoint.health.record_connection_failure(now);
                 // The response may be lost, so that the endpoint is idle while its slot looks
                 // busy. If it is only slow, the next call waits in its queue.
                 endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
--- a/lib/src/serving/health.rs
+++ b/lib/src/serving/health.rs
@@ -29,7 +29,7 @@
 pub struct Health {
     slowness: f32,
     failure_rate: f32,
-    consecutive_breaks: u32,
+    connection_failures: u32,
     paused_until: Time,
     updated_at: Time,
 }
@@ -39,7 +39,7 @@
         Self {
             slowness: 1.0,
             failure_rate: 0.0,
-            consecutive_breaks: 0,
+            connection_failures: 0,
             paused_until: Time::ZERO,
             updated_at: Time::ZERO,
         }
@@ -53,7 +53,7 @@
         let ratio = ratio.clamp(0.1, 50.0);
         self.slowness += WEIGHT * (ratio - self.slowness);
         self.failure_rate -= WEIGHT * self.failure_rate;
-        self.consecutive_breaks = 0;
+        self.connection_failures = 0;
         self.paused_until = Time::ZERO;
     }
 
@@ -64,10 +64,10 @@
     }
 
     /// Records a connection that failed or went silent, and pauses the endpoint.
-    pub fn record_broken(&mut self, now: Time) {
+    pub fn record_connection_failure(&mut self, now: Time) {
         self.record_failure(now);
-        let pause = INITIAL_PAUSE.saturating_mul(1 << self.consecutive_breaks.min(6));
-        self.consecutive_breaks += 1;
+        let pause = INITIAL_PAUSE.saturating_mul(1 << self.connection_failures.min(6));
+        self.connection_failures += 1;
         self.paused_until = now + pause.min(MAX_PAUSE);
     }
 
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -94,7 +94,7 @@
     let id: EndpointId = "m0".parse().expect("a name");
     directory.began(&id);
     if let Some(health) = directory.health_mut(&id) {
-        health.record_broken(NOW);
+        health.record_connection_failure(NOW);
     }
     let mut again = entry("m0", "d0");
     assert!(!directory.set(again.clone()), "the same life");
@@ -110,13 +110,13 @@
     let mut directory = directory();
     let home = choose(&directory, Some(7));
     if let Some(health) = directory.health_mut(&home) {
-        health.record_broken(NOW);
+        health.record_connection_failure(NOW);
     }
     assert_ne!(choose(&directory, Some(7)), home);
     for n in 0..9 {
         let id = format!("m{n}").parse().expect("a name");
         if let Some(health) = directory.health_mut(&id) {
-            health.record_broken(NOW);
+            health.record_connection_failure(NOW);
         }
     }
     choose(&directory, Some(7));
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -128,10 +128,10 @@
 #[test]
 fn broken_connections_are_avoided_longer_and_longer() {
     let mut health = Health::default();
-    health.record_broken(Time::from_millis(1_000));
+    health.record_connection_failure(Time::from_millis(1_000));
     assert!(health.is_paused(Time::from_millis(1_300)));
     assert!(!health.is_paused(Time::from_millis(1_500)));
-    health.record_broken(Time::from_millis(1_500));
+    health.record_connection_failure(Time::from_millis(1_500));
     assert!(health.is_paused(Time::from_millis(2_200)));
     health.record_response(Time::from_millis(2_300), 1.0);
     assert!(!health.is_paused(Time::from_millis(2_300)));
