--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -19,10 +19,10 @@
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_wire::frame::Body;
 
-use super::Done;
-use super::Failure;
+use super::JobFailure;
 use super::JobNumber;
-use super::Made;
+use super::JobResult;
+use super::StageResult;
 use super::calls;
 use super::convert;
 use super::messages::Message;
@@ -153,9 +153,9 @@
     }
 
     pub(super) fn ended(&mut self, origin: Origin, end: JobResult) {
-        let made = end.produced.into_iter();
-        let made = made.map(|(piece, handle, endpoint)| Made {
-            piece,
+        let results = end.produced.into_iter();
+        let results = results.map(|(item, handle, endpoint)| StageResult {
+            item,
             handle,
             endpoint,
         });
@@ -163,9 +163,9 @@
             Origin::Own(number) => number,
             Origin::Peer { job, .. } => JobNumber(job),
         };
-        let done = Done {
+        let done = JobResult {
             number,
-            made: made.collect(),
+            results: results.collect(),
             failure: end.failure.as_ref().map(failure),
             backlog: end.backlog,
         };
@@ -276,10 +276,10 @@
     queue.set_endpoints(entries.filter(|e| e.service == *service));
 }
 
-const fn failure(outcome: &ItemOutcome) -> Failure {
+const fn failure(outcome: &ItemOutcome) -> JobFailure {
     match outcome {
-        ItemOutcome::Late => Failure::Late,
-        ItemOutcome::Gone => Failure::Gone,
-        ItemOutcome::Produced(_) | ItemOutcome::Full | ItemOutcome::Failed => Failure::Failed,
+        ItemOutcome::Late => JobFailure::Late,
+        ItemOutcome::Gone => JobFailure::Gone,
+        ItemOutcome::Produced(_) | ItemOutcome::Full | ItemOutcome::Failed => JobFailure::Failed,
     }
 }
