--- a/lib/src/serving/batching/call_result.rs
+++ b/lib/src/serving/batching/call_result.rs
@@ -8,7 +8,7 @@
 use super::queue::InFlightCall;
 use super::queue::ItemOutcome;
 use super::queue::JobId;
-use super::queue::JobResult;
+use super::queue::JobOutcome;
 use super::queue::MAX_RETRIES;
 use crate::time::Time;
 use crate::units::Bytes;
@@ -136,7 +136,7 @@
         };
         let produced = job_state.items.into_iter();
         let produced = produced.filter_map(|(i, s)| s.result.map(|(handle, e)| (i, handle, e)));
-        self.results.push(JobResult {
+        self.results.push(JobOutcome {
             job: id,
             produced: produced.collect(),
             failure,
--- a/lib/src/serving/batching/queue.rs
+++ b/lib/src/serving/batching/queue.rs
@@ -149,7 +149,7 @@
 
 /// The end of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JobResult {
+pub struct JobOutcome {
     /// The job.
     pub job: JobId,
     /// The completed items: number, result handle and endpoint.
@@ -215,7 +215,7 @@
     pub(super) calls: BTreeMap<u64, InFlightCall>,
     pub(super) next_job: u64,
     pub(super) next_call: u64,
-    pub(super) results: Vec<JobResult>,
+    pub(super) results: Vec<JobOutcome>,
     first_targets: FirstTargets,
     /// Moving average of the items per second of an endpoint under backlog.
     pub(super) item_rate: Option<f64>,
@@ -370,7 +370,7 @@
     }
 
     /// Takes the jobs that ended since the last call.
-    pub fn take_results(&mut self) -> Vec<JobResult> {
+    pub fn take_results(&mut self) -> Vec<JobOutcome> {
         std::mem::take(&mut self.results)
     }
 
