--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -25,8 +25,8 @@
 use crate::dialect::Verdict;
 use crate::dispatch::Booking;
 use crate::refusal::Refusal;
+use crate::request_context::RequestContext;
 use crate::shared::Shared;
-use crate::ticket::Ticket;
 
 /// How long a request waits for the first endpoint of its service.
 ///
@@ -44,18 +44,18 @@
 ///
 /// The node that is asked answers within milliseconds. An endpoint chosen without
 /// it is as good as one that is known this late: it has read 4,000 tokens by then.
-const PLACE_WAIT: Duration = Duration::from_millis(60);
+const PLACEMENT_WAIT: Duration = Duration::from_millis(60);
 
 /// The shared tokens from which a prompt is kept to an endpoint.
 ///
 /// Fewer are read again in less time than a busier endpoint costs.
-const SHARED_MIN: u32 = 256;
+const SHARED_TOKENS_MIN: u32 = 256;
 
 /// What one try brought.
 #[derive(Debug)]
-pub(crate) enum Tried {
+pub(crate) enum AttemptResult {
     /// An endpoint answers; the body is still to be read.
-    Answered(Box<Answered>),
+    Response(Box<OpenResponse>),
     /// Nothing ran at this try.
     NotRun(Refusal),
     /// It was not sent: its service has had no endpoint for a while.
@@ -70,9 +70,9 @@
 
 /// An endpoint's answer.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct OpenResponse {
     pub(crate) call: Call,
-    pub(crate) answer: ResponseHead,
+    pub(crate) head: ResponseHead,
     pub(crate) flight: InFlight,
     pub(crate) sent: Time,
 }
@@ -85,28 +85,28 @@
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) endpoint: EndpointId,
-    born: Option<u64>,
+    started_at: Option<u64>,
     address: SocketAddr,
     /// Its booking, if another node may know of it.
     booking: Option<Booking>,
     request: Fingerprint,
     /// Set before the first byte of the request may have left.
-    handed: Flag,
+    handed_off: Flag,
     /// Whether it is known what became of it at the endpoint.
     settled: bool,
 }
 
 impl InFlight {
-    fn new(ticket: &Ticket, entry: &Entry, booking: Option<Booking>) -> Self {
-        ticket.shared.directory().began(&entry.id);
+    fn new(ctx: &RequestContext, entry: &Entry, booking: Option<Booking>) -> Self {
+        ctx.shared.directory().began(&entry.id);
         Self {
-            shared: Arc::clone(&ticket.shared),
+            shared: Arc::clone(&ctx.shared),
             endpoint: entry.id.clone(),
-            born: entry.born,
+            started_at: entry.born,
             address: entry.address,
             booking,
-            request: ticket.fingerprint(),
-            handed: Flag::default(),
+            request: ctx.fingerprint(),
+            handed_off: Flag::default(),
             settled: false,
         }
     }
@@ -116,10 +116,10 @@
         self.settled = true;
     }
 
-    fn run(&self) -> Incarnation {
+    fn incarnation(&self) -> Incarnation {
         Incarnation {
             endpoint: self.endpoint.clone(),
-            born: self.born,
+            born: self.started_at,
         }
     }
 }
@@ -127,93 +127,91 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.shared.directory().ended(&self.endpoint);
-        if !self.settled && self.handed.is_set() {
-            self.shared.dispatcher.given_up(self.run(), self.request);
+        if !self.settled && self.handed_off.is_set() {
+            self.shared
+                .dispatcher
+                .given_up(self.incarnation(), self.request);
         }
     }
 }
 
 /// Chooses an endpoint and sends the request to it.
 pub(crate) async fn attempt(
-    ticket: &mut Ticket,
+    ctx: &mut RequestContext,
     inputs: &[String],
     last_event: Option<u64>,
-) -> Tried {
+) -> AttemptResult {
     let mut failed = Vec::new();
     loop {
-        let booked = book(ticket, &failed).await;
-        let (choice, booking) = match booked {
+        let placed = request_placement(ctx, &failed).await;
+        let (choice, booking) = match placed {
             Some((choice, booking)) => (Some(choice), Some(booking)),
-            None => (choose(ticket, &failed).await, None),
+            None => (wait_for_choice(ctx, &failed).await, None),
         };
         let Some(choice) = choice else {
-            return Tried::NoEndpoint;
+            return AttemptResult::NoEndpoint;
         };
         // The verdict may have come while it waited in its stages.
-        if ticket.quarantined().is_some() {
-            return Tried::NotRun(Refusal::Quarantined);
+        if ctx.quarantine_remaining().is_some() {
+            return AttemptResult::NotRun(Refusal::Quarantined);
         }
         // What has begun can't be refused any more.
-        if !ticket.begun && ticket.refused_by_leaving(Ahead::Answer) {
-            return Tried::Leaving;
+        if !ctx.response_started && ctx.refused_by_shutdown(Ahead::Answer) {
+            return AttemptResult::Leaving;
         }
-        log_choice(ticket, &choice);
-        let mut flight = InFlight::new(ticket, &choice.entry, booking);
-        let sent = ticket.shared.now();
-        if !ticket.begun {
-            ticket.timeline.sent = Some(sent);
+        log_choice(ctx, &choice);
+        let mut flight = InFlight::new(ctx, &choice.entry, booking);
+        let sent = ctx.shared.now();
+        if !ctx.response_started {
+            ctx.timeline.sent = Some(sent);
         }
-        let with = ForwardContext {
-            account: ticket.account(),
+        let context = ForwardContext {
+            account: ctx.account(),
             endpoint: &choice.entry.id,
-            remaining: ticket.left(),
+            remaining: ctx.remaining(),
             inputs,
             last_event,
-            urgency: ticket.route.kind.is_stream().then(|| ticket.urgency()),
+            urgency: ctx.route.kind.is_stream().then(|| ctx.urgency()),
         };
-        let body = ticket.body.clone();
-        let request = ticket
-            .shared
-            .dialect
-            .forward_request(&ticket.head, body, with);
-        let exec = Arc::clone(&ticket.shared.traffic);
-        let handed = flight.handed.clone();
-        let called = send_request(&exec, choice.entry.address, request, &handed);
-        let may_have_run = std::mem::replace(&mut ticket.may_have_run, true);
-        match ticket.within(called).await {
-            None if !handed.is_set() => {
-                ticket.may_have_run = may_have_run;
-                return Tried::NotRun(ticket.timeout());
+        let body = ctx.body.clone();
+        let request = ctx.shared.dialect.forward_request(&ctx.head, body, context);
+        let exec = Arc::clone(&ctx.shared.traffic);
+        let handed_off = flight.handed_off.clone();
+        let response = send_request(&exec, choice.entry.address, request, &handed_off);
+        let may_have_run = std::mem::replace(&mut ctx.may_have_run, true);
+        match ctx.before_give_up(response).await {
+            None if !handed_off.is_set() => {
+                ctx.may_have_run = may_have_run;
+                return AttemptResult::NotRun(ctx.timeout_refusal());
             }
             None => {
-                ticket.tried.push(choice.entry.id);
-                return Tried::Unknown(Refusal::Timeout);
+                ctx.attempted.push(choice.entry.id);
+                return AttemptResult::Unknown(Refusal::Timeout);
             }
             Some(Ok(call)) => {
-                ticket.tried.push(choice.entry.id);
-                return judge(ticket, call, flight, sent, may_have_run);
+                ctx.attempted.push(choice.entry.id);
+                return classify_response(ctx, call, flight, sent, may_have_run);
             }
             Some(Err(error)) => {
-                note_error(ticket, &choice.entry.id, &error);
+                record_connect_error(ctx, &choice.entry.id, &error);
                 flight.settle();
                 if let Some(booking) = &mut flight.booking {
                     booking.failed();
                 }
                 if !error.is_not_sent() {
-                    note_break(ticket, &mut flight);
-                    ticket.tried.push(choice.entry.id);
-                    return Tried::Unknown(Refusal::AnswerLost);
+                    report_break(ctx, &mut flight);
+                    ctx.attempted.push(choice.entry.id);
+                    return AttemptResult::Unknown(Refusal::AnswerLost);
                 }
                 if error.is_refused() {
-                    ticket
-                        .shared
+                    ctx.shared
                         .dispatcher
-                        .refused(flight.run(), flight.address);
+                        .refused(flight.incarnation(), flight.address);
                 }
-                ticket.may_have_run = may_have_run;
+                ctx.may_have_run = may_have_run;
                 failed.push(choice.entry.id);
                 if failed.len() >= CONNECTS_MAX {
-                    return Tried::NotRun(Refusal::NoEndpoint);
+                    return AttemptResult::NotRun(Refusal::NoEndpoint);
                 }
             }
         }
@@ -223,176 +221,172 @@
 /// Has the endpoint of a prompt chosen where all prompts are known.
 ///
 /// `None` if this node has to choose by itself.
-async fn book(ticket: &Ticket, failed: &[EndpointId]) -> Option<(Choice, Booking)> {
-    let shared = &ticket.shared;
-    let prompt = ticket.ask.prompt?;
-    if !ticket.catalog.service(&ticket.service)?.engine {
+async fn request_placement(
+    ctx: &RequestContext,
+    failed: &[EndpointId],
+) -> Option<(Choice, Booking)> {
+    let shared = &ctx.shared;
+    let prompt = ctx.request.prompt?;
+    if !ctx.catalog.service(&ctx.service)?.engine {
         return None;
     }
-    let keeps = prompt.shared >= SHARED_MIN;
-    let mut avoid = ticket.tried.clone();
+    let has_shared = prompt.shared >= SHARED_TOKENS_MIN;
+    let mut avoid = ctx.attempted.clone();
     avoid.extend_from_slice(failed);
-    let wish = Wish {
-        prefix: keeps.then_some(prompt.prefix),
+    let placement = Wish {
+        prefix: has_shared.then_some(prompt.prefix),
         shared: prompt.shared,
         own: prompt.tokens.saturating_sub(prompt.shared),
-        domain: ticket.inputs.as_ref().map(|(domain, _)| domain.clone()),
-        afar: ticket.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
+        domain: ctx.inputs.as_ref().map(|(domain, _)| domain.clone()),
+        afar: ctx.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
         avoid,
     };
-    let (booking, endpoint) = shared.dispatcher.place(ticket.service.clone(), wish);
-    let told = async { endpoint.recv().await.ok().flatten() };
-    let over = async {
-        async_io::Timer::after(PLACE_WAIT).await;
+    let (booking, endpoint) = shared.dispatcher.place(ctx.service.clone(), placement);
+    let placed = async { endpoint.recv().await.ok().flatten() };
+    let timeout = async {
+        async_io::Timer::after(PLACEMENT_WAIT).await;
         None
     };
-    let endpoint = futures_lite::future::or(told, over).await?;
-    let tried = ticket.tried.contains(&endpoint) || failed.contains(&endpoint);
+    let endpoint = futures_lite::future::or(placed, timeout).await?;
+    let attempted = ctx.attempted.contains(&endpoint) || failed.contains(&endpoint);
     let choice = shared.directory().booked(shared.now(), &endpoint);
-    let choice = choice.filter(|_| !tried)?;
+    let choice = choice.filter(|_| !attempted)?;
     Some((choice, booking))
 }
 
-async fn choose(ticket: &Ticket, failed: &[EndpointId]) -> Option<Choice> {
-    let shared = &ticket.shared;
-    let until = shared.now() + ENDPOINT_WAIT;
+async fn wait_for_choice(ctx: &RequestContext, failed: &[EndpointId]) -> Option<Choice> {
+    let shared = &ctx.shared;
+    let deadline = shared.now() + ENDPOINT_WAIT;
     loop {
-        let changed = shared.changed.listen();
-        if let Some(choice) = pick(ticket, failed) {
+        let changed = shared.endpoints_changed.listen();
+        if let Some(choice) = choose_now(ctx, failed) {
             return Some(choice);
         }
-        let left = until.min(ticket.due).since(shared.now());
-        if left.is_zero() {
+        let remaining = deadline.min(ctx.deadline).since(shared.now());
+        if remaining.is_zero() {
             return None;
         }
-        let over = async_io::Timer::after(left);
+        let expiry = async_io::Timer::after(remaining);
         let timer = async {
-            over.await;
+            expiry.await;
         };
         futures_lite::future::or(changed, timer).await;
     }
 }
 
-fn pick(ticket: &Ticket, failed: &[EndpointId]) -> Option<Choice> {
-    let mut avoid = ticket.tried.clone();
+fn choose_now(ctx: &RequestContext, failed: &[EndpointId]) -> Option<Choice> {
+    let mut avoid = ctx.attempted.clone();
     avoid.extend_from_slice(failed);
-    let prompt = ticket.ask.prompt.filter(|p| p.shared >= SHARED_MIN);
-    let near = ticket.domain.as_ref();
+    let prompt = ctx.request.prompt.filter(|p| p.shared >= SHARED_TOKENS_MIN);
+    let required = ctx.domain.as_ref();
     let wanted = Wanted {
-        service: &ticket.service,
+        service: &ctx.service,
         avoid: &avoid,
-        domain: near.or(Some(&ticket.shared.settings.domain)),
-        strict: near.is_some(),
+        domain: required.or(Some(&ctx.shared.settings.domain)),
+        strict: required.is_some(),
         prefix: prompt.map(|p| p.prefix),
     };
-    ticket
-        .shared
-        .directory()
-        .choose(ticket.shared.now(), wanted)
+    ctx.shared.directory().choose(ctx.shared.now(), wanted)
 }
 
-fn log_choice(ticket: &Ticket, choice: &Choice) {
+fn log_choice(ctx: &RequestContext, choice: &Choice) {
     let endpoint = choice.entry.id.to_string();
-    let now = ticket.shared.now();
-    let known = ticket
-        .shared
-        .registry_polling()
-        .of(Kept::Endpoints)
-        .age(now);
+    let now = ctx.shared.now();
+    let age = ctx.shared.registry_polling().of(Kept::Endpoints).age(now);
     log::info!(
         event = "endpoint-chosen",
-        request = ticket.ask.id.as_str(),
+        request = ctx.request.id.as_str(),
         endpoint = endpoint.as_str(),
         reason = choice.reason.to_string().as_str(),
         calls = choice.calls,
         report_ms = choice.age.as_millis().min(99_999) as u64,
-        known_ms = known.unwrap_or_default().as_millis() as u64,
-        left_ms = ticket.left().as_millis() as u64;
+        known_ms = age.unwrap_or_default().as_millis() as u64,
+        left_ms = ctx.remaining().as_millis() as u64;
         ""
     );
 }
 
-fn note_error(ticket: &Ticket, endpoint: &EndpointId, error: &CallError) {
-    let now = ticket.shared.now();
-    if let Some(health) = ticket.shared.directory().health_mut(endpoint) {
+fn record_connect_error(ctx: &RequestContext, endpoint: &EndpointId, error: &CallError) {
+    let now = ctx.shared.now();
+    if let Some(health) = ctx.shared.directory().health_mut(endpoint) {
         health.broke(now);
     }
-    log::warn!(event = "call-failed", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
+    log::warn!(event = "call-failed", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
 }
 
 /// Tells what the head of an answer means for the request.
-fn judge(
-    ticket: &mut Ticket,
+fn classify_response(
+    ctx: &mut RequestContext,
     call: Call,
     mut flight: InFlight,
     sent: Time,
     may_have_run: bool,
-) -> Tried {
-    let shared = Arc::clone(&ticket.shared);
-    let answer = shared.dialect.parse_response(&call.head);
+) -> AttemptResult {
+    let shared = Arc::clone(&ctx.shared);
+    let head = shared.dialect.parse_response(&call.head);
     let now = shared.now();
     let endpoint = flight.endpoint.clone();
-    if let Some(load) = answer.load {
+    if let Some(load) = head.load {
         shared.directory().reported(now, &endpoint, load);
     }
     let status = call.head.status;
-    if answer.verdict != Verdict::Ran {
+    if head.verdict != Verdict::Ran {
         flight.settle();
-        ticket.may_have_run = may_have_run;
-        return refused(ticket, &endpoint, answer.verdict, status);
+        ctx.may_have_run = may_have_run;
+        return classify_refusal(ctx, &endpoint, head.verdict, status);
     }
     // An endpoint may send a second answer to another request; taken for this
     // one's, the caller would get a stranger's bytes.
-    if answer.id.as_deref() != Some(ticket.ask.id.as_str()) || answer.encoded {
-        log::warn!(event = "answer-of-another", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), found = answer.id.as_deref().unwrap_or("-"); "");
+    if head.id.as_deref() != Some(ctx.request.id.as_str()) || head.encoded {
+        log::warn!(event = "answer-of-another", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), found = head.id.as_deref().unwrap_or("-"); "");
         if let Some(health) = shared.directory().health_mut(&endpoint) {
             health.failed(now);
         }
-        return Tried::Unknown(Refusal::AnswerLost);
+        return AttemptResult::Unknown(Refusal::AnswerLost);
     }
-    Tried::Answered(Box::new(Answered {
+    AttemptResult::Response(Box::new(OpenResponse {
         call,
-        answer,
+        head,
         flight,
         sent,
     }))
 }
 
 /// Tells what an endpoint's refusal means for the request.
-fn refused(
-    ticket: &mut Ticket,
+fn classify_refusal(
+    ctx: &mut RequestContext,
     endpoint: &EndpointId,
     verdict: Verdict,
     status: StatusCode,
-) -> Tried {
+) -> AttemptResult {
     let replaced = verdict == Verdict::WrongEndpoint;
-    log::info!(event = "endpoint-refused", request = ticket.ask.id.as_str(), endpoint = endpoint.to_string().as_str(), status = status.as_u16(), replaced; "");
-    let now = ticket.shared.now();
-    let mut directory = ticket.shared.directory();
+    log::info!(event = "endpoint-refused", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), status = status.as_u16(), replaced; "");
+    let now = ctx.shared.now();
+    let mut directory = ctx.shared.directory();
     if replaced {
         directory.replaced(endpoint);
-        return Tried::NotRun(Refusal::NoEndpoint);
+        return AttemptResult::NotRun(Refusal::NoEndpoint);
     }
     if status == StatusCode::CONFLICT {
         drop(directory);
-        ticket.tried.pop();
-        return Tried::InputsGone;
+        ctx.attempted.pop();
+        return AttemptResult::InputsGone;
     }
     if let Some(health) = directory.health_mut(endpoint) {
         health.failed(now);
     }
-    Tried::NotRun(Refusal::Full)
+    AttemptResult::NotRun(Refusal::Full)
 }
 
 /// Notes an answer's time against what was expected of the service.
-pub(crate) fn note_time(ticket: &Ticket, flight: &InFlight, sent: Time) {
-    let shared = &ticket.shared;
+pub(crate) fn record_latency(ctx: &RequestContext, flight: &InFlight, sent: Time) {
+    let shared = &ctx.shared;
     let endpoint = &flight.endpoint;
     let now = shared.now();
-    let tokens = ticket.ask.prompt.map_or(0, |p| p.tokens);
+    let tokens = ctx.request.prompt.map_or(0, |p| p.tokens);
     let ratio = shared
         .paces()
-        .observe(&ticket.service, tokens, now.since(sent));
+        .observe(&ctx.service, tokens, now.since(sent));
     if let Some(health) = shared.directory().health_mut(endpoint) {
         health.answered(now, ratio);
     }
@@ -402,9 +396,9 @@
 }
 
 /// Notes an answer that says that the endpoint failed, or was broken off.
-pub(crate) fn note_failure(ticket: &Ticket, flight: &mut InFlight) {
-    let now = ticket.shared.now();
-    if let Some(health) = ticket.shared.directory().health_mut(&flight.endpoint) {
+pub(crate) fn record_failure(ctx: &RequestContext, flight: &mut InFlight) {
+    let now = ctx.shared.now();
+    if let Some(health) = ctx.shared.directory().health_mut(&flight.endpoint) {
         health.failed(now);
     }
     if let Some(booking) = &mut flight.booking {
@@ -413,16 +407,16 @@
 }
 
 /// Notes that the connection of a call broke before its whole answer.
-pub(crate) fn note_break(ticket: &Ticket, flight: &mut InFlight) {
+pub(crate) fn report_break(ctx: &RequestContext, flight: &mut InFlight) {
     flight.settle();
-    let dispatcher = &ticket.shared.dispatcher;
-    dispatcher.broke(flight.run(), flight.address, flight.request);
+    let dispatcher = &ctx.shared.dispatcher;
+    dispatcher.broke(flight.incarnation(), flight.address, flight.request);
 }
 
 /// Tells whether a status says that the request did not run.
 ///
 /// Passed on from an endpoint that does not vouch for it, the promise would be
 /// the node's own, and false.
-pub(crate) const fn is_promise(status: StatusCode) -> bool {
+pub(crate) const fn claims_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -30,16 +30,16 @@
 ///
 /// Hosts answer within milliseconds. A lost opening packet is sent again after
 /// a second, which is too late for most callers: another endpoint is faster.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The longest time that bytes may go unacknowledged.
 ///
 /// An endpoint without power never answers. With the first probe after a
 /// second of silence it is found within about two.
-const UNHEARD_MAX: Duration = Duration::from_millis(1_200);
+const UNACKED_MAX: Duration = Duration::from_millis(1_200);
 
 /// The silence after which the system probes a connection.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
 /// Why a call has no answer.
 #[derive(Debug)]
@@ -93,16 +93,16 @@
 
 /// Sends a request and waits for the head of the answer.
 ///
-/// `handed` is set before the first byte of it may leave.
+/// `handed_off` is set before the first byte of it may leave.
 pub(crate) async fn send_request(
     exec: &Exec,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    handed: &Flag,
+    handed_off: &Flag,
 ) -> Result<Call, CallError> {
-    let stream = link::connect(address, CONNECT_LIMIT);
+    let stream = link::connect(address, CONNECT_TIMEOUT);
     let stream = stream.await.map_err(CallError::NotSent)?;
-    watch(&stream).map_err(CallError::NotSent)?;
+    enable_keepalive(&stream).map_err(CallError::NotSent)?;
     let (mut sender, conn) = http1::handshake(FuturesIo::new(stream))
         .await
         .map_err(CallError::NotAccepted)?;
@@ -110,7 +110,7 @@
         // How the connection ends is told by the answer or its body.
         let _ended = conn.await;
     });
-    handed.set();
+    handed_off.set();
     match sender.try_send_request(request).await {
         Ok(response) => {
             let (head, body) = response.into_parts();
@@ -127,12 +127,12 @@
     }
 }
 
-fn watch(stream: &Async<std::net::TcpStream>) -> io::Result<()> {
-    link::prepare(stream, UNHEARD_MAX)?;
+fn enable_keepalive(stream: &Async<std::net::TcpStream>) -> io::Result<()> {
+    link::prepare(stream, UNACKED_MAX)?;
     let socket = stream.get_ref();
     sockopt::set_socket_keepalive(socket, true)?;
-    sockopt::set_tcp_keepidle(socket, PROBE_AFTER)?;
-    sockopt::set_tcp_keepintvl(socket, PROBE_AFTER)?;
+    sockopt::set_tcp_keepidle(socket, KEEPALIVE_IDLE)?;
+    sockopt::set_tcp_keepintvl(socket, KEEPALIVE_IDLE)?;
     sockopt::set_tcp_keepcnt(socket, 2)?;
     Ok(())
 }
--- a/gateway/src/changes.rs
+++ b/gateway/src/changes.rs
@@ -13,20 +13,20 @@
 use snipeyoke_lib::serving::upkeep::Kept;
 
 use crate::follow;
+use crate::polling::poll_topic;
+use crate::polling::received_elsewhere;
 use crate::registry::Topic;
 use crate::registry::Update;
 use crate::shared::Shared;
-use crate::watch::overtaken;
-use crate::watch::watch;
 
 /// Follows the configuration until the process ends.
 pub(crate) async fn follow(shared: Arc<Shared>, seed: u64) {
     let mut backoff = Backoff::new(seed);
     let mut waits = Waits::new(seed);
     loop {
-        follow::list(&shared, Topic::Config, &mut backoff).await;
+        follow::read_list(&shared, Topic::Config, &mut backoff).await;
         let wait = wait_for_changes(&shared, &mut backoff, &mut waits);
-        wait.or(watch(&shared, Kept::Config, seed ^ 3)).await;
+        wait.or(poll_topic(&shared, Kept::Config, seed ^ 3)).await;
     }
 }
 
@@ -41,12 +41,12 @@
             Timer::after(pause).await;
         }
         let sent = shared.now();
-        let from = shared.next_of(Topic::Config);
+        let from = shared.next_offset(Topic::Config);
         let wait = waits.draw();
-        let Some(update) = read_waiting(shared, from, wait).await else {
+        let Some(update) = long_poll(shared, from, wait).await else {
             continue;
         };
-        if !follow::take(shared, Topic::Config, sent, update, &mut failing) {
+        if !follow::apply_update(shared, Topic::Config, sent, update, &mut failing) {
             return;
         }
         if failing {
@@ -62,27 +62,29 @@
 /// While the registry is silent it may swallow a read that waits, which then
 /// waits for an answer that never comes. The reads that don't wait tell when the
 /// registry answers again.
-async fn read_waiting(shared: &Shared, from: Offset, wait: Duration) -> Option<Update> {
-    let begun = shared.now();
-    let coming = AtomicBool::new(false);
-    let came = || {
-        coming.store(true, Ordering::Relaxed);
-        follow::note_came(shared, Topic::Config);
+async fn long_poll(shared: &Shared, from: Offset, wait: Duration) -> Option<Update> {
+    let started_at = shared.now();
+    let receiving = AtomicBool::new(false);
+    let on_progress = || {
+        receiving.store(true, Ordering::Relaxed);
+        follow::record_progress(shared, Topic::Config);
     };
     log::info!(event = "registry-asked", topic = "config", from = from.0, wait_ms = wait.as_millis() as u64; "");
-    let answer = shared.registry.read(Topic::Config, from, wait, &came);
+    let answer = shared
+        .registry
+        .read(Topic::Config, from, wait, &on_progress);
     let update = async { Some(answer.await) };
-    let update = update.or(overtaken(shared, from));
-    let update = update.or(lost(shared, from, &coming)).await;
+    let update = update.or(received_elsewhere(shared, from));
+    let update = update.or(read_lost(shared, from, &receiving)).await;
     shared.catch_up().ended();
-    let took = shared.now().since(begun).as_millis() as u64;
-    let ended = end_of(update.as_ref());
-    log::info!(event = "registry-answered", topic = "config", from = from.0, took_ms = took, ended; "");
+    let elapsed_ms = shared.now().since(started_at).as_millis() as u64;
+    let outcome = outcome_name(update.as_ref());
+    log::info!(event = "registry-answered", topic = "config", from = from.0, took_ms = elapsed_ms, ended = outcome; "");
     update
 }
 
 /// Names the way a read ended, for the log.
-fn end_of(update: Option<&Update>) -> &'static str {
+fn outcome_name(update: Option<&Update>) -> &'static str {
     match update {
         Some(Update::Records { records, .. }) if records.is_empty() => "nothing-new",
         Some(Update::Records { .. }) => "records",
@@ -97,10 +99,10 @@
 /// What is on its way was not lost. On a full link short reads fail and work
 /// again every second: a large answer that is dropped each time begins anew each
 /// time, and fills the link for nothing.
-async fn lost(shared: &Shared, from: Offset, coming: &AtomicBool) -> Option<Update> {
-    shared.regained.listen().await;
-    while coming.load(Ordering::Relaxed) {
-        shared.regained.listen().await;
+async fn read_lost(shared: &Shared, from: Offset, receiving: &AtomicBool) -> Option<Update> {
+    shared.registry_regained.listen().await;
+    while receiving.load(Ordering::Relaxed) {
+        shared.registry_regained.listen().await;
     }
     log::info!(event = "registry-asked-again", topic = "config", from = from.0; "");
     None
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -11,19 +11,19 @@
 use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
 
+use crate::polling::poll_topic;
 use crate::registry::NodeEntry;
 use crate::registry::Page;
 use crate::registry::RegistryError;
 use crate::registry::Topic;
 use crate::registry::Update;
 use crate::shared::Shared;
-use crate::watch::watch;
 
 /// The pauses before the list of nodes is read.
 ///
 /// At once, since nodes that start again after a loss of power are listed from
 /// before. Those that start for the first time find each other later.
-const NODES_PAUSES: [Duration; 3] = [
+const DISCOVERY_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(500),
     Duration::from_secs(2),
@@ -32,35 +32,35 @@
 /// The pause between later lists, which one node reads for all.
 ///
 /// They find nodes that no neighbour has named.
-const NODES_PAUSE: Duration = Duration::from_secs(15);
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Follows the endpoints until the process ends.
 pub(crate) async fn follow_endpoints(shared: Arc<Shared>, seed: u64) {
     let mut backoff = Backoff::new(seed);
     loop {
-        list(&shared, Topic::Endpoints, &mut backoff).await;
-        shared.differs.store(false, Ordering::Relaxed);
-        watch(&shared, Kept::Endpoints, seed ^ 5).await;
+        read_list(&shared, Topic::Endpoints, &mut backoff).await;
+        shared.must_relist.store(false, Ordering::Relaxed);
+        poll_topic(&shared, Kept::Endpoints, seed ^ 5).await;
     }
 }
 
 /// Reads the whole list, as often as it takes.
 ///
 /// It ends as well when a neighbour has told what the list would.
-pub(crate) async fn list(shared: &Shared, topic: Topic, backoff: &mut Backoff) {
-    let from = shared.next_of(topic);
+pub(crate) async fn read_list(shared: &Shared, topic: Topic, backoff: &mut Backoff) {
+    let from = shared.next_offset(topic);
     loop {
         let sent = shared.now();
-        let pages = pages(shared, topic).await;
+        let list = read_pages(shared, topic).await;
         if topic == Topic::Config {
             shared.catch_up().ended();
         }
-        match pages {
+        match list {
             Ok((records, end)) => {
                 backoff.succeeded();
                 shared.registry_polling().read(shared.now(), true);
                 shared.replace(topic, records, end);
-                note_read(shared, topic, sent);
+                confirm_read(shared, topic, sent);
                 return;
             }
             Err(failure) => {
@@ -70,13 +70,13 @@
             }
         }
         Timer::after(backoff.failed()).await;
-        if shared.next_of(topic) > from {
+        if shared.next_offset(topic) > from {
             return;
         }
     }
 }
 
-async fn pages(shared: &Shared, topic: Topic) -> Result<(Vec<Record>, Offset), RegistryError> {
+async fn read_pages(shared: &Shared, topic: Topic) -> Result<(Vec<Record>, Offset), RegistryError> {
     let mut all = Vec::new();
     // Pages are no snapshot: reading goes on from where the first one ended.
     let mut first_end = None;
@@ -88,7 +88,7 @@
             end,
         } = shared
             .registry
-            .list_page(topic, after, &|| note_came(shared, topic))
+            .list_page(topic, after, &|| record_progress(shared, topic))
             .await?;
         all.extend(records);
         let end = *first_end.get_or_insert(end);
@@ -102,7 +102,7 @@
 /// Takes in the end of a read that was sent at `sent`.
 ///
 /// Tells whether reading goes on from there; if not, the list has to be read.
-pub(crate) fn take(
+pub(crate) fn apply_update(
     shared: &Shared,
     topic: Topic,
     sent: Time,
@@ -115,16 +115,16 @@
             shared.catch_up().registry_fails(false);
             if std::mem::take(failing) {
                 log::info!(event = "registry-regained", topic = topic.to_string().as_str(); "");
-                shared.regained.notify(usize::MAX);
+                shared.registry_regained.notify(usize::MAX);
             }
             shared.extend(topic, records, next, "registry");
             if next >= end {
-                note_read(shared, topic, sent);
+                confirm_read(shared, topic, sent);
             }
-            !is_far(topic, next, end)
+            !should_relist(topic, next, end)
         }
         Update::Truncated => {
-            let from = shared.next_of(topic).0;
+            let from = shared.next_offset(topic).0;
             log::info!(event = "registry-history-gone", topic = topic.to_string().as_str(), from; "");
             false
         }
@@ -132,7 +132,7 @@
             shared.registry_polling().read(shared.now(), false);
             shared.catch_up().registry_fails(true);
             if !std::mem::replace(failing, true) {
-                let from = shared.next_of(topic).0;
+                let from = shared.next_offset(topic).0;
                 log::warn!(event = "registry-lost", topic = topic.to_string().as_str(), from, why = failure.to_string().as_str(); "");
             }
             true
@@ -144,33 +144,33 @@
 ///
 /// One answer carries a megabyte, and only the newest configuration counts: the
 /// list has it alone, while reading on brings all that it has replaced.
-fn is_far(topic: Topic, next: Offset, end: Offset) -> bool {
-    let far = topic == Topic::Config && next < end;
-    if far {
+fn should_relist(topic: Topic, next: Offset, end: Offset) -> bool {
+    let relist = topic == Topic::Config && next < end;
+    if relist {
         log::info!(event = "registry-far-ahead", topic = topic.to_string().as_str(), next = next.0, end = end.0; "");
     }
-    far
+    relist
 }
 
 /// Notes that more of an answer came.
-pub(crate) fn note_came(shared: &Shared, topic: Topic) {
+pub(crate) fn record_progress(shared: &Shared, topic: Topic) {
     if topic == Topic::Config {
         shared.catch_up().came(shared.now());
     }
 }
 
 /// Notes that all records up to the moment of `sent` are there.
-fn note_read(shared: &Shared, topic: Topic, sent: Time) {
-    let kept = match topic {
+fn confirm_read(shared: &Shared, topic: Topic, sent: Time) {
+    let kind = match topic {
         Topic::Config => Kept::Config,
         Topic::Endpoints => Kept::Endpoints,
         Topic::Nodes => return,
     };
-    shared.registry_polling().confirm(kept, sent);
+    shared.registry_polling().confirm(kind, sent);
 }
 
 /// Registers this node and looks for others.
-pub(crate) async fn meet(shared: Arc<Shared>, seed: u64) {
+pub(crate) async fn discover_peers(shared: Arc<Shared>, seed: u64) {
     let mut backoff = Backoff::new(seed);
     let node = shared.settings.node.clone();
     let own = NodeEntry {
@@ -180,20 +180,20 @@
     while !shared.registry.register(&node, own).await {
         Timer::after(backoff.failed()).await;
     }
-    let later = std::iter::repeat(NODES_PAUSE);
+    let later = std::iter::repeat(DISCOVERY_INTERVAL);
     let mut listed = false;
-    for pause in NODES_PAUSES.into_iter().chain(later) {
+    for pause in DISCOVERY_PAUSES.into_iter().chain(later) {
         Timer::after(pause).await;
         // Who has a list of others leaves later ones to one node.
         if listed && !shared.is_reader() {
             continue;
         }
-        match pages(&shared, Topic::Nodes).await {
+        match read_pages(&shared, Topic::Nodes).await {
             Ok((records, end)) => {
                 listed = records.len() > 1;
                 shared.replace(Topic::Nodes, records, end);
                 if listed {
-                    shared.listed.set();
+                    shared.peers_listed.set();
                 }
             }
             Err(failure) => {
--- a/gateway/src/door.rs
+++ b/gateway/src/ingress.rs
@@ -22,14 +22,14 @@
 use snipeyoke_runtime::http::collect;
 
 use crate::dialect::RequestHead;
-use crate::plain::plain;
-use crate::plain::refuse;
 use crate::refusal::Refusal;
+use crate::request_context::RequestContext;
+use crate::request_context::sample;
 use crate::shared::Shared;
 use crate::stages::StageWork;
-use crate::stream::stream;
-use crate::ticket::Ticket;
-use crate::ticket::draw;
+use crate::stream::serve_stream;
+use crate::unary::refuse;
+use crate::unary::serve_unary;
 use snipeyoke_lib::serving::come_back::come_back;
 
 /// How long a caller waits for a node's first configuration.
@@ -39,9 +39,9 @@
 const CONFIG_WAIT: Duration = Duration::from_millis(400);
 
 /// Answers callers.
-pub(crate) struct Door(pub(crate) Arc<Shared>);
+pub(crate) struct Ingress(pub(crate) Arc<Shared>);
 
-impl Handler for Door {
+impl Handler for Ingress {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>> {
         Box::pin(async {
             // A head with a length and chunks reaches us without the length.
@@ -58,51 +58,51 @@
     }
 }
 
-impl Door {
+impl Ingress {
     async fn serve(&self, request: Request) -> Reply {
-        let began = self.0.now();
+        let started_at = self.0.now();
         let (head, body) = request.into_parts();
-        let ask = match self.0.dialect.parse_request(&head) {
-            Ok(ask) => ask,
+        let request = match self.0.dialect.parse_request(&head) {
+            Ok(request) => request,
             Err(error) => {
                 log::info!(event = "request-malformed", error = error.to_string().as_str(); "");
                 return Refusal::Malformed.reply(Duration::ZERO);
             }
         };
         self.await_config().await;
-        let mut ticket = match self.admit(ask, head, began) {
-            Ok(ticket) => ticket,
-            Err(refused) => return refused.reply(),
+        let mut ctx = match self.admit(request, head, started_at) {
+            Ok(ctx) => ctx,
+            Err(refusal) => return refusal.reply(),
         };
-        let most = ticket.catalog.limits().body;
+        let max_body = ctx.catalog.limits().body;
         // A declared length is refused before the body comes: the caller would
         // send all of it for nothing.
-        if length(&ticket.head).is_some_and(|n| n > most) {
-            return refuse(ticket, Refusal::TooLarge);
+        if content_length(&ctx.head).is_some_and(|n| n > max_body) {
+            return refuse(ctx, Refusal::TooLarge);
         }
-        match ticket.within(collect(body, most)).await {
-            Some(Ok(bytes)) => ticket.body = bytes,
+        match ctx.before_give_up(collect(body, max_body)).await {
+            Some(Ok(bytes)) => ctx.body = bytes,
             Some(Err(error)) => {
                 let refusal = if error.is_too_large() {
                     Refusal::TooLarge
                 } else {
                     Refusal::BodyBroken
                 };
-                return refuse(ticket, refusal);
+                return refuse(ctx, refusal);
             }
             None => {
-                let refusal = ticket.timeout();
-                return refuse(ticket, refusal);
+                let refusal = ctx.timeout_refusal();
+                return refuse(ctx, refusal);
             }
         }
-        if ticket.quarantined().is_some() && !ticket.try_quarantined() {
-            return refuse(ticket, Refusal::Quarantined);
+        if ctx.quarantine_remaining().is_some() && !ctx.start_trial() {
+            return refuse(ctx, Refusal::Quarantined);
         }
-        if ticket.refused_by_leaving(Ahead::All) {
-            return refuse(ticket, Refusal::Leaving);
+        if ctx.refused_by_shutdown(Ahead::All) {
+            return refuse(ctx, Refusal::Leaving);
         }
-        self.0.budget().earn(began, &ticket.service);
-        drive(ticket).await
+        self.0.budget().earn(started_at, &ctx.service);
+        serve_admitted(ctx).await
     }
 
     // Callers reach a node that has just started when too few others are left.
@@ -112,50 +112,57 @@
         let known = async {
             self.0.catalog.wait(Option::is_some).await;
         };
-        let over = async {
+        let timeout = async {
             Timer::after(CONFIG_WAIT).await;
         };
-        known.or(over).await;
+        known.or(timeout).await;
     }
 
     fn admit(
         &self,
-        ask: RequestHead,
+        request: RequestHead,
         head: request::Parts,
-        began: Time,
-    ) -> Result<Ticket, Refused> {
+        started_at: Time,
+    ) -> Result<RequestContext, EarlyRefusal> {
         let catalog = self.0.catalog.get();
         let Some(catalog) = catalog.as_ref() else {
-            return Err(Refused::new(&ask, Refusal::NoConfig, None));
+            return Err(EarlyRefusal::new(&request, Refusal::NoConfig, None));
         };
         let host = head.headers.get(HOST).and_then(|h| h.to_str().ok());
         let path = head.uri.path();
-        let admitted = catalog.admit(host.unwrap_or_default(), path, ask.key.as_deref());
+        let admitted = catalog.admit(host.unwrap_or_default(), path, request.key.as_deref());
         let admitted = admitted.map_err(|denial| {
             let refusal = match denial {
                 Denial::NoRoute => Refusal::NoRoute,
                 Denial::NoKey => Refusal::NoKey,
             };
-            Refused::new(&ask, refusal, Some(catalog))
+            EarlyRefusal::new(&request, refusal, Some(catalog))
         })?;
-        let none = Refused::new(&ask, Refusal::NoEndpoint, Some(catalog));
+        let no_endpoint = EarlyRefusal::new(&request, Refusal::NoEndpoint, Some(catalog));
         let shared = Arc::clone(&self.0);
-        let ticket = Ticket::new(shared, Arc::clone(catalog), ask, head, admitted, began);
-        ticket.ok_or(none)
+        let ctx = RequestContext::new(
+            shared,
+            Arc::clone(catalog),
+            request,
+            head,
+            admitted,
+            started_at,
+        );
+        ctx.ok_or(no_endpoint)
     }
 }
 
 /// A request that is refused before it has a route.
-struct Refused {
+struct EarlyRefusal {
     request: String,
     refusal: Refusal,
     version: u64,
 }
 
-impl Refused {
-    fn new(ask: &RequestHead, refusal: Refusal, catalog: Option<&Arc<Catalog>>) -> Self {
+impl EarlyRefusal {
+    fn new(request: &RequestHead, refusal: Refusal, catalog: Option<&Arc<Catalog>>) -> Self {
         Self {
-            request: ask.id.clone(),
+            request: request.id.clone(),
             refusal,
             version: catalog.map_or(0, |c| c.version()),
         }
@@ -163,12 +170,12 @@
 
     fn reply(&self) -> Reply {
         log::info!(event = "request-refused", request = self.request.as_str(), why = self.refusal.to_string().as_str(), config = self.version; "");
-        let wait = come_back(Duration::ZERO, Duration::ZERO, draw(&self.request));
+        let wait = come_back(Duration::ZERO, Duration::ZERO, sample(&self.request));
         self.refusal.reply(wait)
     }
 }
 
-fn length(head: &request::Parts) -> Option<usize> {
+fn content_length(head: &request::Parts) -> Option<usize> {
     head.headers
         .get(CONTENT_LENGTH)?
         .to_str()
@@ -177,17 +184,17 @@
         .ok()
 }
 
-async fn drive(ticket: Ticket) -> Reply {
-    let stages = match StageWork::plan(&ticket) {
+async fn serve_admitted(ctx: RequestContext) -> Reply {
+    let stages = match StageWork::plan(&ctx) {
         Ok(stages) => stages,
         Err(error) => {
-            log::info!(event = "request-malformed", request = ticket.ask.id.as_str(), error = error.to_string().as_str(); "");
-            return refuse(ticket, Refusal::Malformed);
+            log::info!(event = "request-malformed", request = ctx.request.id.as_str(), error = error.to_string().as_str(); "");
+            return refuse(ctx, Refusal::Malformed);
         }
     };
-    if ticket.route.kind.is_stream() {
-        stream(ticket, stages).await
+    if ctx.route.kind.is_stream() {
+        serve_stream(ctx, stages).await
     } else {
-        plain(ticket, stages).await
+        serve_unary(ctx, stages).await
     }
 }
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -26,8 +26,8 @@
 use crate::dialect::Dialect;
 use crate::dispatch;
 use crate::dispatch::Dispatcher;
-use crate::door::Door;
 use crate::follow;
+use crate::ingress::Ingress;
 use crate::ready::Metrics;
 use crate::ready::Readiness;
 use crate::registry::Registry;
@@ -38,30 +38,30 @@
 ///
 /// A balancer that asks once a second and wants two misses has passed the node
 /// over after two seconds at most, and its last connections have come.
-const ASIDE: Duration = Duration::from_millis(2_300);
+const ROTATION_DELAY: Duration = Duration::from_millis(2_300);
 
 /// The part of the grace after which requests without an answer are given up.
 ///
 /// Answers that come later than this would be cut; what is left is ample for
 /// the last refusals to leave, also on a host with a tenth of a core.
-const ANSWERED_BY: f64 = 0.86;
+const GIVE_UP_FRACTION: f64 = 0.86;
 
 /// The part of the grace after which answers under way are cut.
 ///
 /// A clean end before SIGKILL closes every connection in an orderly way. Last
 /// frames take up to 0.3 s after it, which fits from a grace of 5 s on.
-const GRACE_USED: f64 = 0.93;
+const CUT_FRACTION: f64 = 0.93;
 
 /// The connections of callers at once.
 ///
 /// A third of the descriptors that a small host allows; each request in
 /// flight takes one more for its endpoint.
-const CONNS: usize = 1_300;
+const CALLER_CONNS_MAX: usize = 1_300;
 
 /// The longest time for a head, and for an idle connection of a caller.
 ///
 /// Configurations allow callers up to fifteen seconds of idleness.
-const HEAD_TIME: Duration = Duration::from_secs(16);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(16);
 
 /// The reason why a node can't start.
 #[derive(Debug)]
@@ -131,9 +131,9 @@
             shared,
         };
         gateway.serve_callers(callers_at);
-        gateway.serve_small(ready_at, Arc::new(Readiness(Arc::clone(&gateway.shared))));
+        gateway.serve_http(ready_at, Arc::new(Readiness(Arc::clone(&gateway.shared))));
         if let Some(listener) = metrics_at {
-            gateway.serve_small(listener, Arc::new(Metrics));
+            gateway.serve_http(listener, Arc::new(Metrics));
         }
         gateway.run_control(peers_at, messages);
         log::info!(
@@ -147,24 +147,24 @@
     }
 
     fn serve_callers(&self, listener: Async<TcpListener>) {
-        let door = Arc::new(Door(Arc::clone(&self.shared)));
+        let ingress = Arc::new(Ingress(Arc::clone(&self.shared)));
         let bounds = Bounds {
-            head_time: HEAD_TIME,
-            conns: CONNS,
+            head_time: HEAD_TIMEOUT,
+            conns: CALLER_CONNS_MAX,
         };
         let scope = self.conns.clone();
         let drain = self.shared.drain.clone();
-        let end = self.shared.end.clone();
+        let stop_accepting = self.shared.stop_accepting.clone();
         let served = self.served.clone();
         self.callers.spawn(async move {
-            http::serve_until(listener, door, bounds, scope, drain, end).await;
+            http::serve_until(listener, ingress, bounds, scope, drain, stop_accepting).await;
             served.set();
         });
     }
 
-    fn serve_small(&self, listener: Async<TcpListener>, handler: Arc<dyn Handler>) {
+    fn serve_http(&self, listener: Async<TcpListener>, handler: Arc<dyn Handler>) {
         let bounds = Bounds {
-            head_time: HEAD_TIME,
+            head_time: HEAD_TIMEOUT,
             conns: 64,
         };
         let scope = Scope::new(self.control.exec());
@@ -190,7 +190,7 @@
         traffic.spawn(dispatch::accept(peers, dispatcher, traffic.clone()));
         scope.spawn(changes::follow(shared(), seed));
         scope.spawn(follow::follow_endpoints(shared(), seed ^ 1));
-        scope.spawn(follow::meet(shared(), seed ^ 2));
+        scope.spawn(follow::discover_peers(shared(), seed ^ 2));
     }
 
     /// Takes new settings; addresses stay until the next start.
@@ -206,36 +206,36 @@
     /// Leaves: the balancer first, then idle connections, then what runs.
     pub async fn drain(&self) {
         log::info!(event = "leaving", grace_ms = self.shared.settings.grace.as_millis() as u64; "");
-        let began = self.shared.now();
+        let started_at = self.shared.now();
         let grace = self.shared.settings.grace;
-        let given_up = began + grace.mul_f64(ANSWERED_BY);
-        let cut = began + grace.mul_f64(GRACE_USED);
+        let given_up = started_at + grace.mul_f64(GIVE_UP_FRACTION);
+        let cut = started_at + grace.mul_f64(CUT_FRACTION);
         // Only the first call to leave counts.
-        let _earlier = self.shared.stop.set(Stop {
-            out_of_rotation: began + ASIDE,
+        let _earlier = self.shared.shutdown.set(Stop {
+            out_of_rotation: started_at + ROTATION_DELAY,
             given_up,
             cut,
         });
         self.shared.out_of_rotation.set();
         self.shared.owners().leave();
         self.shared.dispatcher.leaving();
-        Timer::after(ASIDE).await;
+        Timer::after(ROTATION_DELAY).await;
         self.shared.drain.set();
-        self.shared.end.set();
-        let over = async {
-            self.until(given_up).await;
-            self.shared.overtime.set();
-            self.until(cut).await;
+        self.shared.stop_accepting.set();
+        let timeout = async {
+            self.sleep_until(given_up).await;
+            self.shared.given_up.set();
+            self.sleep_until(cut).await;
         };
-        self.served.wait().or(over).await;
+        self.served.wait().or(timeout).await;
         let running = self.conns.len();
-        log::info!(event = "stopped", running, took_ms = self.shared.now().since(began).as_millis() as u64; "");
+        log::info!(event = "stopped", running, took_ms = self.shared.now().since(started_at).as_millis() as u64; "");
         self.callers.cancel().await;
         self.conns.cancel().await;
         future::zip(self.stages.cancel_later(), self.control.cancel_later()).await;
     }
 
-    async fn until(&self, at: Time) {
+    async fn sleep_until(&self, at: Time) {
         Timer::after(at.since(self.shared.now())).await;
     }
 }
--- a/gateway/src/watch.rs
+++ b/gateway/src/polling.rs
@@ -19,26 +19,26 @@
 ///
 /// A read that waits for the next change tells nothing while it waits: the
 /// registry may have lost it, or passed it over. These reads don't wait.
-pub(crate) async fn watch(shared: &Shared, kept: Kept, seed: u64) {
-    let topic = Topic::from(kept);
+pub(crate) async fn poll_topic(shared: &Shared, kind: Kept, seed: u64) {
+    let topic = Topic::from(kind);
     let mut backoff = Backoff::new(seed);
-    let mut sight = Sight::default();
+    let mut staleness = StalenessLog::default();
     let mut failing = false;
     let mut pause = Duration::ZERO;
     loop {
         let not_before = shared.now() + pause;
-        due(shared, kept, &mut sight, not_before).await;
-        if kept == Kept::Endpoints && shared.differs.load(Ordering::Relaxed) {
+        wait_until_due(shared, kind, &mut staleness, not_before).await;
+        if kind == Kept::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
             return;
         }
         let sent = shared.now();
-        let from = shared.next_of(topic);
+        let from = shared.next_offset(topic);
         pause = Duration::ZERO;
         // What has grown meanwhile is read on from there.
         let Some(update) = read(shared, topic, from).await else {
             continue;
         };
-        if !follow::take(shared, topic, sent, update, &mut failing) {
+        if !follow::apply_update(shared, topic, sent, update, &mut failing) {
             return;
         }
         if failing {
@@ -56,10 +56,12 @@
         return Some(answer.await);
     }
     shared.catch_up().reads();
-    let came = || follow::note_came(shared, topic);
-    let answer = shared.registry.read(topic, from, Duration::ZERO, &came);
+    let on_progress = || follow::record_progress(shared, topic);
+    let answer = shared
+        .registry
+        .read(topic, from, Duration::ZERO, &on_progress);
     let update = async { Some(answer.await) };
-    let update = update.or(overtaken(shared, from)).await;
+    let update = update.or(received_elsewhere(shared, from)).await;
     shared.catch_up().ended();
     update
 }
@@ -67,10 +69,10 @@
 /// Ends when the records from an offset on have come another way.
 ///
 /// The same records would come a second time, over a link that may be full.
-pub(crate) async fn overtaken(shared: &Shared, from: Offset) -> Option<Update> {
+pub(crate) async fn received_elsewhere(shared: &Shared, from: Offset) -> Option<Update> {
     loop {
-        let grown = shared.grown.listen();
-        if shared.next_of(Topic::Config) > from {
+        let grown = shared.config_grown.listen();
+        if shared.next_offset(Topic::Config) > from {
             return None;
         }
         grown.await;
@@ -78,49 +80,56 @@
 }
 
 /// Waits until a topic has to be read.
-async fn due(shared: &Shared, kept: Kept, sight: &mut Sight, not_before: Time) {
+async fn wait_until_due(
+    shared: &Shared,
+    kind: Kept,
+    staleness: &mut StalenessLog,
+    not_before: Time,
+) {
     loop {
         // Listened for before the look, so that no news falls in between.
-        let behind = shared.behind.listen();
-        let regained = shared.regained.listen();
-        sight.note(shared, kept);
+        let config_behind = shared.config_behind.listen();
+        let registry_regained = shared.registry_regained.listen();
+        staleness.update(shared, kind);
         let now = shared.now();
-        let at = read_at(shared, kept).max(not_before);
-        if at <= now || kept == Kept::Endpoints && shared.differs.load(Ordering::Relaxed) {
+        let at = next_read(shared, kind).max(not_before);
+        if at <= now || kind == Kept::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
             return;
         }
         // Another node may have to read for all from any moment on.
-        let most = shared.registry_polling().look_pause();
+        let max_sleep = shared.registry_polling().look_pause();
         let timer = async {
-            Timer::after(at.since(now).min(most)).await;
+            Timer::after(at.since(now).min(max_sleep)).await;
         };
-        timer.or(behind).or(regained).await;
+        timer.or(config_behind).or(registry_regained).await;
     }
 }
 
-fn read_at(shared: &Shared, kept: Kept) -> Time {
-    let first = shared.is_reader();
-    let fresh = shared.registry_polling().read_at(kept, first);
-    if kept == Kept::Endpoints {
-        return fresh;
+fn next_read(shared: &Shared, kind: Kept) -> Time {
+    let reader = shared.is_reader();
+    let scheduled = shared.registry_polling().read_at(kind, reader);
+    if kind == Kept::Endpoints {
+        return scheduled;
     }
     let catch_up = shared.catch_up();
     // The same records would come twice, over a link that may be full.
-    fresh.min(catch_up.read_at()).max(catch_up.coming_until())
+    scheduled
+        .min(catch_up.read_at())
+        .max(catch_up.coming_until())
 }
 
 /// What logs and metrics tell of a copy's age.
 #[derive(Debug, Default)]
-struct Sight {
+struct StalenessLog {
     lost: bool,
 }
 
-impl Sight {
-    fn note(&mut self, shared: &Shared, kept: Kept) {
+impl StalenessLog {
+    fn update(&mut self, shared: &Shared, kind: Kept) {
         let now = shared.now();
-        let freshness = *shared.registry_polling().of(kept);
+        let freshness = *shared.registry_polling().of(kind);
         let age = freshness.age(now).unwrap_or_default();
-        let gauge = match kept {
+        let gauge = match kind {
             Kept::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
             Kept::Endpoints => metrics::gauge!("snipeyoke_endpoints_age_seconds"),
         };
@@ -131,7 +140,7 @@
         }
         self.lost = lost;
         let age_ms = age.as_millis() as u64;
-        let event = match (kept, lost) {
+        let event = match (kind, lost) {
             (Kept::Config, true) => "config-unconfirmed",
             (Kept::Config, false) => "config-confirmed",
             (Kept::Endpoints, true) => "endpoints-unconfirmed",
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -11,29 +11,29 @@
 use crate::shared::Shared;
 
 impl Shared {
-    fn config_grew(&self, news: &[Record], source: &str) {
-        let have = self.replicas().config.next();
-        self.catch_up().has(have);
-        self.apply_config(news, source);
-        self.grown.notify(usize::MAX);
+    fn on_config_records(&self, changes: &[Record], source: &str) {
+        let next = self.replicas().config.next();
+        self.catch_up().has(next);
+        self.apply_config(changes, source);
+        self.config_grown.notify(usize::MAX);
         // The others look at this node in a moment; told now, they have it at once.
-        if !news.is_empty() && self.is_reader() {
+        if !changes.is_empty() && self.is_reader() {
             self.dispatcher.config_grew();
         }
     }
 
-    fn apply_config(&self, news: &[Record], source: &str) {
-        for record in news {
+    fn apply_config(&self, changes: &[Record], source: &str) {
+        for record in changes {
             let Some(value) = &record.value else {
                 continue;
             };
-            let begun = self.now();
+            let started_at = self.now();
             match self.registry.parse_catalog(&record.key, value) {
                 Some(Ok(catalog)) => {
-                    let took = self.now().since(begun).as_millis() as u64;
+                    let elapsed_ms = self.now().since(started_at).as_millis() as u64;
                     let version = catalog.version();
-                    log::info!(event = "config-read", version, bytes = value.len(), took_ms = took, source; "");
-                    self.put_in_force(catalog, record, source);
+                    log::info!(event = "config-read", version, bytes = value.len(), took_ms = elapsed_ms, source; "");
+                    self.activate(catalog, record, source);
                 }
                 Some(Err(error)) => {
                     log::error!(event = "config-refused", offset = record.offset.0, error = error.to_string().as_str(); "");
@@ -45,7 +45,7 @@
 
     // A late answer, or an older neighbour, may bring an older version. Revoked
     // keys and dropped routes would come back with it.
-    fn put_in_force(&self, catalog: Catalog, record: &Record, source: &str) {
+    fn activate(&self, catalog: Catalog, record: &Record, source: &str) {
         let held = self.catalog.get().as_ref().as_ref().map(|c| c.version());
         let version = catalog.version();
         if held.is_some_and(|held| held >= version) {
@@ -57,9 +57,9 @@
         log::info!(event = "config-in-force", version, offset = record.offset.0, source; "");
     }
 
-    fn endpoints_grew(&self, news: &[Record]) {
-        if !news.is_empty() {
-            self.changed.notify(usize::MAX);
+    fn on_endpoint_records(&self, changes: &[Record]) {
+        if !changes.is_empty() {
+            self.endpoints_changed.notify(usize::MAX);
             self.dispatcher.endpoints_changed();
         }
     }
@@ -67,33 +67,33 @@
     /// Takes in an endpoint's record; tells whether it brings something new.
     fn apply_endpoint(&self, record: &Record, source: &str) -> bool {
         let Some(value) = &record.value else {
-            return self.forget(&record.key, record, source, "left");
+            return self.remove_endpoint(&record.key, record, source, "left");
         };
         match self.registry.parse_endpoint(&record.key, value) {
             Ok(entry) => {
                 let id = entry.id.clone();
                 let mut directory = self.directory();
-                let was = directory.get(&id).map(|e| e.entry().clone());
+                let previous = directory.get(&id).map(|e| e.entry().clone());
                 let draining = entry.draining;
-                let news = was.is_none_or(|was| was != entry);
+                let changed = previous.is_none_or(|previous| previous != entry);
                 let fresh = directory.set(entry);
                 drop(directory);
-                if news {
+                if changed {
                     let id = id.to_string();
                     log::info!(event = "endpoint-known", endpoint = id.as_str(), draining, fresh, offset = record.offset.0, source; "");
                 }
-                news
+                changed
             }
             // A writer that isn't the endpoint may leave anything there. It
             // names no endpoint to use, and the others hold.
             Err(error) => {
                 log::warn!(event = "endpoint-refused", key = record.key.as_str(), offset = record.offset.0, error = error.to_string().as_str(); "");
-                self.forget(&record.key, record, source, "unreadable")
+                self.remove_endpoint(&record.key, record, source, "unreadable")
             }
         }
     }
 
-    fn forget(&self, key: &str, record: &Record, source: &str, why: &str) -> bool {
+    fn remove_endpoint(&self, key: &str, record: &Record, source: &str, why: &str) -> bool {
         let Ok(id) = key.parse::<EndpointId>() else {
             return false;
         };
@@ -108,17 +108,17 @@
     pub(crate) fn extend(&self, topic: Topic, records: Vec<Record>, next: Offset, source: &str) {
         match topic {
             Topic::Config => {
-                let news = self.replicas().config.extend(records, next);
-                self.config_grew(&news, source);
+                let changes = self.replicas().config.extend(records, next);
+                self.on_config_records(&changes, source);
             }
             Topic::Endpoints => {
                 // Copy and directory change together: whoever looks at this node
                 // must not take the copy for complete before it is marked.
                 let mut replicas = self.replicas();
-                let changes = |record: &Record| self.apply_endpoint(record, source);
-                let news = replicas.endpoints.extend_with(records, next, changes);
+                let apply = |record: &Record| self.apply_endpoint(record, source);
+                let changes = replicas.endpoints.extend_with(records, next, apply);
                 drop(replicas);
-                self.endpoints_grew(&news);
+                self.on_endpoint_records(&changes);
             }
             Topic::Nodes => self.learn_nodes(&records),
         }
@@ -128,15 +128,15 @@
     pub(crate) fn replace(&self, topic: Topic, records: Vec<Record>, end: Offset) {
         match topic {
             Topic::Config => {
-                let news = self.replicas().config.replace(records, end);
-                self.config_grew(&news, "registry");
+                let changes = self.replicas().config.replace(records, end);
+                self.on_config_records(&changes, "registry");
             }
             Topic::Endpoints => {
                 let mut replicas = self.replicas();
-                let changes = |record: &Record| self.apply_endpoint(record, "registry");
-                let news = replicas.endpoints.replace_with(records, end, changes);
+                let apply = |record: &Record| self.apply_endpoint(record, "registry");
+                let changes = replicas.endpoints.replace_with(records, end, apply);
                 drop(replicas);
-                self.endpoints_grew(&news);
+                self.on_endpoint_records(&changes);
             }
             Topic::Nodes => self.learn_nodes(&records),
         }
--- a/gateway/src/ticket.rs
+++ b/gateway/src/request_context.rs
@@ -29,10 +29,10 @@
 
 /// A client attempt that has a route, and what became of it so far.
 #[derive(Debug)]
-pub(crate) struct Ticket {
+pub(crate) struct RequestContext {
     pub(crate) shared: Arc<Shared>,
     pub(crate) catalog: Arc<Catalog>,
-    pub(crate) ask: RequestHead,
+    pub(crate) request: RequestHead,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     fingerprint: OnceLock<Fingerprint>,
@@ -41,22 +41,22 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: PoolName,
     pub(crate) holder: Option<Holder>,
-    pub(crate) began: Time,
+    pub(crate) started_at: Time,
     /// When the answer stops being on time.
-    pub(crate) goal: Time,
+    pub(crate) target: Time,
     /// When the caller, or the route, gives the request up.
-    pub(crate) due: Time,
+    pub(crate) deadline: Time,
     /// Where the request is to run, if its results outweigh its prefix.
     pub(crate) domain: Option<FailureDomain>,
     /// Where most results of its stages lie, and what it costs to read them
     /// elsewhere, in tokens.
     pub(crate) inputs: Option<(FailureDomain, u32)>,
     /// The endpoints that it was sent to.
-    pub(crate) tried: Vec<EndpointId>,
+    pub(crate) attempted: Vec<EndpointId>,
     /// Whether an endpoint may have run it.
     pub(crate) may_have_run: bool,
     /// Whether its caller has the head of an answer already.
-    pub(crate) begun: bool,
+    pub(crate) response_started: bool,
     /// How long what waits before it takes, where that was told.
     pub(crate) backlog: Duration,
     pub(crate) timeline: Timeline,
@@ -70,29 +70,32 @@
     /// When it was last sent to an endpoint.
     pub(crate) sent: Option<Time>,
     /// When its first event, or its answer, came.
-    pub(crate) first: Option<Time>,
+    pub(crate) first_output: Option<Time>,
     pub(crate) events: u64,
-    pub(crate) ended: Option<(u16, &'static str)>,
+    pub(crate) outcome: Option<(u16, &'static str)>,
 }
 
-impl Ticket {
+impl RequestContext {
     pub(crate) fn new(
         shared: Arc<Shared>,
         catalog: Arc<Catalog>,
-        ask: RequestHead,
+        request: RequestHead,
         head: request::Parts,
         (route, holder): (Arc<Route>, Option<Holder>),
-        began: Time,
+        started_at: Time,
     ) -> Option<Self> {
-        let draw = rapidhash_v3(ask.id.as_bytes());
-        let service = route.target(draw)?.clone();
-        let left = ask.remaining.unwrap_or(route.timeout).min(route.timeout);
+        let sample = rapidhash_v3(request.id.as_bytes());
+        let service = route.target(sample)?.clone();
+        let remaining = request
+            .remaining
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
         Some(Self {
-            goal: began + route.goal,
-            due: began + left,
+            target: started_at + route.goal,
+            deadline: started_at + remaining,
             shared,
             catalog,
-            ask,
+            request,
             head,
             body: Bytes::new(),
             fingerprint: OnceLock::new(),
@@ -100,12 +103,12 @@
             route,
             service,
             holder,
-            began,
+            started_at,
             domain: None,
             inputs: None,
-            tried: Vec::new(),
+            attempted: Vec::new(),
             may_have_run: false,
-            begun: false,
+            response_started: false,
             backlog: Duration::ZERO,
             timeline: Timeline::default(),
         })
@@ -123,24 +126,24 @@
     }
 
     /// Returns for how much longer it is refused because endpoints end under it.
-    pub(crate) fn quarantined(&self) -> Option<Duration> {
+    pub(crate) fn quarantine_remaining(&self) -> Option<Duration> {
         let now = self.shared.now();
         let request = self.fingerprint();
         let crashes = self.shared.crashes();
-        let left = crashes.quarantined(now, request);
-        left.filter(|_| !self.trial || !crashes.may_go_on(now, request))
+        let remaining = crashes.quarantined(now, request);
+        remaining.filter(|_| !self.trial || !crashes.may_go_on(now, request))
     }
 
     /// Takes it as the trial after its quarantine, if this node may try it.
-    pub(crate) fn try_quarantined(&mut self) -> bool {
+    pub(crate) fn start_trial(&mut self) -> bool {
         let now = self.shared.now();
         let request = self.fingerprint();
         let counters = self.shared.owners().counters(now, request);
         let own = self.shared.settings.listen.peers;
-        // Tried at each node, it would end as many endpoints as there are nodes.
+        // AttemptResult at each node, it would end as many endpoints as there are nodes.
         self.trial = counters.first() == Some(&own) && self.shared.crashes().may_try(now, request);
         if self.trial {
-            log::info!(event = "quarantine-trial", request = self.ask.id.as_str(), fingerprint = request.to_string().as_str(); "");
+            log::info!(event = "quarantine-trial", request = self.request.id.as_str(), fingerprint = request.to_string().as_str(); "");
         }
         self.trial
     }
@@ -152,62 +155,62 @@
     }
 
     /// Returns the time left as of now.
-    pub(crate) fn left(&self) -> Duration {
-        self.due.since(self.shared.now())
+    pub(crate) fn remaining(&self) -> Duration {
+        self.deadline.since(self.shared.now())
     }
 
     /// Waits for a future as long as the request has time, and the node.
     ///
     /// For what comes before an answer begins: a leaving node gives it up while
     /// it can still tell the caller.
-    pub(crate) async fn within<T>(&self, future: impl Future<Output = T>) -> Option<T> {
-        let overtime = async {
-            self.shared.overtime.wait().await;
+    pub(crate) async fn before_give_up<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let given_up = async {
+            self.shared.given_up.wait().await;
             None
         };
-        self.in_time(future).or(overtime).await
+        self.before_deadline(future).or(given_up).await
     }
 
     /// Waits for a future as long as the answer can still be expected to end
     /// before the node leaves.
-    pub(crate) async fn in_time_to_send<T>(&self, future: impl Future<Output = T>) -> Option<T> {
-        let late = async {
+    pub(crate) async fn before_latest_send<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let too_late = async {
             self.shared.out_of_rotation.wait().await;
             let latest = self.latest_send();
             Timer::after(latest.since(self.shared.now())).await;
             None
         };
-        if self.begun {
-            return self.within(future).await;
+        if self.response_started {
+            return self.before_give_up(future).await;
         }
-        self.within(future).or(late).await
+        self.before_give_up(future).or(too_late).await
     }
 
     /// Waits for a future as long as the request has time.
-    pub(crate) async fn in_time<T>(&self, future: impl Future<Output = T>) -> Option<T> {
-        let over = async {
-            Timer::after(self.left()).await;
+    pub(crate) async fn before_deadline<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let timeout = async {
+            Timer::after(self.remaining()).await;
             None
         };
-        async { Some(future.await) }.or(over).await
+        async { Some(future.await) }.or(timeout).await
     }
 
     /// Tells whether another endpoint may be tried, and spends the budget.
-    pub(crate) fn may_try_again(&self) -> bool {
-        let more = (self.tried.len() as u32) < self.route.attempts;
+    pub(crate) fn try_spend_retry(&self) -> bool {
+        let attempts_left = (self.attempted.len() as u32) < self.route.attempts;
         let now = self.shared.now();
-        let leaves = !self.begun && self.refused_by_leaving(Ahead::Answer);
-        let time = now < self.due && !self.shared.overtime.is_set() && !leaves;
+        let shutting_down = !self.response_started && self.refused_by_shutdown(Ahead::Answer);
+        let time_left = now < self.deadline && !self.shared.given_up.is_set() && !shutting_down;
         // A trial is one send, whatever became of it.
-        let refused = self.trial || self.quarantined().is_some();
-        more && time && !refused && self.shared.budget().take(now, &self.service)
+        let refused = self.trial || self.quarantine_remaining().is_some();
+        attempts_left && time_left && !refused && self.shared.budget().take(now, &self.service)
     }
 
     /// Returns the refusal for a request whose time, or the node's, is over.
-    pub(crate) fn timeout(&self) -> Refusal {
+    pub(crate) fn timeout_refusal(&self) -> Refusal {
         if self.may_have_run {
             Refusal::Timeout
-        } else if self.shared.now() < self.due {
+        } else if self.shared.now() < self.deadline {
             Refusal::Leaving
         } else {
             Refusal::TimeoutNotRun
@@ -215,62 +218,63 @@
     }
 
     /// Returns a number in `0..1` that differs from request to request.
-    pub(crate) fn draw(&self) -> f64 {
-        draw(&self.ask.id)
+    pub(crate) fn sample(&self) -> f64 {
+        sample(&self.request.id)
     }
 
     /// Notes how the request ended, for the log.
-    pub(crate) const fn end(&mut self, status: StatusCode, outcome: &'static str) {
-        self.timeline.ended = Some((status.as_u16(), outcome));
+    pub(crate) const fn set_outcome(&mut self, status: StatusCode, outcome: &'static str) {
+        self.timeline.outcome = Some((status.as_u16(), outcome));
     }
 }
 
 /// Returns a number in `0..1` that differs from id to id.
-pub(crate) fn draw(id: &str) -> f64 {
+pub(crate) fn sample(id: &str) -> f64 {
     (rapidhash_v3(id.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-impl Drop for Ticket {
+impl Drop for RequestContext {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let cut = self.shared.stop.get().is_some_and(|s| now >= s.cut);
-        let unheard = if cut { "cut-leaving" } else { "caller-gone" };
-        let (status, outcome) = self.timeline.ended.unwrap_or((0, unheard));
-        let took = now.since(self.began);
+        let cut = self.shared.shutdown.get().is_some_and(|s| now >= s.cut);
+        let unanswered = if cut { "cut-leaving" } else { "caller-gone" };
+        let (status, outcome) = self.timeline.outcome.unwrap_or((0, unanswered));
+        let elapsed = now.since(self.started_at);
         metrics::counter!("snipeyoke_requests_total", "route" => self.route.name.clone(), "outcome" => outcome).increment(1);
-        metrics::histogram!("snipeyoke_request_seconds", "outcome" => outcome).record(took);
+        metrics::histogram!("snipeyoke_request_seconds", "outcome" => outcome).record(elapsed);
         if let (Some(sent), "answered") = (self.timeline.sent, outcome) {
             // The rest of an answer says little about a whole one.
-            if self.ask.last_event.is_none() {
-                let took = Took {
-                    wait: sent.since(self.began),
+            if self.request.last_event.is_none() {
+                let durations = Took {
+                    wait: sent.since(self.started_at),
                     answer: now.since(sent),
-                    tokens: self.ask.prompt.and_then(|p| p.output_length()),
+                    tokens: self.request.prompt.and_then(|p| p.output_length()),
                 };
-                self.shared.durations().observe(&self.route.name, took);
+                self.shared.durations().observe(&self.route.name, durations);
             }
             let lifted = self.shared.crashes().answered(now, self.fingerprint());
             if let Some(lifted) = lifted {
                 self.shared.dispatcher.tell_verdict(lifted);
             }
         }
-        let since = |at: Option<Time>| at.map_or(0, |at| at.since(self.began).as_millis() as u64);
-        let endpoint = self.tried.last().map(ToString::to_string);
+        let since =
+            |at: Option<Time>| at.map_or(0, |at| at.since(self.started_at).as_millis() as u64);
+        let endpoint = self.attempted.last().map(ToString::to_string);
         let fingerprint = self.fingerprint.get().map(ToString::to_string);
         log::info!(
             event = "request-ended",
-            request = self.ask.id.as_str(),
+            request = self.request.id.as_str(),
             route = self.route.name.as_str(),
             account = self.account().map_or("-", |a| a.as_str()),
             status,
             outcome,
-            took_ms = took.as_millis() as u64,
+            took_ms = elapsed.as_millis() as u64,
             staged_ms = since(self.timeline.staged),
-            first_ms = since(self.timeline.first),
+            first_ms = since(self.timeline.first_output),
             events = self.timeline.events,
-            answer_tokens = self.ask.prompt.and_then(|p| p.max_output).unwrap_or_default(),
-            expected_tokens = self.ask.prompt.and_then(|p| p.expected_output).unwrap_or_default(),
-            tries = self.tried.len(),
+            answer_tokens = self.request.prompt.and_then(|p| p.max_output).unwrap_or_default(),
+            expected_tokens = self.request.prompt.and_then(|p| p.expected_output).unwrap_or_default(),
+            tries = self.attempted.len(),
             endpoint = endpoint.as_deref().unwrap_or("-"),
             fingerprint = fingerprint.as_deref().unwrap_or("-"),
             config = self.catalog.version();
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -14,21 +14,21 @@
 use snipeyoke_runtime::settings::Checked;
 
 /// The longest grace that is taken, in seconds.
-const GRACE_MAX: f64 = 3_600.0;
+const GRACE_MAX_S: f64 = 3_600.0;
 
 /// The longest notice that is taken, in milliseconds.
 ///
 /// Endpoints that are gone without a word are found by these reads, too.
-const NOTICE_MAX: f64 = 60_000.0;
+const NOTICE_MAX_MS: f64 = 60_000.0;
 
 /// The shortest time for a change that is taken, in milliseconds.
 ///
 /// A node reads at six tenths of it; a slow registry answers in some hundred
 /// milliseconds.
-const CHANGE_MIN: f64 = 1_000.0;
+const CHANGE_MIN_MS: f64 = 1_000.0;
 
 /// The longest time for a change that is taken, in milliseconds.
-const CHANGE_MAX: f64 = 60_000.0;
+const CHANGE_MAX_MS: f64 = 60_000.0;
 
 /// The settings as they stand in the file.
 #[derive(Debug, Clone)]
@@ -161,14 +161,14 @@
 #[derive(Display, Error)]
 pub enum ValueError {
     /// A number is out of its range.
-    #[display("{}", list(found))]
+    #[display("{}", join(found))]
     Range {
         /// Each value that is out of range: key, value and remedy.
         found: Vec<String>,
     },
 }
 
-fn list(found: &[String]) -> String {
+fn join(found: &[String]) -> String {
     found.join("; ")
 }
 
@@ -177,14 +177,14 @@
 
     fn try_from(raw: Raw) -> Result<Self, ValueError> {
         let mut found = Vec::new();
-        let mut check = |key: &str, value: f64, least: f64, most: f64| {
-            if !(least..=most).contains(&value) {
-                found.push(format!("`{key}` is {value}: give {least} to {most}"));
+        let mut check = |key: &str, value: f64, min: f64, max: f64| {
+            if !(min..=max).contains(&value) {
+                found.push(format!("`{key}` is {value}: give {min} to {max}"));
             }
         };
-        check("grace_s", raw.grace_s, 1.0, GRACE_MAX);
-        check("notice_ms", raw.notice_ms, 1_000.0, NOTICE_MAX);
-        check("change_ms", raw.change_ms, CHANGE_MIN, CHANGE_MAX);
+        check("grace_s", raw.grace_s, 1.0, GRACE_MAX_S);
+        check("notice_ms", raw.notice_ms, 1_000.0, NOTICE_MAX_MS);
+        check("change_ms", raw.change_ms, CHANGE_MIN_MS, CHANGE_MAX_MS);
         check("share", raw.processor.share, 0.001, 1_024.0);
         check("speed", raw.processor.speed, 0.01, 100.0);
         check("ratio", raw.retries.ratio, 0.0, 10.0);
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -39,12 +39,12 @@
 /// How long a node waits at its start to hear from another one.
 ///
 /// Nodes that start together find each other within a second.
-const MEET_MAX: Duration = Duration::from_millis(1_500);
+const PEERS_WAIT: Duration = Duration::from_millis(1_500);
 
 /// How long a node waits at its start for the list of the others.
 ///
 /// The registry answers in milliseconds, unless it is away.
-const LISTED_MAX: Duration = Duration::from_millis(400);
+const PEER_LIST_WAIT: Duration = Duration::from_millis(400);
 
 /// What one node knows and shares among its tasks.
 #[derive(Debug)]
@@ -58,27 +58,27 @@
     /// The configuration in force; `None` until one is known.
     pub(crate) catalog: Fact<Option<Arc<Catalog>>>,
     /// Wakes those who wait for an endpoint.
-    pub(crate) changed: Event,
+    pub(crate) endpoints_changed: Event,
     /// Tells that the registry answers again after it did not.
-    pub(crate) regained: Event,
+    pub(crate) registry_regained: Event,
     /// Whether the endpoints have to be listed anew.
-    pub(crate) differs: AtomicBool,
+    pub(crate) must_relist: AtomicBool,
     /// Tells that the copy of the configuration has grown.
-    pub(crate) grown: Event,
+    pub(crate) config_grown: Event,
     /// Tells that this node has learned that it lacks a configuration.
-    pub(crate) behind: Event,
+    pub(crate) config_behind: Event,
     /// Set once the other nodes are known from a list.
-    pub(crate) listed: Flag,
+    pub(crate) peers_listed: Flag,
     /// Set once the balancer is asked to pass this node over.
     pub(crate) out_of_rotation: Flag,
     /// Set once callers' idle connections are closed.
     pub(crate) drain: Flag,
     /// Set once nothing new is answered.
-    pub(crate) end: Flag,
+    pub(crate) stop_accepting: Flag,
     /// Set once requests that wait for an answer are given up.
-    pub(crate) overtime: Flag,
+    pub(crate) given_up: Flag,
     /// Set when the node begins to leave.
-    pub(crate) stop: OnceLock<Stop>,
+    pub(crate) shutdown: OnceLock<Stop>,
     directory: Mutex<Directory>,
     budget: Mutex<SharedBudget>,
     owners: Mutex<Owners>,
@@ -87,7 +87,7 @@
     replicas: Mutex<Replicas>,
     catch_up: Mutex<CatchUp>,
     crashes: Mutex<Crashes>,
-    upkeep: Mutex<Upkeep>,
+    polling: Mutex<Upkeep>,
 }
 
 /// The copies of the registry's topics.
@@ -114,20 +114,20 @@
             crashes: Mutex::default(),
             durations: Mutex::default(),
             replicas: Mutex::default(),
-            upkeep: Mutex::new(Upkeep::new(settings.change, settings.notice)),
+            polling: Mutex::new(Upkeep::new(settings.change, settings.notice)),
             catch_up: Mutex::new(CatchUp::new(settings.listen.peers)),
             catalog: Fact::new(None),
-            changed: Event::new(),
-            regained: Event::new(),
-            differs: AtomicBool::new(false),
-            grown: Event::new(),
-            behind: Event::new(),
-            listed: Flag::default(),
+            endpoints_changed: Event::new(),
+            registry_regained: Event::new(),
+            must_relist: AtomicBool::new(false),
+            config_grown: Event::new(),
+            config_behind: Event::new(),
+            peers_listed: Flag::default(),
             out_of_rotation: Flag::default(),
             drain: Flag::default(),
-            end: Flag::default(),
-            overtime: Flag::default(),
-            stop: OnceLock::new(),
+            stop_accepting: Flag::default(),
+            given_up: Flag::default(),
+            shutdown: OnceLock::new(),
             settings,
             dialect,
             registry,
@@ -173,22 +173,22 @@
     }
 
     pub(crate) fn registry_polling(&self) -> MutexGuard<'_, Upkeep> {
-        lock(&self.upkeep)
+        lock(&self.polling)
     }
 
     /// Tells whether this node reads the registry for others now.
     pub(crate) fn is_reader(&self) -> bool {
         let now = self.now();
         // The order of these two locks is the same everywhere.
-        let mut upkeep = self.registry_polling();
-        upkeep.is_first(now, &mut self.owners())
+        let mut polling = self.registry_polling();
+        polling.is_first(now, &mut self.owners())
     }
 
     /// Takes in that copies of the endpoints differ from another node's.
     pub(crate) fn on_endpoints_differ(&self) {
         if self.registry_polling().differs(self.now()) {
-            self.differs.store(true, Ordering::Relaxed);
-            self.regained.notify(usize::MAX);
+            self.must_relist.store(true, Ordering::Relaxed);
+            self.registry_regained.notify(usize::MAX);
         }
     }
 
@@ -198,12 +198,12 @@
     pub(crate) fn on_peer_config(&self, node: SocketAddr, next: Offset, size: u64) {
         if self.catch_up().told(self.now(), node, next, size) {
             log::info!(event = "config-behind", node = node.to_string().as_str(), next = next.0; "");
-            self.behind.notify(usize::MAX);
+            self.config_behind.notify(usize::MAX);
         }
     }
 
     /// Returns the offset from which a topic is read on.
-    pub(crate) fn next_of(&self, topic: Topic) -> Offset {
+    pub(crate) fn next_offset(&self, topic: Topic) -> Offset {
         match topic {
             Topic::Config => self.replicas().config.next(),
             Topic::Endpoints | Topic::Nodes => self.replicas().endpoints.next(),
@@ -218,8 +218,8 @@
 
     /// Tells whether the node can serve callers.
     pub(crate) fn is_ready(&self) -> bool {
-        let knows = self.catalog.get().is_some() && self.has_met();
-        knows && self.directory().iter().next().is_some() && !self.out_of_rotation.is_set()
+        let has_state = self.catalog.get().is_some() && self.has_met_peers();
+        has_state && self.directory().iter().next().is_some() && !self.out_of_rotation.is_set()
     }
 
     /// Tells whether this node can tell which node owns a service.
@@ -228,15 +228,15 @@
     /// together would each take another one for the owner, and the owners' calls
     /// would get in each other's way.
     pub(crate) fn knows_owners(&self) -> bool {
-        self.listed.is_set() || self.now().since(Time::ZERO) > LISTED_MAX
+        self.peers_listed.is_set() || self.now().since(Time::ZERO) > PEER_LIST_WAIT
     }
 
     /// Tells whether the node has heard of the others, or waited for it.
     ///
     /// A node that knows no other takes itself for the owner of every service,
     /// and its calls get in the way of the real owners' calls.
-    fn has_met(&self) -> bool {
-        let waited = self.now().since(Time::ZERO) > MEET_MAX;
+    fn has_met_peers(&self) -> bool {
+        let waited = self.now().since(Time::ZERO) > PEERS_WAIT;
         waited || self.owners().has_heard()
     }
 }
--- a/gateway/src/leaving.rs
+++ b/gateway/src/shutdown.rs
@@ -6,27 +6,27 @@
 use snipeyoke_lib::serving::stopping::Candidate;
 use snipeyoke_lib::time::Time;
 
-use crate::ticket::Ticket;
+use crate::request_context::RequestContext;
 
-impl Ticket {
+impl RequestContext {
     /// Tells whether its node leaves before the request can be expected to end,
     /// and logs what that was judged by.
-    pub(crate) fn refused_by_leaving(&self, ahead: Ahead) -> bool {
-        let Some(stop) = self.shared.stop.get() else {
+    pub(crate) fn refused_by_shutdown(&self, ahead: Ahead) -> bool {
+        let Some(shutdown) = self.shared.shutdown.get() else {
             return false;
         };
         let now = self.shared.now();
-        let request = self.candidate(ahead);
-        let refused = stop.refuses(now, &request);
+        let candidate = self.candidate(ahead);
+        let refused = shutdown.refuses(now, &candidate);
         let millis = |time: Duration| time.as_millis().to_string();
-        let known = request.ahead.map(millis);
+        let bound = candidate.ahead.map(millis);
         log::info!(
             event = "leaving-judged",
-            request = self.ask.id.as_str(),
+            request = self.request.id.as_str(),
             refused,
-            late = stop.is_late_stream(&request),
-            bound_ms = known.as_deref().unwrap_or("-"),
-            stop_ms = millis(stop.end(&request).since(now)).as_str();
+            late = shutdown.is_late_stream(&candidate),
+            bound_ms = bound.as_deref().unwrap_or("-"),
+            stop_ms = millis(shutdown.end(&candidate).since(now)).as_str();
             ""
         );
         refused
@@ -35,19 +35,19 @@
     /// Returns when the request has to be sent at the latest for its answer to
     /// end before its node leaves.
     pub(crate) fn latest_send(&self) -> Time {
-        let Some(stop) = self.shared.stop.get() else {
+        let Some(shutdown) = self.shared.shutdown.get() else {
             return Time::NEVER;
         };
-        stop.latest_send(&self.candidate(Ahead::Answer))
+        shutdown.latest_send(&self.candidate(Ahead::Answer))
     }
 
     fn candidate(&self, ahead: Ahead) -> Candidate {
-        let tokens = self.ask.prompt.and_then(|p| p.output_length());
+        let tokens = self.request.prompt.and_then(|p| p.output_length());
         let durations = self.shared.durations();
         Candidate {
             stream: self.route.kind.is_stream(),
-            began: self.began,
-            due: self.due,
+            began: self.started_at,
+            due: self.deadline,
             ahead: durations.bound(&self.route.name, tokens, ahead),
         }
     }
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -21,18 +21,18 @@
 use crate::dispatch::Failure;
 use crate::dispatch::JobNumber;
 use crate::refusal::Refusal;
-use crate::ticket::Ticket;
+use crate::request_context::RequestContext;
 
 /// The bytes of results that are worth as much as one shared token.
 ///
 /// A request follows its results to their failure domain if they outweigh the
 /// prefix that would be read again there. Both are priced on the platform: a
 /// thousand tokens as much as two to three megabytes.
-const TOKEN_BYTES: u64 = 2_400;
+const BYTES_PER_TOKEN: u64 = 2_400;
 
 /// A result that this request has.
 #[derive(Debug)]
-struct Made {
+struct HeldResult {
     service: PoolName,
     endpoint: EndpointId,
     size: Bytes,
@@ -46,24 +46,24 @@
 pub(crate) struct StageWork {
     dispatcher: Dispatcher,
     plan: Plan,
-    makers: BTreeMap<String, Made>,
-    open: BTreeMap<JobNumber, (usize, Vec<u32>)>,
-    ends: (Sender<Done>, Receiver<Done>),
+    results: BTreeMap<String, HeldResult>,
+    jobs: BTreeMap<JobNumber, (usize, Vec<u32>)>,
+    done: (Sender<Done>, Receiver<Done>),
 }
 
 impl StageWork {
     /// Plans the stages of a request; `None` if it has none.
-    pub(crate) fn plan(ticket: &Ticket) -> Result<Option<Self>, PlanError> {
-        if ticket.route.stages.is_empty() {
+    pub(crate) fn plan(ctx: &RequestContext) -> Result<Option<Self>, PlanError> {
+        if ctx.route.stages.is_empty() {
             return Ok(None);
         }
-        let plan = Plan::new(&ticket.route.stages, &ticket.ask.item_counts)?;
+        let plan = Plan::new(&ctx.route.stages, &ctx.request.item_counts)?;
         Ok(Some(Self {
-            dispatcher: ticket.shared.dispatcher.clone(),
+            dispatcher: ctx.shared.dispatcher.clone(),
             plan,
-            makers: BTreeMap::new(),
-            open: BTreeMap::new(),
-            ends: async_channel::unbounded(),
+            results: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            done: async_channel::unbounded(),
         }))
     }
 
@@ -71,7 +71,7 @@
     /// request itself needs.
     pub(crate) async fn inputs(
         work: Option<&mut Self>,
-        ticket: &mut Ticket,
+        ctx: &mut RequestContext,
     ) -> Result<Vec<String>, Refusal> {
         let Some(work) = work else {
             return Ok(Vec::new());
@@ -81,28 +81,28 @@
             return Err(Refusal::StageFailed);
         }
         while !work.plan.is_done() {
-            if ticket.quarantined().is_some() {
+            if ctx.quarantine_remaining().is_some() {
                 return Err(Refusal::Quarantined);
             }
-            let times = work.times(ticket);
+            let times = work.times(ctx);
             for order in work.plan.orders(&times) {
-                work.submit(ticket, &times, order);
+                work.submit(ctx, &times, order);
             }
-            let done = ticket.in_time_to_send(work.ends.1.recv()).await;
+            let done = ctx.before_latest_send(work.done.1.recv()).await;
             let Some(Ok(done)) = done else {
-                return Err(ticket.timeout());
+                return Err(ctx.timeout_refusal());
             };
-            work.take(ticket, done)?;
+            work.handle_done(ctx, done)?;
             let unneeded = work.plan.unneeded();
-            work.give_back_all(unneeded);
+            work.release_handles(unneeded);
         }
-        if ticket.timeline.staged.is_none() {
-            ticket.timeline.staged = Some(ticket.shared.now());
+        if ctx.timeline.staged.is_none() {
+            ctx.timeline.staged = Some(ctx.shared.now());
         }
         let inputs = work.plan.inputs();
-        let most = work.most(ticket, &inputs);
-        ticket.inputs = most.map(|(domain, size)| (domain, (size.0 / TOKEN_BYTES) as u32));
-        ticket.domain = domain(ticket);
+        let dominant = work.dominant_domain(ctx, &inputs);
+        ctx.inputs = dominant.map(|(domain, size)| (domain, (size.0 / BYTES_PER_TOKEN) as u32));
+        ctx.domain = preferred_domain(ctx);
         Ok(inputs)
     }
 
@@ -112,103 +112,103 @@
     }
 
     /// Gives back all results, once the request has read them.
-    pub(crate) fn give_back(&mut self) {
+    pub(crate) fn release(&mut self) {
         let remaining = self.plan.remaining();
-        self.give_back_all(remaining);
+        self.release_handles(remaining);
     }
 
-    fn submit(&mut self, ticket: &Ticket, times: &StageTimes, order: Order) {
-        let stage = &ticket.route.stages[order.stage];
-        let now = ticket.shared.now();
+    fn submit(&mut self, ctx: &RequestContext, times: &StageTimes, order: Order) {
+        let stage = &ctx.route.stages[order.stage];
+        let now = ctx.shared.now();
         let inputs = match &order.work {
             Work::Key => None,
-            Work::Inputs(handles) => self.most(ticket, handles),
+            Work::Inputs(handles) => self.dominant_domain(ctx, handles),
         };
         let job = Job {
-            request: ticket.ask.id.clone(),
-            fingerprint: Some(ticket.fingerprint()),
+            request: ctx.request.id.clone(),
+            fingerprint: Some(ctx.fingerprint()),
             stage: order.stage,
             pieces: order.pieces.clone(),
             work: order.work,
-            key: ticket.ask.item_key.clone(),
+            key: ctx.request.item_key.clone(),
             each: stage.bytes,
-            goal: later(now, times.goal(order.stage, ticket.goal)),
-            due: later(now, times.due(order.stage, ticket.due)),
-            domain: home(ticket),
-            priority: ticket.urgency(),
+            goal: no_earlier_than(now, times.goal(order.stage, ctx.target)),
+            due: no_earlier_than(now, times.due(order.stage, ctx.deadline)),
+            domain: prompt_domain(ctx),
+            priority: ctx.urgency(),
             inputs,
         };
         let number = self
             .dispatcher
-            .submit(stage.service.clone(), job, self.ends.0.clone());
-        self.open.insert(number, (order.stage, order.pieces));
+            .submit(stage.service.clone(), job, self.done.0.clone());
+        self.jobs.insert(number, (order.stage, order.pieces));
     }
 
     /// Returns the expected times of the stages, as of now.
-    fn times(&self, ticket: &Ticket) -> StageTimes {
-        let prompt = ticket.ask.prompt;
+    fn times(&self, ctx: &RequestContext) -> StageTimes {
+        let prompt = ctx.request.prompt;
         let tokens = prompt.map_or(0, |p| p.tokens - p.shared.min(p.tokens));
-        let model = ticket.shared.paces().expected(&ticket.service, tokens);
-        let limits = |name: &PoolName| ticket.catalog.service(name)?.pieces.clone();
-        StageTimes::new(&ticket.route.stages, &self.plan.counts(), model, limits)
+        let model = ctx.shared.paces().expected(&ctx.service, tokens);
+        let limits = |name: &PoolName| ctx.catalog.service(name)?.pieces.clone();
+        StageTimes::new(&ctx.route.stages, &self.plan.counts(), model, limits)
     }
 
-    fn take(&mut self, ticket: &mut Ticket, done: Done) -> Result<(), Refusal> {
-        let Some((stage, pieces)) = self.open.remove(&done.number) else {
+    fn handle_done(&mut self, ctx: &mut RequestContext, done: Done) -> Result<(), Refusal> {
+        let Some((stage, items)) = self.jobs.remove(&done.number) else {
             return Ok(());
         };
-        let service = &ticket.route.stages[stage].service;
-        for made in done.made {
-            let result = Made {
+        let service = &ctx.route.stages[stage].service;
+        for result in done.made {
+            let held = HeldResult {
                 service: service.clone(),
-                endpoint: made.endpoint,
-                size: ticket.route.stages[stage].bytes,
+                endpoint: result.endpoint,
+                size: ctx.route.stages[stage].bytes,
             };
-            self.makers.insert(made.handle.clone(), result);
-            self.plan.done(stage, made.piece, made.handle);
+            self.results.insert(result.handle.clone(), held);
+            self.plan.done(stage, result.piece, result.handle);
         }
         if let Some(failure) = done.failure {
-            log::info!(event = "stage-failed", request = ticket.ask.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ticket.left().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
-            ticket.backlog = done.backlog;
+            log::info!(event = "stage-failed", request = ctx.request.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ctx.remaining().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
+            ctx.backlog = done.backlog;
         }
-        let again = match done.failure {
+        let retry = match done.failure {
             None => return Ok(()),
             Some(Failure::Late) => return Err(Refusal::StagesLate),
-            Some(Failure::Gone) => self.inputs_gone(stage, &pieces),
-            Some(Failure::Failed) => self.failed(stage, &pieces),
+            Some(Failure::Gone) => self.inputs_gone(stage, &items),
+            Some(Failure::Failed) => self.stage_failed(stage, &items),
         };
-        again.map_err(|error| {
-            log::warn!(event = "stage-given-up", request = ticket.ask.id.as_str(), stage, error = error.to_string().as_str(); "");
+        retry.map_err(|error| {
+            log::warn!(event = "stage-given-up", request = ctx.request.id.as_str(), stage, error = error.to_string().as_str(); "");
             Refusal::StageFailed
         })
     }
 
-    fn inputs_gone(&mut self, stage: usize, pieces: &[u32]) -> Result<(), PlanError> {
-        if let Some(&first) = pieces.first() {
+    fn inputs_gone(&mut self, stage: usize, items: &[u32]) -> Result<(), PlanError> {
+        if let Some(&first) = items.first() {
             self.plan.inputs_gone(stage, first)?;
         }
-        self.reopen(stage, pieces);
+        self.reopen(stage, items);
         Ok(())
     }
 
-    fn failed(&mut self, stage: usize, pieces: &[u32]) -> Result<(), PlanError> {
-        if let Some(&first) = pieces.first() {
+    fn stage_failed(&mut self, stage: usize, items: &[u32]) -> Result<(), PlanError> {
+        if let Some(&first) = items.first() {
             self.plan.failed(stage, first)?;
         }
-        self.reopen(stage, pieces);
+        self.reopen(stage, items);
         Ok(())
     }
 
-    fn reopen(&mut self, stage: usize, pieces: &[u32]) {
-        for &piece in pieces {
-            self.plan.reopen(stage, piece);
+    fn reopen(&mut self, stage: usize, items: &[u32]) {
+        for &item in items {
+            self.plan.reopen(stage, item);
         }
     }
 
-    fn give_back_all(&mut self, handles: Vec<String>) {
+    fn release_handles(&mut self, handles: Vec<String>) {
         let mut by_service: BTreeMap<PoolName, Vec<(EndpointId, String)>> = BTreeMap::new();
         for handle in handles {
-            if let Some(result) = self.makers.remove(&handle) {
+            if let Some(result) = self.results.remove(&handle) {
                 by_service
                     .entry(result.service)
                     .or_default()
@@ -221,11 +221,15 @@
     }
 
     /// Returns where most of some results lie, and how much.
-    fn most(&self, ticket: &Ticket, handles: &[String]) -> Option<(FailureDomain, Bytes)> {
+    fn dominant_domain(
+        &self,
+        ctx: &RequestContext,
+        handles: &[String],
+    ) -> Option<(FailureDomain, Bytes)> {
         let mut sizes: BTreeMap<FailureDomain, u64> = BTreeMap::new();
-        let directory = ticket.shared.directory();
+        let directory = ctx.shared.directory();
         for handle in handles {
-            let result = self.makers.get(handle)?;
+            let result = self.results.get(handle)?;
             let Some(endpoint) = directory.get(&result.endpoint) else {
                 continue;
             };
@@ -239,29 +243,29 @@
 
 impl Drop for StageWork {
     fn drop(&mut self) {
-        for &number in self.open.keys() {
+        for &number in self.jobs.keys() {
             self.dispatcher.cancel(number);
         }
-        self.give_back();
+        self.release();
     }
 }
 
 /// Returns where the request should run to be near its results, if that is worth
 /// following.
-fn domain(ticket: &Ticket) -> Option<FailureDomain> {
-    let (domain, tokens) = ticket.inputs.as_ref()?;
-    let shared = ticket.ask.prompt.map_or(0, |p| p.shared);
+fn preferred_domain(ctx: &RequestContext) -> Option<FailureDomain> {
+    let (domain, tokens) = ctx.inputs.as_ref()?;
+    let shared = ctx.request.prompt.map_or(0, |p| p.shared);
     (*tokens > shared).then(|| domain.clone())
 }
 
 /// Returns where the request's prompt would best be read.
-fn home(ticket: &Ticket) -> Option<FailureDomain> {
-    let prompt = ticket.ask.prompt?;
-    let directory = ticket.shared.directory();
-    let entry = directory.home(&ticket.service, prompt.prefix)?;
+fn prompt_domain(ctx: &RequestContext) -> Option<FailureDomain> {
+    let prompt = ctx.request.prompt?;
+    let directory = ctx.shared.directory();
+    let entry = directory.home(&ctx.service, prompt.prefix)?;
     Some(entry.domain.clone())
 }
 
-fn later(now: Time, at: Time) -> Time {
+fn no_earlier_than(now: Time, at: Time) -> Time {
     at.max(now)
 }
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Requests that are answered by a stream of events.
+//! Requests that are response by a stream of events.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -9,110 +9,118 @@
 use snipeyoke_runtime::http::cuttable;
 use snipeyoke_runtime::http::full;
 
-use crate::attempt::Answered;
-use crate::attempt::is_promise;
-use crate::attempt::note_break;
-use crate::attempt::note_failure;
-use crate::attempt::note_time;
-use crate::plain::Head;
-use crate::plain::pass_on;
-use crate::plain::refuse;
-use crate::plain::reply;
+use crate::attempt::OpenResponse;
+use crate::attempt::claims_not_run;
+use crate::attempt::record_failure;
+use crate::attempt::record_latency;
+use crate::attempt::report_break;
 use crate::refusal::Refusal;
+use crate::request_context::RequestContext;
 use crate::retry::Step;
-use crate::retry::may_repeat;
-use crate::retry::step;
+use crate::retry::attempt_step;
+use crate::retry::try_repeat;
 use crate::stages::StageWork;
-use crate::ticket::Ticket;
+use crate::unary::Head;
+use crate::unary::refuse;
+use crate::unary::relay;
+use crate::unary::reply;
 
 /// The most bytes of an endpoint's failure that are passed on.
-const FAILURE_MAX: usize = 64 << 10;
+const ERROR_BODY_MAX: usize = 64 << 10;
 
 /// Drives a request to the head of its stream; the rest follows in the body.
-pub(crate) async fn stream(mut ticket: Ticket, mut stages: Option<StageWork>) -> Reply {
-    let mut events = Events::after(ticket.ask.last_event);
-    match begin(&mut ticket, &mut stages, &events).await {
-        Begun::Stream(mut answered) => {
-            let status = answered.call.head.status;
-            let headers = std::mem::take(&mut answered.answer.headers);
+pub(crate) async fn serve_stream(mut ctx: RequestContext, mut stages: Option<StageWork>) -> Reply {
+    let mut events = Events::after(ctx.request.last_event);
+    match start_stream(&mut ctx, &mut stages, &events).await {
+        StreamStart::Stream(mut response) => {
+            let status = response.call.head.status;
+            let headers = std::mem::take(&mut response.head.headers);
             events.drop_rest();
-            ticket.begun = true;
-            let run = Run {
-                ticket,
+            ctx.response_started = true;
+            let active = ActiveStream {
+                ctx,
                 stages,
                 events,
-                answered: Some(answered),
+                response: Some(response),
             };
-            reply(status, headers, cuttable(stream::unfold(run, Run::step)))
+            reply(
+                status,
+                headers,
+                cuttable(stream::unfold(active, ActiveStream::next_chunk)),
+            )
         }
-        Begun::Failure(head, bytes) => pass_on(ticket, head, full(bytes)),
-        Begun::Refused(refusal) => refuse(ticket, refusal),
+        StreamStart::Failed(head, bytes) => relay(ctx, head, full(bytes)),
+        StreamStart::Refused(refusal) => refuse(ctx, refusal),
     }
 }
 
-enum Begun {
-    Stream(Box<Answered>),
-    Failure(Head, Bytes),
+enum StreamStart {
+    Stream(Box<OpenResponse>),
+    Failed(Head, Bytes),
     Refused(Refusal),
 }
 
 /// Tries endpoints until one begins, or goes on with, the stream.
-async fn begin(ticket: &mut Ticket, stages: &mut Option<StageWork>, events: &Events) -> Begun {
+async fn start_stream(
+    ctx: &mut RequestContext,
+    stages: &mut Option<StageWork>,
+    events: &Events,
+) -> StreamStart {
     loop {
-        let answered = match step(ticket, stages, events.last()).await {
-            Step::Answered(answered) => answered,
-            Step::Again => continue,
-            Step::Refused(refusal) => return Begun::Refused(refusal),
+        let response = match attempt_step(ctx, stages, events.last()).await {
+            Step::Response(response) => response,
+            Step::Retry => continue,
+            Step::Refused(refusal) => return StreamStart::Refused(refusal),
         };
-        match opened(ticket, *answered).await {
-            Ok(answered) => return Begun::Stream(answered),
-            Err(_) if may_repeat(ticket, "endpoint-failed") => {}
-            Err(Some((head, bytes))) => return Begun::Failure(head, bytes),
-            Err(None) => return Begun::Refused(Refusal::AnswerLost),
+        match check_response(ctx, *response).await {
+            Ok(response) => return StreamStart::Stream(response),
+            Err(_) if try_repeat(ctx, "endpoint-failed") => {}
+            Err(Some((head, bytes))) => return StreamStart::Failed(head, bytes),
+            Err(None) => return StreamStart::Refused(Refusal::AnswerLost),
         }
     }
 }
 
 /// Takes an answer as a stream, or returns the failure that it is.
-async fn opened(
-    ticket: &Ticket,
-    mut answered: Answered,
-) -> Result<Box<Answered>, Option<(Head, Bytes)>> {
-    let status = answered.call.head.status;
-    if status.is_success() && answered.answer.signed {
-        return Ok(Box::new(answered));
+async fn check_response(
+    ctx: &RequestContext,
+    mut response: OpenResponse,
+) -> Result<Box<OpenResponse>, Option<(Head, Bytes)>> {
+    let status = response.call.head.status;
+    if status.is_success() && response.head.signed {
+        return Ok(Box::new(response));
     }
-    note_failure(ticket, &mut answered.flight);
-    if status.is_success() || is_promise(status) {
+    record_failure(ctx, &mut response.flight);
+    if status.is_success() || claims_not_run(status) {
         return Err(None);
     }
     let mut body = Vec::new();
-    while let Some(Ok(Some(bytes))) = ticket.within(answered.call.next()).await {
+    while let Some(Ok(Some(bytes))) = ctx.before_give_up(response.call.next()).await {
         body.extend_from_slice(&bytes);
-        if body.len() > FAILURE_MAX {
+        if body.len() > ERROR_BODY_MAX {
             return Err(None);
         }
     }
-    let headers = std::mem::take(&mut answered.answer.headers);
+    let headers = std::mem::take(&mut response.head.headers);
     Err(Some(((status, headers), body.into())))
 }
 
 /// A stream under way.
-struct Run {
-    ticket: Ticket,
+struct ActiveStream {
+    ctx: RequestContext,
     stages: Option<StageWork>,
     events: Events,
-    answered: Option<Box<Answered>>,
+    response: Option<Box<OpenResponse>>,
 }
 
-impl Run {
+impl ActiveStream {
     /// Returns the next whole events, from whichever endpoint has them.
-    async fn step(mut self) -> Option<(Result<Bytes, Cut>, Self)> {
+    async fn next_chunk(mut self) -> Option<(Result<Bytes, Cut>, Self)> {
         loop {
-            let Some(answered) = &mut self.answered else {
+            let Some(response) = &mut self.response else {
                 return None;
             };
-            let why = match self.ticket.in_time(answered.call.next()).await {
+            let why = match self.ctx.before_deadline(response.call.next()).await {
                 None => {
                     self.finish("timeout");
                     return Some((Err(Cut), self));
@@ -120,15 +128,15 @@
                 Some(Ok(Some(bytes))) => match self.events.push(&bytes) {
                     Ok(out) if out.is_empty() => continue,
                     Ok(out) => {
-                        self.ticket.timeline.events = self.events.count();
-                        self.note_first();
+                        self.ctx.timeline.events = self.events.count();
+                        self.record_first_event();
                         return Some((Ok(out.into()), self));
                     }
                     Err(error) => error.to_string(),
                 },
                 Some(Ok(None)) if !self.events.is_torn() => {
-                    if let Some(answered) = &mut self.answered {
-                        answered.flight.settle();
+                    if let Some(response) = &mut self.response {
+                        response.flight.settle();
                     }
                     self.finish("answered");
                     return None;
@@ -136,51 +144,51 @@
                 Some(Ok(None)) => "ended in the middle of an event".to_owned(),
                 Some(Err(error)) => error.to_string(),
             };
-            if !self.go_on(&why).await {
+            if !self.resume(&why).await {
                 self.finish("cut");
                 return Some((Err(Cut), self));
             }
         }
     }
 
-    fn note_first(&mut self) {
-        let now = self.ticket.shared.now();
-        if self.ticket.timeline.first.is_some() {
+    fn record_first_event(&mut self) {
+        let now = self.ctx.shared.now();
+        if self.ctx.timeline.first_output.is_some() {
             return;
         }
-        self.ticket.timeline.first = Some(now);
-        if let Some(answered) = &self.answered {
-            note_time(&self.ticket, &answered.flight, answered.sent);
+        self.ctx.timeline.first_output = Some(now);
+        if let Some(response) = &self.response {
+            record_latency(&self.ctx, &response.flight, response.sent);
         }
         // The endpoint read the stages' results before the prompt.
         if let Some(stages) = &mut self.stages {
-            stages.give_back();
+            stages.release();
         }
     }
 
     /// Goes on at another endpoint after the last event, inside the same answer.
-    async fn go_on(&mut self, why: &str) -> bool {
-        if let Some(mut answered) = self.answered.take() {
-            let endpoint = answered.flight.endpoint.to_string();
-            log::warn!(event = "stream-broken", request = self.ticket.ask.id.as_str(), endpoint = endpoint.as_str(), events = self.events.count(), why; "");
-            note_failure(&self.ticket, &mut answered.flight);
-            note_break(&self.ticket, &mut answered.flight);
+    async fn resume(&mut self, why: &str) -> bool {
+        if let Some(mut response) = self.response.take() {
+            let endpoint = response.flight.endpoint.to_string();
+            log::warn!(event = "stream-broken", request = self.ctx.request.id.as_str(), endpoint = endpoint.as_str(), events = self.events.count(), why; "");
+            record_failure(&self.ctx, &mut response.flight);
+            report_break(&self.ctx, &mut response.flight);
         }
         self.events.drop_rest();
-        if !may_repeat(&self.ticket, "stream-broken") {
+        if !try_repeat(&self.ctx, "stream-broken") {
             return false;
         }
-        match begin(&mut self.ticket, &mut self.stages, &self.events).await {
-            Begun::Stream(answered) => {
-                self.answered = Some(answered);
+        match start_stream(&mut self.ctx, &mut self.stages, &self.events).await {
+            StreamStart::Stream(response) => {
+                self.response = Some(response);
                 true
             }
-            Begun::Failure(..) | Begun::Refused(_) => false,
+            StreamStart::Failed(..) | StreamStart::Refused(_) => false,
         }
     }
 
     fn finish(&mut self, outcome: &'static str) {
-        self.answered = None;
-        self.ticket.end(StatusCode::OK, outcome);
+        self.response = None;
+        self.ctx.set_outcome(StatusCode::OK, outcome);
     }
 }
--- /dev/null
+++ b/gateway/src/unary.rs
@@ -0,0 +1,169 @@
+//! Requests with one answer.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+use futures_util::stream;
+use hyper::StatusCode;
+use snipeyoke_runtime::http::Cut;
+use snipeyoke_runtime::http::Reply;
+use snipeyoke_runtime::http::ReplyBody;
+use snipeyoke_runtime::http::cuttable;
+use snipeyoke_runtime::http::full;
+
+use crate::attempt::OpenResponse;
+use crate::attempt::claims_not_run;
+use crate::attempt::record_failure;
+use crate::attempt::record_latency;
+use crate::attempt::report_break;
+use crate::refusal::Refusal;
+use crate::request_context::RequestContext;
+use crate::retry::Step;
+use crate::retry::attempt_step;
+use crate::retry::try_repeat;
+use crate::stages::StageWork;
+use snipeyoke_lib::serving::come_back::come_back;
+use snipeyoke_lib::serving::come_back::elsewhere;
+
+/// The most bytes of an answer that are buffer before it is passed on.
+///
+/// An answer that breaks off before this can still be had from another
+/// endpoint; a longer one is passed on as it comes.
+const BUFFER_MAX: usize = 256 << 10;
+
+/// Drives a request to its one answer.
+pub(crate) async fn serve_unary(mut ctx: RequestContext, mut stages: Option<StageWork>) -> Reply {
+    loop {
+        let response = match attempt_step(&mut ctx, &mut stages, None).await {
+            Step::Response(response) => response,
+            Step::Retry => continue,
+            Step::Refused(refusal) => return refuse(ctx, refusal),
+        };
+        let refusal = match read_response(&mut ctx, *response).await {
+            ReadResult::Oversized(head, first, rest) => {
+                return relay_oversized(ctx, head, first, rest);
+            }
+            ReadResult::Failed(_) if try_repeat(&ctx, "endpoint-failed") => continue,
+            ReadResult::Complete(head, bytes) | ReadResult::Failed(Some((head, bytes))) => {
+                return relay(ctx, head, full(bytes));
+            }
+            ReadResult::Failed(None) => Refusal::AnswerLost,
+            ReadResult::Timeout => ctx.timeout_refusal(),
+        };
+        return refuse(ctx, refusal);
+    }
+}
+
+/// Answers with a refusal that is true for what happened so far.
+pub(crate) fn refuse(mut ctx: RequestContext, refusal: Refusal) -> Reply {
+    let claims_not_run = refusal.status() == StatusCode::SERVICE_UNAVAILABLE;
+    // An earlier try may have run: "not run" would be false, and the caller
+    // would have its approval done twice.
+    let refusal = if claims_not_run && ctx.may_have_run {
+        Refusal::AnswerLost
+    } else {
+        refusal
+    };
+    ctx.set_outcome(refusal.status(), refusal.name());
+    let wait = match refusal {
+        Refusal::Leaving => elsewhere(ctx.sample()),
+        Refusal::Quarantined => {
+            let remaining = ctx.quarantine_remaining().unwrap_or_default();
+            remaining + come_back(Duration::ZERO, Duration::ZERO, ctx.sample())
+        }
+        _ => come_back(ctx.backlog, ctx.remaining(), ctx.sample()),
+    };
+    refusal.reply(wait)
+}
+
+/// The head of an endpoint's answer.
+pub(crate) type Head = (StatusCode, hyper::HeaderMap);
+
+enum ReadResult {
+    Complete(Head, Bytes),
+    Oversized(Head, Bytes, Box<OpenResponse>),
+    Failed(Option<(Head, Bytes)>),
+    Timeout,
+}
+
+async fn read_response(ctx: &mut RequestContext, mut response: OpenResponse) -> ReadResult {
+    let status = response.call.head.status;
+    let headers = std::mem::take(&mut response.head.headers);
+    let mut buffer = BytesMut::new();
+    loop {
+        match ctx.before_give_up(response.call.next()).await {
+            None => return ReadResult::Timeout,
+            Some(Ok(Some(bytes))) => buffer.extend_from_slice(&bytes),
+            Some(Ok(None)) => {
+                response.flight.settle();
+                break;
+            }
+            Some(Err(error)) => {
+                log::warn!(event = "answer-broken", request = ctx.request.id.as_str(), endpoint = response.flight.endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
+                record_failure(ctx, &mut response.flight);
+                report_break(ctx, &mut response.flight);
+                return ReadResult::Failed(None);
+            }
+        }
+        if buffer.len() > BUFFER_MAX && status.is_success() && response.head.signed {
+            return ReadResult::Oversized((status, headers), buffer.freeze(), Box::new(response));
+        }
+    }
+    ctx.timeline.first_output = Some(ctx.shared.now());
+    if status.is_success() && response.head.signed {
+        record_latency(ctx, &response.flight, response.sent);
+        return ReadResult::Complete((status, headers), buffer.freeze());
+    }
+    record_failure(ctx, &mut response.flight);
+    let usable = !status.is_success() && !claims_not_run(status);
+    ReadResult::Failed(usable.then(|| ((status, headers), buffer.freeze())))
+}
+
+pub(crate) fn relay(mut ctx: RequestContext, (status, headers): Head, body: ReplyBody) -> Reply {
+    let outcome = if status.is_success() {
+        "answered"
+    } else {
+        "endpoint-error"
+    };
+    ctx.set_outcome(status, outcome);
+    reply(status, headers, body)
+}
+
+pub(crate) fn reply(status: StatusCode, headers: hyper::HeaderMap, body: ReplyBody) -> Reply {
+    let mut reply = Reply::new(body);
+    *reply.status_mut() = status;
+    *reply.headers_mut() = headers;
+    reply
+}
+
+fn relay_oversized(
+    ctx: RequestContext,
+    (status, headers): Head,
+    first: Bytes,
+    rest: Box<OpenResponse>,
+) -> Reply {
+    let state = (ctx, rest, Some(first));
+    let chunks = stream::unfold(Some(state), move |state| async move {
+        let (mut ctx, mut rest, first) = state?;
+        if let Some(first) = first {
+            return Some((Ok(first), Some((ctx, rest, None))));
+        }
+        match ctx.before_deadline(rest.call.next()).await {
+            Some(Ok(Some(bytes))) => Some((Ok(bytes), Some((ctx, rest, None)))),
+            Some(Ok(None)) => {
+                rest.flight.settle();
+                ctx.set_outcome(status, "answered");
+                None
+            }
+            broken @ (None | Some(Err(_))) => {
+                if broken.is_some() {
+                    report_break(&ctx, &mut rest.flight);
+                }
+                ctx.set_outcome(status, "cut");
+                Some((Err(Cut), None))
+            }
+        }
+    });
+    reply(status, headers, cuttable(chunks))
+}
