--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one endpoint.
+//! A single attempt of a request at one endpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,45 +30,45 @@
 
 /// How long a request waits for the first endpoint of its service.
 ///
-/// Entries that lapsed with the registry are back within two seconds of its
-/// return; a service without endpoints for longer has none.
+/// Entries that expired during a registry outage are back within two seconds of
+/// its return. A service without endpoints for longer has none.
 const ENDPOINT_WAIT: Duration = Duration::from_secs(2);
 
-/// The most connections that are tried for one request.
+/// The maximum number of failed connections per attempt.
 ///
-/// A failed connection is no try: the endpoint never had the request. With
-/// more of them failing than this the service is away.
+/// A failed connection is not an attempt, since the endpoint never received the
+/// request. When more than this fail, the service is down.
 const CONNECTS_MAX: usize = 4;
 
-/// How long a request waits to be told its endpoint.
+/// How long a request waits for the response to its placement request.
 ///
-/// The node that is asked answers within milliseconds. An endpoint chosen without
-/// it is as good as one that is known this late: it has read 4,000 tokens by then.
+/// The booking node responds within milliseconds. An endpoint chosen locally is
+/// as good as one known this late: it has read 4,000 tokens by then.
 const PLACEMENT_WAIT: Duration = Duration::from_millis(60);
 
-/// The shared tokens from which a prompt is kept to an endpoint.
+/// The number of shared tokens from which a prompt stays with one endpoint.
 ///
-/// Fewer are read again in less time than a busier endpoint costs.
+/// Reading fewer tokens again costs less time than using a busier endpoint.
 const SHARED_TOKENS_MIN: u32 = 256;
 
-/// What one try brought.
+/// The result of one attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptResult {
-    /// An endpoint answers; the body is still to be read.
+    /// The endpoint responded; the body is still to be read.
     Response(Box<OpenResponse>),
-    /// Nothing ran at this try.
+    /// The endpoint did not run the request in this attempt.
     NotRun(Refusal),
-    /// It was not sent: its service has had no endpoint for a while.
+    /// Not sent: the service has had no endpoint for a while.
     NoEndpoint,
-    /// It was not sent: this node leaves before the answer would end.
+    /// Not sent: this node shuts down before the response would end.
     Leaving,
-    /// One of the stages' results is gone; nothing ran.
+    /// An input from an earlier stage is gone; the request did not run.
     InputsGone,
-    /// The request may have run, and there is no answer.
+    /// The request may have run, and there is no response.
     Unknown(Refusal),
 }
 
-/// An endpoint's answer.
+/// An endpoint's response whose body is still to be read.
 #[derive(Debug)]
 pub(crate) struct OpenResponse {
     pub(crate) call: Call,
@@ -77,22 +77,22 @@
     pub(crate) sent: Time,
 }
 
-/// Counts a call at its endpoint until it is dropped.
+/// Counts a call as in flight at its endpoint until dropped.
 ///
-/// Dropped while the endpoint may still work on it, it tells that the request was
-/// given up.
+/// If dropped while the endpoint may still work on the call, reports the
+/// request as given up.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) endpoint: EndpointId,
     started_at: Option<u64>,
     address: SocketAddr,
-    /// Its booking, if another node may know of it.
+    /// The booking, if another node may hold it.
     booking: Option<Booking>,
     request: Fingerprint,
-    /// Set before the first byte of the request may have left.
+    /// Set before the first byte of the request may be sent.
     handed_off: Flag,
-    /// Whether it is known what became of it at the endpoint.
+    /// Whether the outcome at the endpoint is known.
     settled: bool,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Notes that it is known what became of it at the endpoint.
+    /// Marks the outcome at the endpoint as known.
     pub(crate) const fn settle(&mut self) {
         self.settled = true;
     }
@@ -151,11 +151,11 @@
         let Some(choice) = choice else {
             return AttemptResult::NoEndpoint;
         };
-        // The verdict may have come while it waited in its stages.
+        // The request may have been quarantined while its stages ran.
         if ctx.quarantine_remaining().is_some() {
             return AttemptResult::NotRun(Refusal::Quarantined);
         }
-        // What has begun can't be refused any more.
+        // A response that has started can no longer be refused.
         if !ctx.response_started && ctx.refused_by_shutdown(Ahead::Answer) {
             return AttemptResult::Leaving;
         }
@@ -218,9 +218,9 @@
     }
 }
 
-/// Has the endpoint of a prompt chosen where all prompts are known.
+/// Requests the endpoint for a prompt from the node that books its service.
 ///
-/// `None` if this node has to choose by itself.
+/// Returns `None` if this node has to choose by itself.
 async fn request_placement(
     ctx: &RequestContext,
     failed: &[EndpointId],
@@ -314,7 +314,7 @@
     log::warn!(event = "call-failed", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
 }
 
-/// Tells what the head of an answer means for the request.
+/// Maps the head of a response to the result of the attempt.
 fn classify_response(
     ctx: &mut RequestContext,
     call: Call,
@@ -335,8 +335,8 @@
         ctx.may_have_run = may_have_run;
         return classify_refusal(ctx, &endpoint, head.verdict, status);
     }
-    // An endpoint may send a second answer to another request; taken for this
-    // one's, the caller would get a stranger's bytes.
+    // An endpoint may send a second response to another request. Without this
+    // check the caller would receive data of another caller.
     if head.id.as_deref() != Some(ctx.request.id.as_str()) || head.encoded {
         log::warn!(event = "answer-of-another", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), found = head.id.as_deref().unwrap_or("-"); "");
         if let Some(health) = shared.directory().health_mut(&endpoint) {
@@ -352,7 +352,7 @@
     }))
 }
 
-/// Tells what an endpoint's refusal means for the request.
+/// Maps an endpoint's refusal to the result of the attempt.
 fn classify_refusal(
     ctx: &mut RequestContext,
     endpoint: &EndpointId,
@@ -378,7 +378,7 @@
     AttemptResult::NotRun(Refusal::Full)
 }
 
-/// Notes an answer's time against what was expected of the service.
+/// Records the latency of a response against the service's expected time.
 pub(crate) fn record_latency(ctx: &RequestContext, flight: &InFlight, sent: Time) {
     let shared = &ctx.shared;
     let endpoint = &flight.endpoint;
@@ -395,7 +395,7 @@
     }
 }
 
-/// Notes an answer that says that the endpoint failed, or was broken off.
+/// Records a response that reports an endpoint failure or was cut short.
 pub(crate) fn record_failure(ctx: &RequestContext, flight: &mut InFlight) {
     let now = ctx.shared.now();
     if let Some(health) = ctx.shared.directory().health_mut(&flight.endpoint) {
@@ -406,17 +406,17 @@
     }
 }
 
-/// Notes that the connection of a call broke before its whole answer.
+/// Reports that a connection broke before the response was complete.
 pub(crate) fn report_break(ctx: &RequestContext, flight: &mut InFlight) {
     flight.settle();
     let dispatcher = &ctx.shared.dispatcher;
     dispatcher.broke(flight.incarnation(), flight.address, flight.request);
 }
 
-/// Tells whether a status says that the request did not run.
+/// Returns whether a status claims that the request did not run.
 ///
-/// Passed on from an endpoint that does not vouch for it, the promise would be
-/// the node's own, and false.
+/// Such a status must not be relayed from an endpoint that does not vouch for
+/// it: the node would make a false claim of its own.
 pub(crate) const fn claims_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -1,9 +1,9 @@
-//! One HTTP call to an endpoint, on a connection of its own.
+//! A single HTTP call to an endpoint, on its own connection.
 //!
-//! A connection carries one request and is closed. On a kept connection a late
-//! second answer would be taken for the answer to the next request, and a
-//! request that crosses the endpoint's close could not be told from one that
-//! ran; both are impossible here, for one handshake a request.
+//! A connection carries one request and is then closed. On a reused connection,
+//! a late second response would be taken for the response to the next request,
+//! and a request sent while the endpoint closes the connection could not be
+//! told from one that ran. The cost is one handshake per request.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,52 +26,51 @@
 use snipeyoke_runtime::link;
 use snipeyoke_runtime::threads::Exec;
 
-/// The longest time to connect.
+/// The time limit for a connection.
 ///
-/// Hosts answer within milliseconds. A lost opening packet is sent again after
-/// a second, which is too late for most callers: another endpoint is faster.
+/// Hosts respond within milliseconds. A lost SYN is sent again after a second,
+/// which is too late for most callers; another endpoint is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest time that bytes may go unacknowledged.
+/// The maximum time that sent bytes may stay unacknowledged.
 ///
-/// An endpoint without power never answers. With the first probe after a
-/// second of silence it is found within about two.
+/// An endpoint without power never responds. With the first keepalive probe
+/// after a second of silence, it is detected within about two.
 const UNACKED_MAX: Duration = Duration::from_millis(1_200);
 
-/// The silence after which the system probes a connection.
+/// The idle time after which the kernel sends keepalive probes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug)]
 #[derive(Display, Error)]
 pub(crate) enum CallError {
-    /// No connection: the request was not sent.
+    /// No connection; the request was not sent.
     #[display("no connection: {_0}; the request was not sent")]
     NotSent(io::Error),
-    /// The connection took no request: it was not sent.
+    /// The connection accepted no request; the request was not sent.
     #[display("the connection closed before the request was sent: {_0}")]
     NotAccepted(hyper::Error),
-    /// The connection failed after the request may have been read.
+    /// The connection failed after the endpoint may have read the request.
     #[display("the connection failed: {_0}; the request may have run")]
     Broken(hyper::Error),
 }
 
 impl CallError {
-    /// Tells whether the endpoint's host refused the connection.
+    /// Returns whether the endpoint's host refused the connection.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, Self::NotSent(e) if e.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Tells whether the request surely never left this process.
+    /// Returns whether the request certainly was not sent.
     pub(crate) const fn is_not_sent(&self) -> bool {
         !matches!(self, Self::Broken(_))
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 ///
-/// The connection closes when this is dropped, which cancels the work at the
-/// endpoint.
+/// Dropping it closes the connection, which cancels the work at the endpoint.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) head: response::Parts,
@@ -91,9 +90,9 @@
     }
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
-/// `handed_off` is set before the first byte of it may leave.
+/// Sets `handed_off` before the first byte may be sent.
 pub(crate) async fn send_request(
     exec: &Exec,
     address: SocketAddr,
@@ -107,7 +106,7 @@
         .await
         .map_err(CallError::NotAccepted)?;
     let conn = exec.spawn(async move {
-        // How the connection ends is told by the answer or its body.
+        // Errors of the connection surface in the response or its body.
         let _ended = conn.await;
     });
     handed_off.set();
--- a/gateway/src/changes.rs
+++ b/gateway/src/changes.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration: a read of one node waits for changes, others bound its age.
+//! Follows the configuration: one node long-polls for changes, and polls of all
+//! nodes bound the age of their replicas.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -30,9 +31,10 @@
     }
 }
 
-/// Waits for changes of the configuration until its history is gone.
+/// Long-polls for changes of the configuration until its history is truncated.
 ///
-/// Only the node that reads for all waits at the registry, and tells the others.
+/// Only the registry reader polls the registry this way; it notifies the other
+/// nodes.
 async fn wait_for_changes(shared: &Shared, backoff: &mut Backoff, waits: &mut Waits) {
     let mut failing = false;
     loop {
@@ -57,11 +59,10 @@
     }
 }
 
-/// Waits once for a change; `None` if the read was given up for another.
+/// Waits once for a change; returns `None` if the read was abandoned.
 ///
-/// While the registry is silent it may swallow a read that waits, which then
-/// waits for an answer that never comes. The reads that don't wait tell when the
-/// registry answers again.
+/// An unresponsive registry may lose a long poll, which then never gets a
+/// response. The short polls detect when the registry responds again.
 async fn long_poll(shared: &Shared, from: Offset, wait: Duration) -> Option<Update> {
     let started_at = shared.now();
     let receiving = AtomicBool::new(false);
@@ -83,7 +84,7 @@
     update
 }
 
-/// Names the way a read ended, for the log.
+/// Returns the name of a read's outcome for the log.
 fn outcome_name(update: Option<&Update>) -> &'static str {
     match update {
         Some(Update::Records { records, .. }) if records.is_empty() => "nothing-new",
@@ -94,11 +95,11 @@
     }
 }
 
-/// Ends when the registry answers again and may have lost a read that waits.
+/// Ends when the registry responds again and may have lost a long poll.
 ///
-/// What is on its way was not lost. On a full link short reads fail and work
-/// again every second: a large answer that is dropped each time begins anew each
-/// time, and fills the link for nothing.
+/// A response in progress was not lost. On a saturated link, short reads fail
+/// and succeed again every second. Restarting a large response each time would
+/// waste the link's bandwidth.
 async fn read_lost(shared: &Shared, from: Offset, receiving: &AtomicBool) -> Option<Update> {
     shared.registry_regained.listen().await;
     while receiving.load(Ordering::Relaxed) {
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The border to what callers and endpoints speak.
+//! The interface to the protocols of callers and endpoints.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -17,23 +17,23 @@
 use snipeyoke_lib::serving::pieces::Item;
 use snipeyoke_lib::serving::pieces::Outcome;
 
-/// What a request says of its prompt.
+/// What a request declares about its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Prompt {
-    /// All tokens to be read.
+    /// The total number of tokens to read.
     pub tokens: u32,
-    /// The tokens of the parts that other requests share.
+    /// The number of tokens in the parts that other requests share.
     pub shared: u32,
-    /// The hash of those parts, in order; 0 if there are none.
+    /// The hash of the shared parts, in order; 0 if there are none.
     pub prefix: u64,
-    /// The most tokens of the answer; `None` if the request does not say.
+    /// The maximum number of output tokens, if declared.
     pub max_output: Option<u32>,
-    /// The tokens that the caller expects of the answer, if it says.
+    /// The number of output tokens that the caller expects, if declared.
     pub expected_output: Option<u32>,
 }
 
 impl Prompt {
-    /// Returns the tokens to expect of the answer, where the caller says.
+    /// Returns the expected number of output tokens, if declared.
     #[must_use]
     pub fn output_length(&self) -> Option<u32> {
         let most = self.max_output.unwrap_or(u32::MAX);
@@ -41,101 +41,102 @@
     }
 }
 
-/// What a caller asks, beside the method, path and body.
+/// The parsed head of a caller's request, beside the method and path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The client attempt's own id.
+    /// The id of the client attempt.
     pub id: String,
     /// How long the caller waits.
     pub remaining: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The last event that the caller has already.
+    /// The id of the last event that the caller received.
     pub last_event: Option<u64>,
     /// The prompt, for a model.
     pub prompt: Option<Prompt>,
-    /// The pieces of each stage.
+    /// The number of batch items of each stage.
     pub item_counts: Vec<u32>,
-    /// What the first stages start from.
+    /// The key from which the first stages derive their input.
     pub item_key: String,
 }
 
-/// Why a request can't be read.
+/// Why the head of a request can't be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum RequestHeadError {
-    /// The host is missing.
+    /// There is not exactly one host.
     #[display("the request names no host: send one Host header")]
     NoHost,
     /// The client attempt has no id.
     #[display("the request has no id: send a new one with each attempt")]
     NoId,
-    /// Two ways to find the end of the body are given.
+    /// Two ways to delimit the body are given.
     #[display("the request has a length and a transfer coding: send one of them")]
     TwoLengths,
-    /// A header can't be read.
+    /// A header can't be parsed.
     #[display("the header {name} can't be read: correct it")]
     Malformed {
-        /// Its name.
+        /// The header's name.
         name: &'static str,
     },
 }
 
-/// What the node adds to a request that it passes on.
+/// What the node adds to a forwarded request.
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardContext<'a> {
     /// The account of the caller's key.
     pub account: Option<&'a ClientAccount>,
-    /// The endpoint that is meant.
+    /// The endpoint the request is meant for.
     pub endpoint: &'a EndpointId,
-    /// The time left.
+    /// The remaining time.
     pub remaining: Duration,
-    /// The results of the stages before.
+    /// The results of the preceding stages.
     pub inputs: &'a [String],
-    /// The event after which to go on.
+    /// The id of the event after which to resume.
     pub last_event: Option<u64>,
-    /// The urgency, for models; 0 is first.
+    /// The urgency, for models; 0 is the most urgent.
     pub urgency: Option<u8>,
 }
 
-/// What an endpoint's answer says of the request.
+/// What an endpoint's response says about the request's execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It ran, or may have run.
     Ran,
     /// The endpoint vouches that it did not run.
     NotRun,
-    /// Another endpoint than the one meant answered; it did not run.
+    /// An endpoint other than the intended one responded; the request did not
+    /// run.
     WrongEndpoint,
 }
 
-/// What the head of an endpoint's answer says.
+/// The parsed head of an endpoint's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The client attempt that it answers.
+    /// The id of the client attempt that it responds to.
     pub id: Option<String>,
     /// Whether the endpoint signed it.
     pub signed: bool,
-    /// What it says of the request.
+    /// Whether the request ran.
     pub verdict: Verdict,
-    /// Whether the body is coded, which no caller asks for.
+    /// Whether the body has a content encoding, which callers never request.
     pub encoded: bool,
     /// The endpoint's load.
     pub load: Option<Load>,
-    /// The headers that go to the caller.
+    /// The headers to relay to the caller.
     pub headers: HeaderMap,
 }
 
-/// Translates between the node and what callers and endpoints speak.
+/// Translates between the node and the protocols of callers and endpoints.
 pub trait Dialect: Debug + Send + Sync + 'static {
-    /// Reads a caller's request head.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns [`RequestHeadError`] for a head that can't be read.
+    /// Returns [`RequestHeadError`] if the head can't be parsed.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, RequestHeadError>;
 
-    /// Writes a request for an endpoint.
+    /// Builds the request to send to an endpoint.
     fn forward_request(
         &self,
         head: &request::Parts,
@@ -143,18 +144,19 @@
         with: ForwardContext<'_>,
     ) -> Request<Full<Bytes>>;
 
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     fn parse_response(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Writes a call for stage pieces.
+    /// Builds a call that runs a batch of stage items.
     fn batch_request(&self, endpoint: &EndpointId, items: &[Item]) -> Request<Full<Bytes>>;
 
-    /// Reads the answer to a call for stage pieces; `None` if it can't be read.
+    /// Parses the response to a batch call; returns `None` if it can't be
+    /// parsed.
     fn parse_outcomes(&self, body: &[u8]) -> Option<Vec<Outcome>>;
 
-    /// Writes a call that gives results back.
+    /// Builds a call that releases results.
     fn release_request(&self, handles: &[String]) -> Request<Full<Bytes>>;
 
-    /// Returns the path on which a balancer asks whether the node is ready.
+    /// Returns the path that a load balancer probes for readiness.
     fn ready_path(&self) -> &'static str;
 }
--- a/gateway/src/fingerprint.rs
+++ b/gateway/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The hash by which attempts at the same request are recognized.
+//! The hash that identifies attempts at the same request.
 
 use hyper::header::HOST;
 use hyper::http::request;
@@ -20,7 +20,7 @@
     let account = account.map_or("", ClientAccount::as_str);
     let method = head.method.as_str();
     let mut hash = Sha256::new();
-    // Lengths keep two requests apart whose parts only join to the same bytes.
+    // Length prefixes tell apart requests whose concatenated fields are equal.
     for part in [
         method.as_bytes(),
         host.as_bytes(),
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -19,19 +19,19 @@
 use crate::registry::Update;
 use crate::shared::Shared;
 
-/// The pauses before the list of nodes is read.
+/// The pauses before the first reads of the list of nodes.
 ///
-/// At once, since nodes that start again after a loss of power are listed from
-/// before. Those that start for the first time find each other later.
+/// The first read is immediate, since nodes that restart after a power loss are
+/// still listed. Nodes that start for the first time find each other later.
 const DISCOVERY_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(500),
     Duration::from_secs(2),
 ];
 
-/// The pause between later lists, which one node reads for all.
+/// The interval between later reads of the list, done by one node for all.
 ///
-/// They find nodes that no neighbour has named.
+/// They find nodes that no peer has reported.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Follows the endpoints until the process ends.
@@ -44,9 +44,9 @@
     }
 }
 
-/// Reads the whole list, as often as it takes.
+/// Reads the whole list, with retries.
 ///
-/// It ends as well when a neighbour has told what the list would.
+/// Also ends when a peer has sent newer records.
 pub(crate) async fn read_list(shared: &Shared, topic: Topic, backoff: &mut Backoff) {
     let from = shared.next_offset(topic);
     loop {
@@ -78,7 +78,7 @@
 
 async fn read_pages(shared: &Shared, topic: Topic) -> Result<(Vec<Record>, Offset), RegistryError> {
     let mut all = Vec::new();
-    // Pages are no snapshot: reading goes on from where the first one ended.
+    // Pages are not a snapshot: continue reading from the end of the first one.
     let mut first_end = None;
     let mut after = None;
     loop {
@@ -99,9 +99,10 @@
     }
 }
 
-/// Takes in the end of a read that was sent at `sent`.
+/// Handles the result of a read that was sent at `sent`.
 ///
-/// Tells whether reading goes on from there; if not, the list has to be read.
+/// Returns whether reading continues from there; otherwise the list has to be
+/// read.
 pub(crate) fn apply_update(
     shared: &Shared,
     topic: Topic,
@@ -140,10 +141,11 @@
     }
 }
 
-/// Tells whether the list brings a node further than reading on.
+/// Returns whether reading the list is faster than reading on.
 ///
-/// One answer carries a megabyte, and only the newest configuration counts: the
-/// list has it alone, while reading on brings all that it has replaced.
+/// A response carries at most a megabyte, and only the newest configuration
+/// counts. The list has only that one, while reading on also transfers all
+/// those that it replaced.
 fn should_relist(topic: Topic, next: Offset, end: Offset) -> bool {
     let relist = topic == Topic::Config && next < end;
     if relist {
@@ -152,14 +154,14 @@
     relist
 }
 
-/// Notes that more of an answer came.
+/// Records that more of a response has arrived.
 pub(crate) fn record_progress(shared: &Shared, topic: Topic) {
     if topic == Topic::Config {
         shared.catch_up().came(shared.now());
     }
 }
 
-/// Notes that all records up to the moment of `sent` are there.
+/// Records that all records up to the time `sent` have been received.
 fn confirm_read(shared: &Shared, topic: Topic, sent: Time) {
     let kind = match topic {
         Topic::Config => Kept::Config,
@@ -169,7 +171,7 @@
     shared.registry_polling().confirm(kind, sent);
 }
 
-/// Registers this node and looks for others.
+/// Registers this node and discovers its peers.
 pub(crate) async fn discover_peers(shared: Arc<Shared>, seed: u64) {
     let mut backoff = Backoff::new(seed);
     let node = shared.settings.node.clone();
@@ -184,7 +186,7 @@
     let mut listed = false;
     for pause in DISCOVERY_PAUSES.into_iter().chain(later) {
         Timer::after(pause).await;
-        // Who has a list of others leaves later ones to one node.
+        // A node that has a list of peers leaves later reads to one node.
         if listed && !shared.is_reader() {
             continue;
         }
--- a/gateway/src/ingress.rs
+++ b/gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! The door: what every caller's request passes first.
+//! The ingress: admission of every caller's request.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -32,21 +32,21 @@
 use crate::unary::serve_unary;
 use snipeyoke_lib::serving::come_back::come_back;
 
-/// How long a caller waits for a node's first configuration.
+/// How long a caller waits for the node's first configuration.
 ///
-/// A node that starts has it within a tenth of a second, from the registry or
-/// a neighbour, unless both are away.
+/// A starting node receives it within a tenth of a second from the registry or
+/// a peer, unless both are down.
 const CONFIG_WAIT: Duration = Duration::from_millis(400);
 
-/// Answers callers.
+/// Serves callers.
 pub(crate) struct Ingress(pub(crate) Arc<Shared>);
 
 impl Handler for Ingress {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>> {
         Box::pin(async {
-            // A head with a length and chunks reaches us without the length.
-            // What follows its chunks may be a part of the body to whoever
-            // passed it on; read as a request, nobody would have sent it.
+            // The HTTP parser drops the length of a head that has both a length and chunks.
+            // A proxy in front may have used it, so bytes after the chunks may be part
+            // of the body and must not be parsed as a request (request smuggling).
             let chunked = request.headers().contains_key(TRANSFER_ENCODING);
             let mut reply = self.serve(request).await;
             if chunked || self.0.out_of_rotation.is_set() {
@@ -75,8 +75,8 @@
             Err(refusal) => return refusal.reply(),
         };
         let max_body = ctx.catalog.limits().body;
-        // A declared length is refused before the body comes: the caller would
-        // send all of it for nothing.
+        // Refuse a declared length before the body arrives, so that the caller does not
+        // send all of it in vain.
         if content_length(&ctx.head).is_some_and(|n| n > max_body) {
             return refuse(ctx, Refusal::TooLarge);
         }
@@ -105,9 +105,9 @@
         serve_admitted(ctx).await
     }
 
-    // Callers reach a node that has just started when too few others are left.
-    // Its configuration is some milliseconds away: refused, they would come
-    // back, once and later.
+    // Callers reach a node that has just started when too few others remain.
+    // Its configuration arrives within milliseconds, sooner than a retry of a
+    // refused caller.
     async fn await_config(&self) {
         let known = async {
             self.0.catalog.wait(Option::is_some).await;
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! A node that fronts endpoints directly, without agents beside them.
+//! A gateway node that serves endpoints directly, without an agent on their
+//! hosts.
 //!
-//! It forwards requests, streams and stage work over HTTP, and takes routes,
-//! keys and endpoints from a registry. What callers, endpoints and the registry
-//! speak is left to a [`dialect::Dialect`] and a [`registry::Registry`].
+//! It forwards requests, streams and stage work over HTTP and reads routes,
+//! keys and endpoints from a registry. The protocols of callers, endpoints and
+//! the registry are behind [`dialect::Dialect`] and [`registry::Registry`].
 
 mod attempt;
 mod call;
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole gateway: its tasks, and the way it leaves.
+//! A whole gateway: its tasks and its shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,51 +34,56 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How long a leaving node still takes new streams, and keeps idle connections.
+/// How long a node that shuts down accepts new streams and keeps idle
+/// connections.
 ///
-/// A balancer that asks once a second and wants two misses has passed the node
-/// over after two seconds at most, and its last connections have come.
+/// A load balancer that probes once a second and needs two failed probes has
+/// removed the node after two seconds at most, and its last connections have
+/// arrived.
 const ROTATION_DELAY: Duration = Duration::from_millis(2_300);
 
-/// The part of the grace after which requests without an answer are given up.
+/// The fraction of the grace period after which unanswered requests are given
+/// up.
 ///
-/// Answers that come later than this would be cut; what is left is ample for
-/// the last refusals to leave, also on a host with a tenth of a core.
+/// Later responses would be cut. The rest is enough to send the last refusals,
+/// even on a host with a tenth of a core.
 const GIVE_UP_FRACTION: f64 = 0.86;
 
-/// The part of the grace after which answers under way are cut.
+/// The fraction of the grace period after which responses in progress are cut.
 ///
-/// A clean end before SIGKILL closes every connection in an orderly way. Last
-/// frames take up to 0.3 s after it, which fits from a grace of 5 s on.
+/// A clean end before SIGKILL closes every connection in order. The last frames
+/// take up to 0.3 s after it, which fits into a grace period of 5 s or more.
 const CUT_FRACTION: f64 = 0.93;
 
-/// The connections of callers at once.
+/// The maximum number of concurrent caller connections.
 ///
-/// A third of the descriptors that a small host allows; each request in
-/// flight takes one more for its endpoint.
+/// A third of the file descriptors that a small host allows; each request in
+/// flight uses one more for its endpoint.
 const CALLER_CONNS_MAX: usize = 1_300;
 
-/// The longest time for a head, and for an idle connection of a caller.
+/// The time limit for a request head and for an idle caller connection.
 ///
-/// Configurations allow callers up to fifteen seconds of idleness.
+/// Configurations allow callers up to fifteen seconds of idle time.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(16);
 
 /// The reason why a node can't start.
 #[derive(Debug)]
 #[derive(Display, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
-    #[display("{address}: can't listen: {source}; check that the address is this host's and free")]
+    /// Can't listen on an address.
+    #[display(
+        "{address}: can't listen: {source}; check that the address belongs to this host and is free"
+    )]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl StartError {
-    /// Tells whether an address was taken.
+    /// Returns whether an address is already in use.
     #[must_use]
     pub fn is_taken(&self) -> bool {
         let Self::Listen { source, .. } = self;
@@ -102,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StartError`] if an address can't be listened on.
+    /// Returns [`StartError`] if it can't listen on an address.
     pub fn start(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -181,9 +186,9 @@
         let seed = rapidhash_v3(self.shared.settings.node.as_str().as_bytes());
         let shared = || Arc::clone(&self.shared);
         let scope = &self.control;
-        // Stage jobs are traffic: they go from a request to its owner and back
-        // several times a second, which on one thread needs no wake-up of
-        // another, and can't keep the configuration waiting.
+        // Stage jobs run on the traffic thread: a request exchanges several messages a
+        // second with the owner, and no other thread has to wake up for them. They also
+        // can't delay the configuration.
         let traffic = &self.stages;
         traffic.spawn(dispatch::run(shared(), messages, traffic.clone()));
         let dispatcher = self.shared.dispatcher.clone();
@@ -193,7 +198,7 @@
         scope.spawn(follow::discover_peers(shared(), seed ^ 2));
     }
 
-    /// Takes new settings; addresses stay until the next start.
+    /// Applies new settings; changed addresses take effect at the next start.
     pub fn reload(&self, settings: &Settings) {
         self.shared.budget().set_limits(settings.retries);
         let now = self.shared.now();
@@ -203,14 +208,15 @@
         log::info!(event = "settings-reloaded", node = settings.node.to_string().as_str(); "");
     }
 
-    /// Leaves: the balancer first, then idle connections, then what runs.
+    /// Shuts down: leaves the load balancer's rotation, closes idle
+    /// connections, then ends requests in flight.
     pub async fn drain(&self) {
         log::info!(event = "leaving", grace_ms = self.shared.settings.grace.as_millis() as u64; "");
         let started_at = self.shared.now();
         let grace = self.shared.settings.grace;
         let given_up = started_at + grace.mul_f64(GIVE_UP_FRACTION);
         let cut = started_at + grace.mul_f64(CUT_FRACTION);
-        // Only the first call to leave counts.
+        // Only the first shutdown request counts.
         let _earlier = self.shared.shutdown.set(Stop {
             out_of_rotation: started_at + ROTATION_DELAY,
             given_up,
--- a/gateway/src/polling.rs
+++ b/gateway/src/polling.rs
@@ -1,4 +1,4 @@
-//! Bounds the time for which a change in the registry can stay unknown.
+//! Polls the registry to bound how long a change can stay unknown.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::registry::Update;
 use crate::shared::Shared;
 
-/// Reads a topic whenever it is due, until its history is gone.
+/// Reads a topic whenever a poll is due, until its history is truncated.
 ///
-/// A read that waits for the next change tells nothing while it waits: the
-/// registry may have lost it, or passed it over. These reads don't wait.
+/// A long poll gives no information while it waits: the registry may have lost
+/// or skipped it. These reads don't wait.
 pub(crate) async fn poll_topic(shared: &Shared, kind: Kept, seed: u64) {
     let topic = Topic::from(kind);
     let mut backoff = Backoff::new(seed);
@@ -34,7 +34,7 @@
         let sent = shared.now();
         let from = shared.next_offset(topic);
         pause = Duration::ZERO;
-        // What has grown meanwhile is read on from there.
+        // Records that arrived meanwhile move the offset of the next read.
         let Some(update) = read(shared, topic, from).await else {
             continue;
         };
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads once without waiting; `None` if the records have come another way.
+/// Reads once without waiting; returns `None` if a peer sent the records.
 async fn read(shared: &Shared, topic: Topic, from: Offset) -> Option<Update> {
     if topic != Topic::Config {
         let answer = shared.registry.read(topic, from, Duration::ZERO, &|| ());
@@ -66,9 +66,10 @@
     update
 }
 
-/// Ends when the records from an offset on have come another way.
+/// Ends when the records from an offset on have arrived from elsewhere.
 ///
-/// The same records would come a second time, over a link that may be full.
+/// Otherwise the same records would be transferred twice, over a link that may
+/// be saturated.
 pub(crate) async fn received_elsewhere(shared: &Shared, from: Offset) -> Option<Update> {
     loop {
         let grown = shared.config_grown.listen();
@@ -87,7 +88,7 @@
     not_before: Time,
 ) {
     loop {
-        // Listened for before the look, so that no news falls in between.
+        // Listen before checking the state, so that no change is missed.
         let config_behind = shared.config_behind.listen();
         let registry_regained = shared.registry_regained.listen();
         staleness.update(shared, kind);
@@ -96,7 +97,7 @@
         if at <= now || kind == Kept::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
             return;
         }
-        // Another node may have to read for all from any moment on.
+        // This node may become the registry reader at any time.
         let max_sleep = shared.registry_polling().look_pause();
         let timer = async {
             Timer::after(at.since(now).min(max_sleep)).await;
@@ -112,13 +113,14 @@
         return scheduled;
     }
     let catch_up = shared.catch_up();
-    // The same records would come twice, over a link that may be full.
+    // Avoid transferring the same records twice over a link that may be
+    // saturated.
     scheduled
         .min(catch_up.read_at())
         .max(catch_up.coming_until())
 }
 
-/// What logs and metrics tell of a copy's age.
+/// Tracks a replica's staleness for logs and metrics.
 #[derive(Debug, Default)]
 struct StalenessLog {
     lost: bool,
@@ -147,7 +149,7 @@
             (Kept::Endpoints, false) => "endpoints-confirmed",
         };
         if lost {
-            log::warn!(event, age_ms, remedy = "look at the way to the registry and to the other nodes"; "");
+            log::warn!(event, age_ms, remedy = "check the network path to the registry and to the other nodes"; "");
         } else {
             log::info!(event, age_ms; "");
         }
--- a/gateway/src/program.rs
+++ b/gateway/src/program.rs
@@ -1,4 +1,4 @@
-//! The gateway as a program of its own.
+//! The gateway as a standalone program.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -15,12 +15,12 @@
 use crate::registry::Registry;
 use crate::settings::Settings;
 
-/// What a platform gives to a gateway.
+/// The platform-specific parts of a gateway.
 pub trait Adapter: 'static {
-    /// Returns what its callers and endpoints speak.
+    /// Returns the protocol of the platform's callers and endpoints.
     fn dialect(settings: &Settings) -> Arc<dyn Dialect>;
 
-    /// Returns where routes and endpoints are registered.
+    /// Returns the registry of routes and endpoints.
     fn registry(settings: &Settings, execs: &Execs) -> Arc<dyn Registry>;
 }
 
--- a/gateway/src/ready.rs
+++ b/gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! Tells a balancer whether the node is ready, and scrapers its metrics.
+//! Serves readiness to a load balancer and metrics to scrapers.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::shared::Shared;
 
-/// Answers the balancer.
+/// Serves the load balancer's readiness probes.
 pub(crate) struct Readiness(pub(crate) Arc<Shared>);
 
 impl Handler for Readiness {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Answers scrapers.
+/// Serves metrics scrapers.
 pub(crate) struct Metrics;
 
 impl Handler for Metrics {
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -1,4 +1,4 @@
-//! Takes in records of the registry's topics, wherever they came from.
+//! Applies records of the registry's topics, from the registry or from peers.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
         self.catch_up().has(next);
         self.apply_config(changes, source);
         self.config_grown.notify(usize::MAX);
-        // The others look at this node in a moment; told now, they have it at once.
+        // The other nodes poll this one soon; a notification reaches them at once.
         if !changes.is_empty() && self.is_reader() {
             self.dispatcher.config_grew();
         }
@@ -43,8 +43,8 @@
         }
     }
 
-    // A late answer, or an older neighbour, may bring an older version. Revoked
-    // keys and dropped routes would come back with it.
+    // A late response or an older peer may bring an older version, which would
+    // restore revoked keys and dropped routes.
     fn activate(&self, catalog: Catalog, record: &Record, source: &str) {
         let held = self.catalog.get().as_ref().as_ref().map(|c| c.version());
         let version = catalog.version();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes in an endpoint's record; tells whether it brings something new.
+    /// Applies an endpoint's record; returns whether anything changed.
     fn apply_endpoint(&self, record: &Record, source: &str) -> bool {
         let Some(value) = &record.value else {
             return self.remove_endpoint(&record.key, record, source, "left");
@@ -84,8 +84,8 @@
                 }
                 changed
             }
-            // A writer that isn't the endpoint may leave anything there. It
-            // names no endpoint to use, and the others hold.
+            // Writers other than the endpoint may append anything. Such a record names
+            // no usable endpoint; the others remain valid.
             Err(error) => {
                 log::warn!(event = "endpoint-refused", key = record.key.as_str(), offset = record.offset.0, error = error.to_string().as_str(); "");
                 self.remove_endpoint(&record.key, record, source, "unreadable")
@@ -104,7 +104,7 @@
         known
     }
 
-    /// Takes in what a neighbour or the registry said of one topic.
+    /// Applies records of a topic from a peer or the registry.
     pub(crate) fn extend(&self, topic: Topic, records: Vec<Record>, next: Offset, source: &str) {
         match topic {
             Topic::Config => {
@@ -112,8 +112,8 @@
                 self.on_config_records(&changes, source);
             }
             Topic::Endpoints => {
-                // Copy and directory change together: whoever looks at this node
-                // must not take the copy for complete before it is marked.
+                // Update replica and directory together: a peer that polls this node
+                // must not see a complete replica with an incomplete directory.
                 let mut replicas = self.replicas();
                 let apply = |record: &Record| self.apply_endpoint(record, source);
                 let changes = replicas.endpoints.extend_with(records, next, apply);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes in a list of all keys of one topic.
+    /// Applies a list of all keys of a topic.
     pub(crate) fn replace(&self, topic: Topic, records: Vec<Record>, end: Offset) {
         match topic {
             Topic::Config => {
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the node's own.
+//! Responses that the node itself produces.
 
 use std::time::Duration;
 
@@ -9,45 +9,45 @@
 use snipeyoke_runtime::http::Reply;
 use snipeyoke_runtime::http::full;
 
-/// Why a request ends without an endpoint's answer.
+/// Why a request ends without an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 #[display("{}", self.name())]
 pub(crate) enum Refusal {
     /// No configuration is known yet.
     NoConfig,
-    /// The head can't be read.
+    /// The head can't be parsed.
     Malformed,
-    /// No route fits.
+    /// No route matches.
     NoRoute,
     /// The key is missing or unknown.
     NoKey,
     /// The body is larger than allowed.
     TooLarge,
-    /// The body did not come whole.
+    /// The body is incomplete.
     BodyBroken,
-    /// No endpoint takes work.
+    /// No endpoint accepts work.
     NoEndpoint,
-    /// The endpoints are full.
+    /// All endpoints are full.
     Full,
-    /// The stages can't be done in time.
+    /// The stages can't be completed in time.
     StagesLate,
     /// A stage failed.
     StageFailed,
-    /// Time is over, and nothing was sent.
+    /// The deadline passed, and nothing was sent.
     TimeoutNotRun,
-    /// Endpoints end under it, and nothing was sent.
+    /// Endpoints crashed while running the request, and nothing was sent.
     Quarantined,
-    /// The node leaves before the answer would end, and nothing was sent.
+    /// The node shuts down before the response would end, and nothing was sent.
     Leaving,
-    /// Time is over, and the request may have run.
+    /// The deadline passed, and the request may have run.
     Timeout,
-    /// The endpoint's answer was lost or can't be used.
+    /// The endpoint's response was lost or can't be used.
     AnswerLost,
 }
 
 impl Refusal {
-    /// Returns its name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::NoConfig => "no-config",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the status that says what is known: 503 only if nothing ran.
+    /// Returns the HTTP status; 503 only if nothing ran.
     pub(crate) const fn status(self) -> StatusCode {
         match self {
             Self::Malformed | Self::BodyBroken => StatusCode::BAD_REQUEST,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Builds the answer; a caller may come back after `wait`.
+    /// Builds the response; the caller may retry after `wait`.
     pub(crate) fn reply(self, wait: Duration) -> Reply {
         let status = self.status();
         let mut reply = Reply::new(full(format!("{self}\n")));
--- a/gateway/src/registry.rs
+++ b/gateway/src/registry.rs
@@ -1,4 +1,4 @@
-//! The border to where routes, endpoints and nodes are registered.
+//! The interface to the registry of routes, endpoints and nodes.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -39,18 +39,18 @@
     }
 }
 
-/// A part of a list of all keys.
+/// A page of the list of all keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// The newest record of each key.
     pub records: Vec<Record>,
-    /// The key after which the list goes on, if it does.
+    /// The key after which the next page starts, if there is one.
     pub next_key: Option<String>,
     /// The offset after the newest record.
     pub end: Offset,
 }
 
-/// How a read of new records ended.
+/// The result of a read of new records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Update {
     /// The records, and the offset after them.
@@ -62,39 +62,41 @@
         /// The offset after the newest record of the topic.
         end: Offset,
     },
-    /// The records asked for are no longer kept: the list has to be read.
+    /// The requested records are no longer retained; the list has to be read.
     Truncated,
-    /// No answer, or a failure.
+    /// No response, or a failure.
     Failed(RegistryError),
 }
 
-/// Why a call to the registry brought nothing.
+/// Why a call to the registry failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum RegistryError {
-    /// No connection, or one that failed.
-    #[display("the connection failed: {what}; look at the way to the registry")]
+    /// The connection could not be opened, or failed.
+    #[display("the connection failed: {what}; check the network path to the registry")]
     Connection {
-        /// What was found.
+        /// The error found.
         what: String,
     },
-    /// No answer began in time.
-    #[display("no answer began in time; look whether the registry is overloaded")]
+    /// No response started in time.
+    #[display("no response started in time; check whether the registry is overloaded")]
     Timeout,
-    /// An answer began and came no further.
-    #[display("the answer came no further after {read} bytes; look at the link's load")]
+    /// A response started but made no further progress.
+    #[display("the response stalled after {read} bytes; check the load of the link")]
     Stalled {
-        /// The bytes that came.
+        /// The bytes received.
         read: usize,
     },
-    /// The registry refused.
-    #[display("the registry answered {status}; look at its limits on calls")]
+    /// The registry refused the call.
+    #[display("the registry responded with status {status}; check its rate limits")]
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// The answer can't be read.
-    #[display("the answer is no list of records; look whether the registry's release is known")]
+    /// The response can't be parsed.
+    #[display(
+        "the response is not a list of records; check that this release supports the registry"
+    )]
     Malformed,
 }
 
@@ -102,33 +104,34 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum RecordError {
-    /// The bytes are no record of this kind.
-    #[display("the record can't be read: {what}; its writer has to mend it")]
+    /// The bytes are not a record of this kind.
+    #[display("the record can't be parsed: {what}; correct it at its writer")]
     Malformed {
-        /// What was found.
+        /// The error found.
         what: String,
     },
 }
 
-/// What a node registers of itself.
+/// What a node registers about itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NodeEntry {
-    /// Where other nodes reach it.
+    /// The address for other nodes.
     pub address: SocketAddr,
-    /// The power of its host; a writer of another release may not say it.
+    /// The processor power of its host; a writer of another release may omit
+    /// it.
     pub power: Option<MilliCores>,
 }
 
-/// Told each time that more of an answer's body has come.
+/// Called each time that more of a response's body has arrived.
 ///
-/// A large answer takes seconds over a slow or full link. Who waits for it can
-/// tell by this that it is on its way, and need not ask again.
+/// A large response takes seconds over a slow or saturated link. The callback
+/// shows that it is in progress and need not be requested again.
 pub type OnProgress<'a> = &'a (dyn Fn() + Send + Sync);
 
-/// Where routes, endpoints and nodes are registered.
+/// The registry of routes, endpoints and nodes.
 ///
-/// An implementation makes one try for each call. It gives a call up when no
-/// answer begins in time, or when one that began comes no further.
+/// An implementation makes one attempt per call. It abandons a call when no
+/// response starts in time, or when one that started makes no further progress.
 pub trait Registry: Debug + Send + Sync + 'static {
     /// Reads a page of the newest records of a topic, after a key.
     fn list_page<'a>(
@@ -138,7 +141,8 @@
         on_progress: OnProgress<'a>,
     ) -> LogCall<'a, Result<Page, RegistryError>>;
 
-    /// Reads the records from an offset on, or waits for one.
+    /// Reads the records from an offset on; waits up to `wait` if there is
+    /// none.
     fn read<'a>(
         &'a self,
         topic: Topic,
@@ -147,23 +151,23 @@
         on_progress: OnProgress<'a>,
     ) -> LogCall<'a, Update>;
 
-    /// Registers this node; tells whether it is registered for sure.
+    /// Registers this node; returns whether the registration is confirmed.
     fn register(&self, node: &NodeId, entry: NodeEntry) -> LogCall<'_, bool>;
 
-    /// Reads a record of the configuration; `None` if its key is another one.
+    /// Parses a configuration record; returns `None` if it has another key.
     ///
     /// # Errors
     ///
     /// Returns [`RecordError`] if it can't be used.
     fn parse_catalog(&self, key: &str, value: &[u8]) -> Option<Result<Catalog, RecordError>>;
 
-    /// Reads an endpoint's record.
+    /// Parses an endpoint's record.
     ///
     /// # Errors
     ///
     /// Returns [`RecordError`] if it can't be used.
     fn parse_endpoint(&self, key: &str, value: &[u8]) -> Result<Entry, RecordError>;
 
-    /// Reads a node's record.
+    /// Parses a node's record.
     fn parse_node(&self, value: &[u8]) -> Option<NodeEntry>;
 }
--- a/gateway/src/request_context.rs
+++ b/gateway/src/request_context.rs
@@ -1,4 +1,4 @@
-//! One client attempt on its way, owned by this node alone.
+//! The state of one client attempt while this node handles it.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -27,7 +27,7 @@
 use crate::refusal::Refusal;
 use crate::shared::Shared;
 
-/// A client attempt that has a route, and what became of it so far.
+/// A routed client attempt and its progress.
 #[derive(Debug)]
 pub(crate) struct RequestContext {
     pub(crate) shared: Arc<Shared>,
@@ -36,40 +36,42 @@
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     fingerprint: OnceLock<Fingerprint>,
-    /// Whether it is the trial after a quarantine.
+    /// Whether this is the trial attempt after a quarantine.
     pub(crate) trial: bool,
     pub(crate) route: Arc<Route>,
     pub(crate) service: PoolName,
     pub(crate) holder: Option<Holder>,
     pub(crate) started_at: Time,
-    /// When the answer stops being on time.
+    /// When the response stops being on time.
     pub(crate) target: Time,
-    /// When the caller, or the route, gives the request up.
+    /// When the caller gives up or the route's timeout ends.
     pub(crate) deadline: Time,
-    /// Where the request is to run, if its results outweigh its prefix.
+    /// The failure domain to run in, if the results to read there outweigh the
+    /// shared prefix.
     pub(crate) domain: Option<FailureDomain>,
-    /// Where most results of its stages lie, and what it costs to read them
-    /// elsewhere, in tokens.
+    /// The failure domain that holds most of the stage results, and the cost of
+    /// reading them from another one, in tokens.
     pub(crate) inputs: Option<(FailureDomain, u32)>,
-    /// The endpoints that it was sent to.
+    /// The endpoints that received the request.
     pub(crate) attempted: Vec<EndpointId>,
-    /// Whether an endpoint may have run it.
+    /// Whether an endpoint may have run the request.
     pub(crate) may_have_run: bool,
-    /// Whether its caller has the head of an answer already.
+    /// Whether the head of the response has been sent to the caller.
     pub(crate) response_started: bool,
-    /// How long what waits before it takes, where that was told.
+    /// The time needed for the work queued ahead, if the service owner reported
+    /// it.
     pub(crate) backlog: Duration,
     pub(crate) timeline: Timeline,
 }
 
-/// What the log tells of a request at its end.
+/// What is logged when a request ends.
 #[derive(Debug, Default)]
 pub(crate) struct Timeline {
-    /// When its stages were done.
+    /// When the stages were complete.
     pub(crate) staged: Option<Time>,
-    /// When it was last sent to an endpoint.
+    /// When the request was last sent to an endpoint.
     pub(crate) sent: Option<Time>,
-    /// When its first event, or its answer, came.
+    /// When the first event, or the whole response, arrived.
     pub(crate) first_output: Option<Time>,
     pub(crate) events: u64,
     pub(crate) outcome: Option<(u16, &'static str)>,
@@ -118,14 +120,16 @@
         self.holder.as_ref().map(|h| &h.account)
     }
 
-    /// Returns the hash by which other attempts at the same request are
-    /// recognized; the body must be there.
+    /// Returns the hash that identifies attempts at the same request.
+    ///
+    /// The body must be set.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let hash = || fingerprint(&self.head, self.account(), &self.body);
         *self.fingerprint.get_or_init(hash)
     }
 
-    /// Returns for how much longer it is refused because endpoints end under it.
+    /// Returns the remaining quarantine, imposed because endpoints crashed
+    /// while running the request.
     pub(crate) fn quarantine_remaining(&self) -> Option<Duration> {
         let now = self.shared.now();
         let request = self.fingerprint();
@@ -134,13 +138,13 @@
         remaining.filter(|_| !self.trial || !crashes.may_go_on(now, request))
     }
 
-    /// Takes it as the trial after its quarantine, if this node may try it.
+    /// Starts the trial attempt after a quarantine, if this node may run it.
     pub(crate) fn start_trial(&mut self) -> bool {
         let now = self.shared.now();
         let request = self.fingerprint();
         let counters = self.shared.owners().counters(now, request);
         let own = self.shared.settings.listen.peers;
-        // AttemptResult at each node, it would end as many endpoints as there are nodes.
+        // A trial on each node could crash as many endpoints as there are nodes.
         self.trial = counters.first() == Some(&own) && self.shared.crashes().may_try(now, request);
         if self.trial {
             log::info!(event = "quarantine-trial", request = self.request.id.as_str(), fingerprint = request.to_string().as_str(); "");
@@ -148,21 +152,22 @@
         self.trial
     }
 
-    /// Returns the urgency for a model; an account's own goes first.
+    /// Returns the urgency for a model; an account's own priority takes
+    /// precedence.
     pub(crate) fn urgency(&self) -> u8 {
         let own = self.holder.as_ref().and_then(|h| h.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// Returns the time left as of now.
+    /// Returns the remaining time.
     pub(crate) fn remaining(&self) -> Duration {
         self.deadline.since(self.shared.now())
     }
 
-    /// Waits for a future as long as the request has time, and the node.
+    /// Waits for a future until the request's deadline, or until a node that
+    /// shuts down gives up unanswered requests.
     ///
-    /// For what comes before an answer begins: a leaving node gives it up while
-    /// it can still tell the caller.
+    /// Used before a response starts, while the node can still send a refusal.
     pub(crate) async fn before_give_up<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         let given_up = async {
             self.shared.given_up.wait().await;
@@ -171,8 +176,8 @@
         self.before_deadline(future).or(given_up).await
     }
 
-    /// Waits for a future as long as the answer can still be expected to end
-    /// before the node leaves.
+    /// Waits for a future while the response can still be expected to end
+    /// before the node shuts down.
     pub(crate) async fn before_latest_send<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         let too_late = async {
             self.shared.out_of_rotation.wait().await;
@@ -186,7 +191,7 @@
         self.before_give_up(future).or(too_late).await
     }
 
-    /// Waits for a future as long as the request has time.
+    /// Waits for a future until the request's deadline.
     pub(crate) async fn before_deadline<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         let timeout = async {
             Timer::after(self.remaining()).await;
@@ -195,18 +200,19 @@
         async { Some(future.await) }.or(timeout).await
     }
 
-    /// Tells whether another endpoint may be tried, and spends the budget.
+    /// Returns whether another attempt is allowed, and spends the retry budget.
     pub(crate) fn try_spend_retry(&self) -> bool {
         let attempts_left = (self.attempted.len() as u32) < self.route.attempts;
         let now = self.shared.now();
         let shutting_down = !self.response_started && self.refused_by_shutdown(Ahead::Answer);
         let time_left = now < self.deadline && !self.shared.given_up.is_set() && !shutting_down;
-        // A trial is one send, whatever became of it.
+        // A trial is a single attempt, whatever its outcome.
         let refused = self.trial || self.quarantine_remaining().is_some();
         attempts_left && time_left && !refused && self.shared.budget().take(now, &self.service)
     }
 
-    /// Returns the refusal for a request whose time, or the node's, is over.
+    /// Returns the refusal for a request past its deadline or the node's
+    /// shutdown.
     pub(crate) fn timeout_refusal(&self) -> Refusal {
         if self.may_have_run {
             Refusal::Timeout
@@ -217,18 +223,18 @@
         }
     }
 
-    /// Returns a number in `0..1` that differs from request to request.
+    /// Returns a number in `0..1` that differs between requests.
     pub(crate) fn sample(&self) -> f64 {
         sample(&self.request.id)
     }
 
-    /// Notes how the request ended, for the log.
+    /// Sets the outcome to log.
     pub(crate) const fn set_outcome(&mut self, status: StatusCode, outcome: &'static str) {
         self.timeline.outcome = Some((status.as_u16(), outcome));
     }
 }
 
-/// Returns a number in `0..1` that differs from id to id.
+/// Returns a number in `0..1` that differs between ids.
 pub(crate) fn sample(id: &str) -> f64 {
     (rapidhash_v3(id.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64
 }
@@ -243,7 +249,7 @@
         metrics::counter!("snipeyoke_requests_total", "route" => self.route.name.clone(), "outcome" => outcome).increment(1);
         metrics::histogram!("snipeyoke_request_seconds", "outcome" => outcome).record(elapsed);
         if let (Some(sent), "answered") = (self.timeline.sent, outcome) {
-            // The rest of an answer says little about a whole one.
+            // A resumed response says little about the duration of a whole one.
             if self.request.last_event.is_none() {
                 let durations = Took {
                     wait: sent.since(self.started_at),
--- a/gateway/src/retry.rs
+++ b/gateway/src/retry.rs
@@ -1,5 +1,4 @@
-//! Tries of a request, one after the other, as far as its kind and the budget
-//! allow.
+//! Retries of a request, within the limits of its kind and the retry budget.
 
 use crate::attempt::AttemptResult;
 use crate::attempt::OpenResponse;
@@ -8,17 +7,17 @@
 use crate::request_context::RequestContext;
 use crate::stages::StageWork;
 
-/// What a try leads to.
+/// The result of an attempt, including its stages.
 pub(crate) enum Step {
-    /// An endpoint answers.
+    /// An endpoint responded.
     Response(Box<OpenResponse>),
-    /// Another try is due, and paid for.
+    /// Another attempt is due, and its budget is spent.
     Retry,
-    /// There is nothing left to try.
+    /// No further attempt is possible.
     Refused(Refusal),
 }
 
-/// Does what is missing of the stages, then tries one endpoint.
+/// Runs the missing stage work, then attempts the request at one endpoint.
 pub(crate) async fn attempt_step(
     ctx: &mut RequestContext,
     stages: &mut Option<StageWork>,
@@ -31,7 +30,7 @@
     match attempt(ctx, &inputs, last_event).await {
         AttemptResult::Response(response) => Step::Response(response),
         AttemptResult::InputsGone => match stages.as_mut().map(StageWork::results_gone) {
-            // The endpoint got the request: the next send is a repeat.
+            // The endpoint received the request, so the next send is a retry.
             Some(Ok(())) if try_retry(ctx, "inputs-gone") => Step::Retry,
             Some(_) | None => Step::Refused(Refusal::StageFailed),
         },
@@ -44,12 +43,13 @@
     }
 }
 
-/// Tells whether a request that may have run may be sent again, and pays for it.
+/// Returns whether a request that may have run may be retried, and spends the
+/// budget for it.
 pub(crate) fn try_repeat(ctx: &RequestContext, why: &str) -> bool {
     ctx.route.kind.may_repeat() && try_retry(ctx, why)
 }
 
-/// Tells whether a request may be sent again, and pays for it.
+/// Returns whether a request may be retried, and spends the budget for it.
 fn try_retry(ctx: &RequestContext, why: &str) -> bool {
     let allowed = ctx.try_spend_retry();
     if allowed {
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -13,24 +13,25 @@
 use snipeyoke_lib::units::MilliCores;
 use snipeyoke_runtime::settings::Checked;
 
-/// The longest grace that is taken, in seconds.
+/// The longest allowed grace period, in seconds.
 const GRACE_MAX_S: f64 = 3_600.0;
 
-/// The longest notice that is taken, in milliseconds.
+/// The longest allowed notice, in milliseconds.
 ///
-/// Endpoints that are gone without a word are found by these reads, too.
+/// The reads that it schedules also find endpoints that disappeared without a
+/// notice.
 const NOTICE_MAX_MS: f64 = 60_000.0;
 
-/// The shortest time for a change that is taken, in milliseconds.
+/// The shortest allowed time for a change, in milliseconds.
 ///
-/// A node reads at six tenths of it; a slow registry answers in some hundred
-/// milliseconds.
+/// A node reads at six tenths of it, and a slow registry responds within some
+/// hundred milliseconds.
 const CHANGE_MIN_MS: f64 = 1_000.0;
 
-/// The longest time for a change that is taken, in milliseconds.
+/// The longest allowed time for a change, in milliseconds.
 const CHANGE_MAX_MS: f64 = 60_000.0;
 
-/// The settings as they stand in the file.
+/// The settings as written in the file.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -43,25 +44,25 @@
     pub region: Region,
     /// The addresses to listen on.
     pub listen: Listen,
-    /// Nodes to begin with; others are learned from them and the registry.
+    /// Initial peers; others are learned from them and the registry.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The registry's address.
     pub registry: SocketAddr,
-    /// The processor that this process has.
+    /// The processor capacity of this process.
     #[serde(default)]
     pub processor: Processor,
     /// The time between SIGTERM and SIGKILL, in seconds.
     pub grace_s: f64,
-    /// The time within which a leaving endpoint gets its last request, in
-    /// milliseconds.
+    /// The time within which an endpoint that shuts down receives its last
+    /// request, in milliseconds.
     #[serde(default = "notice_ms")]
     pub notice_ms: f64,
-    /// The time within which a confirmed change of the configuration is in
-    /// force, in milliseconds.
+    /// The time within which a confirmed change of the configuration takes
+    /// effect, in milliseconds.
     #[serde(default = "change_ms")]
     pub change_ms: f64,
-    /// The bound on retries over all nodes.
+    /// The limit on retries across all nodes.
     pub retries: Retries,
     /// The log filter: `LEVEL` or `TARGET=LEVEL,…`.
     #[serde(default = "info")]
@@ -87,23 +88,23 @@
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For a balancer that asks whether the node is ready.
+    /// For the load balancer's readiness probes.
     pub ready: SocketAddr,
     /// For other nodes.
     pub peers: SocketAddr,
-    /// For scrapers of metrics.
+    /// For metrics scrapers.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// The processor that a process has.
+/// The processor capacity of a process.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Processor {
-    /// The share of a core.
+    /// The number of cores, possibly fractional.
     pub share: f64,
-    /// How many times as fast as a usual core it is.
+    /// The speed relative to a usual core.
     pub speed: f64,
 }
 
@@ -116,20 +117,20 @@
     }
 }
 
-/// The bound on retries over all nodes.
+/// The limit on retries across all nodes.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
     /// The window, in seconds.
     pub window_s: f64,
-    /// Repeats beyond the ratio in a window.
+    /// Retries beyond the ratio per window.
     pub extra: f64,
 }
 
-/// The checked settings.
+/// The validated settings.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The name of this process.
@@ -138,7 +139,7 @@
     pub domain: FailureDomain,
     /// The addresses to listen on.
     pub listen: Listen,
-    /// Nodes to begin with.
+    /// Initial peers.
     pub seeds: Vec<SocketAddr>,
     /// The registry's address.
     pub registry: SocketAddr,
@@ -146,11 +147,12 @@
     pub power: MilliCores,
     /// The time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// The time within which a leaving endpoint gets its last request.
+    /// The time within which an endpoint that shuts down receives its last
+    /// request.
     pub notice: Duration,
-    /// The time within which a confirmed change is in force.
+    /// The time within which a confirmed change takes effect.
     pub change: Duration,
-    /// The bound on retries over all nodes.
+    /// The limit on retries across all nodes.
     pub retries: BudgetLimits,
     /// The log filter.
     pub log: String,
@@ -160,10 +162,10 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display, Error)]
 pub enum ValueError {
-    /// A number is out of its range.
+    /// A number is out of range.
     #[display("{}", join(found))]
     Range {
-        /// Each value that is out of range: key, value and remedy.
+        /// The key, value and remedy of each value out of range.
         found: Vec<String>,
     },
 }
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! The blackboard of a gateway: what controllers write and traffic reads.
+//! The shared state of a gateway, written by controllers and read by traffic.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,17 +36,17 @@
 use crate::registry::Topic;
 use crate::settings::Settings;
 
-/// How long a node waits at its start to hear from another one.
+/// How long a node waits after its start to hear from a peer.
 ///
 /// Nodes that start together find each other within a second.
 const PEERS_WAIT: Duration = Duration::from_millis(1_500);
 
-/// How long a node waits at its start for the list of the others.
+/// How long a node waits after its start for the list of peers.
 ///
-/// The registry answers in milliseconds, unless it is away.
+/// The registry responds within milliseconds, unless it is down.
 const PEER_LIST_WAIT: Duration = Duration::from_millis(400);
 
-/// What one node knows and shares among its tasks.
+/// The state that the tasks of a node share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
@@ -57,27 +57,27 @@
     pub(crate) dispatcher: Dispatcher,
     /// The configuration in force; `None` until one is known.
     pub(crate) catalog: Fact<Option<Arc<Catalog>>>,
-    /// Wakes those who wait for an endpoint.
+    /// Notifies tasks that wait for an endpoint.
     pub(crate) endpoints_changed: Event,
-    /// Tells that the registry answers again after it did not.
+    /// Notifies that the registry responds again after an outage.
     pub(crate) registry_regained: Event,
-    /// Whether the endpoints have to be listed anew.
+    /// Whether the endpoints have to be listed again.
     pub(crate) must_relist: AtomicBool,
-    /// Tells that the copy of the configuration has grown.
+    /// Notifies that the replica of the configuration has grown.
     pub(crate) config_grown: Event,
-    /// Tells that this node has learned that it lacks a configuration.
+    /// Notifies that a peer has a newer configuration than this node.
     pub(crate) config_behind: Event,
-    /// Set once the other nodes are known from a list.
+    /// Set once a list of peers has been read.
     pub(crate) peers_listed: Flag,
-    /// Set once the balancer is asked to pass this node over.
+    /// Set once the load balancer is to stop sending requests to this node.
     pub(crate) out_of_rotation: Flag,
-    /// Set once callers' idle connections are closed.
+    /// Set once idle connections of callers are to be closed.
     pub(crate) drain: Flag,
-    /// Set once nothing new is answered.
+    /// Set once no new requests are served.
     pub(crate) stop_accepting: Flag,
-    /// Set once requests that wait for an answer are given up.
+    /// Set once requests without a response are given up.
     pub(crate) given_up: Flag,
-    /// Set when the node begins to leave.
+    /// Set when the shutdown begins.
     pub(crate) shutdown: OnceLock<Stop>,
     directory: Mutex<Directory>,
     budget: Mutex<SharedBudget>,
@@ -90,7 +90,7 @@
     polling: Mutex<Upkeep>,
 }
 
-/// The copies of the registry's topics.
+/// The replicas of the registry's topics.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
     pub(crate) config: Replica,
@@ -176,15 +176,15 @@
         lock(&self.polling)
     }
 
-    /// Tells whether this node reads the registry for others now.
+    /// Returns whether this node currently reads the registry for all nodes.
     pub(crate) fn is_reader(&self) -> bool {
         let now = self.now();
-        // The order of these two locks is the same everywhere.
+        // Lock order: `polling` before `owners`.
         let mut polling = self.registry_polling();
         polling.is_first(now, &mut self.owners())
     }
 
-    /// Takes in that copies of the endpoints differ from another node's.
+    /// Handles a replica of the endpoints that differs from a peer's.
     pub(crate) fn on_endpoints_differ(&self) {
         if self.registry_polling().differs(self.now()) {
             self.must_relist.store(true, Ordering::Relaxed);
@@ -192,9 +192,9 @@
         }
     }
 
-    /// Takes in up to where a neighbour has the configuration.
+    /// Handles a peer's report of the next offset of its configuration.
     ///
-    /// `size` are the bytes of its configuration.
+    /// `size` is the size of its configuration in bytes.
     pub(crate) fn on_peer_config(&self, node: SocketAddr, next: Offset, size: u64) {
         if self.catch_up().told(self.now(), node, next, size) {
             log::info!(event = "config-behind", node = node.to_string().as_str(), next = next.0; "");
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Returns the offset from which a topic is read on.
+    /// Returns the offset from which to read a topic next.
     pub(crate) fn next_offset(&self, topic: Topic) -> Offset {
         match topic {
             Topic::Config => self.replicas().config.next(),
@@ -210,31 +210,31 @@
         }
     }
 
-    /// Tells whether the endpoints are to be asked of a neighbour, all of them.
+    /// Returns whether to request all endpoints from a peer.
     pub(crate) fn lacks_endpoints(&self) -> bool {
         self.registry_polling()
             .is_cut_off(self.now(), Kept::Endpoints)
     }
 
-    /// Tells whether the node can serve callers.
+    /// Returns whether the node can serve callers.
     pub(crate) fn is_ready(&self) -> bool {
         let has_state = self.catalog.get().is_some() && self.has_met_peers();
         has_state && self.directory().iter().next().is_some() && !self.out_of_rotation.is_set()
     }
 
-    /// Tells whether this node can tell which node owns a service.
+    /// Returns whether this node can determine the owner of a service.
     ///
-    /// One that has just started may know a few of the others. Nodes that start
-    /// together would each take another one for the owner, and the owners' calls
-    /// would get in each other's way.
+    /// A node that has just started may know only some of its peers. Nodes that
+    /// start together would each pick another owner, and the owners would make
+    /// conflicting calls.
     pub(crate) fn knows_owners(&self) -> bool {
         self.peers_listed.is_set() || self.now().since(Time::ZERO) > PEER_LIST_WAIT
     }
 
-    /// Tells whether the node has heard of the others, or waited for it.
+    /// Returns whether the node has heard from a peer, or waited long enough.
     ///
-    /// A node that knows no other takes itself for the owner of every service,
-    /// and its calls get in the way of the real owners' calls.
+    /// A node without known peers considers itself the owner of every service,
+    /// and its calls conflict with those of the real owners.
     fn has_met_peers(&self) -> bool {
         let waited = self.now().since(Time::ZERO) > PEERS_WAIT;
         waited || self.owners().has_heard()
@@ -242,7 +242,7 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // A panic while the lock was held has been logged; the state behind it is
-    // only counters and copies, which stay usable.
+    // The panic that poisoned the lock has been logged. The state is only
+    // counters and replicas, which stay usable.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! What a node that leaves still begins.
+//! Admission of requests while the node shuts down.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use crate::request_context::RequestContext;
 
 impl RequestContext {
-    /// Tells whether its node leaves before the request can be expected to end,
-    /// and logs what that was judged by.
+    /// Returns whether the node shuts down before the request is expected to
+    /// end, and logs the basis of the decision.
     pub(crate) fn refused_by_shutdown(&self, ahead: Ahead) -> bool {
         let Some(shutdown) = self.shared.shutdown.get() else {
             return false;
@@ -32,8 +32,8 @@
         refused
     }
 
-    /// Returns when the request has to be sent at the latest for its answer to
-    /// end before its node leaves.
+    /// Returns the latest send time for the response to end before the node
+    /// shuts down.
     pub(crate) fn latest_send(&self) -> Time {
         let Some(shutdown) = self.shared.shutdown.get() else {
             return Time::NEVER;
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -1,4 +1,4 @@
-//! The stage work of one request, from its node's side.
+//! The stage work of one request, on the node that handles it.
 
 use std::collections::BTreeMap;
 
@@ -23,14 +23,15 @@
 use crate::refusal::Refusal;
 use crate::request_context::RequestContext;
 
-/// The bytes of results that are worth as much as one shared token.
+/// The size of results that costs as much to read as one shared token, in
+/// bytes.
 ///
-/// A request follows its results to their failure domain if they outweigh the
-/// prefix that would be read again there. Both are priced on the platform: a
-/// thousand tokens as much as two to three megabytes.
+/// A request runs in the failure domain of its results if they outweigh the
+/// prefix that would have to be read again there. On the platform, a thousand
+/// tokens cost as much as two to three megabytes.
 const BYTES_PER_TOKEN: u64 = 2_400;
 
-/// A result that this request has.
+/// A stage result that this request holds.
 #[derive(Debug)]
 struct HeldResult {
     service: PoolName,
@@ -40,8 +41,8 @@
 
 /// The stage work of one request.
 ///
-/// What is still under way when this is dropped is cancelled, and results that
-/// nobody needs are given back.
+/// Dropping it cancels the jobs under way and releases results that are no
+/// longer needed.
 #[derive(Debug)]
 pub(crate) struct StageWork {
     dispatcher: Dispatcher,
@@ -52,7 +53,7 @@
 }
 
 impl StageWork {
-    /// Plans the stages of a request; `None` if it has none.
+    /// Plans the stages of a request; returns `None` if it has none.
     pub(crate) fn plan(ctx: &RequestContext) -> Result<Option<Self>, PlanError> {
         if ctx.route.stages.is_empty() {
             return Ok(None);
@@ -67,8 +68,8 @@
         }))
     }
 
-    /// Does what is missing of the stages and returns the results that the
-    /// request itself needs.
+    /// Runs the missing stage work and returns the inputs of the request
+    /// itself.
     pub(crate) async fn inputs(
         work: Option<&mut Self>,
         ctx: &mut RequestContext,
@@ -76,7 +77,7 @@
         let Some(work) = work else {
             return Ok(Vec::new());
         };
-        // A resume after the first event: no endpoint can still have them.
+        // Resuming after the first event: the results have been released.
         if work.plan.is_given_back() && work.plan.results_gone().is_err() {
             return Err(Refusal::StageFailed);
         }
@@ -106,12 +107,12 @@
         Ok(inputs)
     }
 
-    /// Notes that the request found a result gone.
+    /// Handles a result that was gone when the request needed it.
     pub(crate) fn results_gone(&mut self) -> Result<(), PlanError> {
         self.plan.results_gone()
     }
 
-    /// Gives back all results, once the request has read them.
+    /// Releases all results, once the request has read them.
     pub(crate) fn release(&mut self) {
         let remaining = self.plan.remaining();
         self.release_handles(remaining);
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Returns where most of some results lie, and how much.
+    /// Returns the failure domain that holds most of the given results, and
+    /// their size there.
     fn dominant_domain(
         &self,
         ctx: &RequestContext,
@@ -250,15 +252,15 @@
     }
 }
 
-/// Returns where the request should run to be near its results, if that is worth
-/// following.
+/// Returns the failure domain that holds the results, if reading them elsewhere
+/// costs more than the shared prefix.
 fn preferred_domain(ctx: &RequestContext) -> Option<FailureDomain> {
     let (domain, tokens) = ctx.inputs.as_ref()?;
     let shared = ctx.request.prompt.map_or(0, |p| p.shared);
     (*tokens > shared).then(|| domain.clone())
 }
 
-/// Returns where the request's prompt would best be read.
+/// Returns the failure domain of the best endpoint for the prompt's prefix.
 fn prompt_domain(ctx: &RequestContext) -> Option<FailureDomain> {
     let prompt = ctx.request.prompt?;
     let directory = ctx.shared.directory();
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Requests that are response by a stream of events.
+//! Requests with a stream of events as the response.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -25,10 +25,10 @@
 use crate::unary::relay;
 use crate::unary::reply;
 
-/// The most bytes of an endpoint's failure that are passed on.
+/// The maximum size of a relayed endpoint error, in bytes.
 const ERROR_BODY_MAX: usize = 64 << 10;
 
-/// Drives a request to the head of its stream; the rest follows in the body.
+/// Serves a request up to the head of its stream; the body carries the rest.
 pub(crate) async fn serve_stream(mut ctx: RequestContext, mut stages: Option<StageWork>) -> Reply {
     let mut events = Events::after(ctx.request.last_event);
     match start_stream(&mut ctx, &mut stages, &events).await {
@@ -60,7 +60,7 @@
     Refused(Refusal),
 }
 
-/// Tries endpoints until one begins, or goes on with, the stream.
+/// Attempts endpoints until one starts or resumes the stream.
 async fn start_stream(
     ctx: &mut RequestContext,
     stages: &mut Option<StageWork>,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Takes an answer as a stream, or returns the failure that it is.
+/// Accepts a response as a stream, or returns the failure it carries.
 async fn check_response(
     ctx: &RequestContext,
     mut response: OpenResponse,
@@ -105,7 +105,7 @@
     Err(Some(((status, headers), body.into())))
 }
 
-/// A stream under way.
+/// A stream in progress.
 struct ActiveStream {
     ctx: RequestContext,
     stages: Option<StageWork>,
@@ -114,7 +114,7 @@
 }
 
 impl ActiveStream {
-    /// Returns the next whole events, from whichever endpoint has them.
+    /// Returns the next complete events from the current endpoint.
     async fn next_chunk(mut self) -> Option<(Result<Bytes, Cut>, Self)> {
         loop {
             let Some(response) = &mut self.response else {
@@ -160,13 +160,14 @@
         if let Some(response) = &self.response {
             record_latency(&self.ctx, &response.flight, response.sent);
         }
-        // The endpoint read the stages' results before the prompt.
+        // The endpoint read the stage results before the prompt.
         if let Some(stages) = &mut self.stages {
             stages.release();
         }
     }
 
-    /// Goes on at another endpoint after the last event, inside the same answer.
+    /// Resumes at another endpoint after the last event, within the same
+    /// response.
     async fn resume(&mut self, why: &str) -> bool {
         if let Some(mut response) = self.response.take() {
             let endpoint = response.flight.endpoint.to_string();
--- a/gateway/src/unary.rs
+++ b/gateway/src/unary.rs
@@ -1,4 +1,4 @@
-//! Requests with one answer.
+//! Requests with a single response.
 
 use std::time::Duration;
 
@@ -26,13 +26,14 @@
 use snipeyoke_lib::serving::come_back::come_back;
 use snipeyoke_lib::serving::come_back::elsewhere;
 
-/// The most bytes of an answer that are buffer before it is passed on.
+/// The maximum size of a response that is buffered before it is relayed, in
+/// bytes.
 ///
-/// An answer that breaks off before this can still be had from another
-/// endpoint; a longer one is passed on as it comes.
+/// A response that breaks off before this can be retried at another endpoint. A
+/// longer one is relayed as it arrives.
 const BUFFER_MAX: usize = 256 << 10;
 
-/// Drives a request to its one answer.
+/// Serves a request with a single response.
 pub(crate) async fn serve_unary(mut ctx: RequestContext, mut stages: Option<StageWork>) -> Reply {
     loop {
         let response = match attempt_step(&mut ctx, &mut stages, None).await {
@@ -55,11 +56,11 @@
     }
 }
 
-/// Answers with a refusal that is true for what happened so far.
+/// Responds with a refusal that is true for all attempts so far.
 pub(crate) fn refuse(mut ctx: RequestContext, refusal: Refusal) -> Reply {
     let claims_not_run = refusal.status() == StatusCode::SERVICE_UNAVAILABLE;
-    // An earlier try may have run: "not run" would be false, and the caller
-    // would have its approval done twice.
+    // An earlier attempt may have run: "not run" would be false, and the caller
+    // would run its approval twice.
     let refusal = if claims_not_run && ctx.may_have_run {
         Refusal::AnswerLost
     } else {
@@ -77,7 +78,7 @@
     refusal.reply(wait)
 }
 
-/// The head of an endpoint's answer.
+/// The head of an endpoint's response.
 pub(crate) type Head = (StatusCode, hyper::HeaderMap);
 
 enum ReadResult {
