--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -37,7 +37,7 @@
 /// The maximum number of failed connections per attempt.
 ///
 /// A failed connection is not an attempt, since the endpoint never received the
-/// request. When more than this fail, the service is down.
+/// request. If this many fail, the service is considered down.
 const CONNECTS_MAX: usize = 4;
 
 /// How long a request waits for the response to its placement request.
@@ -61,7 +61,7 @@
     /// Not sent: the service has had no endpoint for a while.
     NoEndpoint,
     /// Not sent: this node shuts down before the response would end.
-    Leaving,
+    ShuttingDown,
     /// An input from an earlier stage is gone; the request did not run.
     InputsGone,
     /// The request may have run, and there is no response.
@@ -157,7 +157,7 @@
         }
         // A response that has started can no longer be refused.
         if !ctx.response_started && ctx.refused_by_shutdown(Ahead::Answer) {
-            return AttemptResult::Leaving;
+            return AttemptResult::ShuttingDown;
         }
         log_choice(ctx, &choice);
         let mut flight = InFlight::new(ctx, &choice.entry, booking);
@@ -201,7 +201,7 @@
                 if !error.is_not_sent() {
                     report_break(ctx, &mut flight);
                     ctx.attempted.push(choice.entry.id);
-                    return AttemptResult::Unknown(Refusal::AnswerLost);
+                    return AttemptResult::Unknown(Refusal::ResponseLost);
                 }
                 if error.is_refused() {
                     ctx.shared
@@ -342,7 +342,7 @@
         if let Some(health) = shared.directory().health_mut(&endpoint) {
             health.failed(now);
         }
-        return AttemptResult::Unknown(Refusal::AnswerLost);
+        return AttemptResult::Unknown(Refusal::ResponseLost);
     }
     AttemptResult::Response(Box::new(OpenResponse {
         call,
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -26,7 +26,7 @@
 use snipeyoke_runtime::link;
 use snipeyoke_runtime::threads::Exec;
 
-/// The time limit for a connection.
+/// The time limit for opening a connection.
 ///
 /// Hosts respond within milliseconds. A lost SYN is sent again after a second,
 /// which is too late for most callers; another endpoint is faster.
--- a/gateway/src/changes.rs
+++ b/gateway/src/changes.rs
@@ -71,10 +71,10 @@
         follow::record_progress(shared, Topic::Config);
     };
     log::info!(event = "registry-asked", topic = "config", from = from.0, wait_ms = wait.as_millis() as u64; "");
-    let answer = shared
+    let response = shared
         .registry
         .read(Topic::Config, from, wait, &on_progress);
-    let update = async { Some(answer.await) };
+    let update = async { Some(response.await) };
     let update = update.or(received_elsewhere(shared, from));
     let update = update.or(read_lost(shared, from, &receiving)).await;
     shared.catch_up().ended();
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -63,10 +63,10 @@
                 confirm_read(shared, topic, sent);
                 return;
             }
-            Err(failure) => {
+            Err(error) => {
                 shared.registry_polling().read(shared.now(), false);
                 shared.catch_up().registry_fails(true);
-                log::warn!(event = "registry-failed", topic = topic.to_string().as_str(), call = "list", why = failure.to_string().as_str(); "");
+                log::warn!(event = "registry-failed", topic = topic.to_string().as_str(), call = "list", why = error.to_string().as_str(); "");
             }
         }
         Timer::after(backoff.failed()).await;
@@ -129,12 +129,12 @@
             log::info!(event = "registry-history-gone", topic = topic.to_string().as_str(), from; "");
             false
         }
-        Update::Failed(failure) => {
+        Update::Failed(error) => {
             shared.registry_polling().read(shared.now(), false);
             shared.catch_up().registry_fails(true);
             if !std::mem::replace(failing, true) {
                 let from = shared.next_offset(topic).0;
-                log::warn!(event = "registry-lost", topic = topic.to_string().as_str(), from, why = failure.to_string().as_str(); "");
+                log::warn!(event = "registry-lost", topic = topic.to_string().as_str(), from, why = error.to_string().as_str(); "");
             }
             true
         }
@@ -198,8 +198,8 @@
                     shared.peers_listed.set();
                 }
             }
-            Err(failure) => {
-                log::warn!(event = "registry-failed", topic = "nodes", call = "list", why = failure.to_string().as_str(); "");
+            Err(error) => {
+                log::warn!(event = "registry-failed", topic = "nodes", call = "list", why = error.to_string().as_str(); "");
             }
         }
     }
--- a/gateway/src/ingress.rs
+++ b/gateway/src/ingress.rs
@@ -86,7 +86,7 @@
                 let refusal = if error.is_too_large() {
                     Refusal::TooLarge
                 } else {
-                    Refusal::BodyBroken
+                    Refusal::BodyIncomplete
                 };
                 return refuse(ctx, refusal);
             }
@@ -99,7 +99,7 @@
             return refuse(ctx, Refusal::Quarantined);
         }
         if ctx.refused_by_shutdown(Ahead::All) {
-            return refuse(ctx, Refusal::Leaving);
+            return refuse(ctx, Refusal::ShuttingDown);
         }
         self.0.budget().earn(started_at, &ctx.service);
         serve_admitted(ctx).await
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -85,7 +85,7 @@
 impl StartError {
     /// Returns whether an address is already in use.
     #[must_use]
-    pub fn is_taken(&self) -> bool {
+    pub fn is_address_in_use(&self) -> bool {
         let Self::Listen { source, .. } = self;
         source.kind() == io::ErrorKind::AddrInUse
     }
@@ -115,10 +115,10 @@
         execs: &Execs,
     ) -> Result<Self, StartError> {
         let listen = settings.listen.clone();
-        let callers_at = bind(listen.callers)?;
-        let ready_at = bind(listen.ready)?;
-        let peers_at = bind(listen.peers)?;
-        let metrics_at = listen.metrics.map(bind).transpose()?;
+        let callers_listener = bind(listen.callers)?;
+        let ready_listener = bind(listen.ready)?;
+        let peers_listener = bind(listen.peers)?;
+        let metrics_listener = listen.metrics.map(bind).transpose()?;
         let (dispatcher, messages) = Dispatcher::new();
         let traffic = Arc::clone(&execs.traffic);
         let seeds = settings.seeds.clone();
@@ -135,12 +135,15 @@
             served: Flag::default(),
             shared,
         };
-        gateway.serve_callers(callers_at);
-        gateway.serve_http(ready_at, Arc::new(Readiness(Arc::clone(&gateway.shared))));
-        if let Some(listener) = metrics_at {
+        gateway.serve_callers(callers_listener);
+        gateway.serve_http(
+            ready_listener,
+            Arc::new(Readiness(Arc::clone(&gateway.shared))),
+        );
+        if let Some(listener) = metrics_listener {
             gateway.serve_http(listener, Arc::new(Metrics));
         }
-        gateway.run_control(peers_at, messages);
+        gateway.run_control(peers_listener, messages);
         log::info!(
             event = "started",
             node = gateway.shared.settings.node.to_string().as_str(),
--- a/gateway/src/polling.rs
+++ b/gateway/src/polling.rs
@@ -52,15 +52,15 @@
 /// Reads once without waiting; returns `None` if a peer sent the records.
 async fn read(shared: &Shared, topic: Topic, from: Offset) -> Option<Update> {
     if topic != Topic::Config {
-        let answer = shared.registry.read(topic, from, Duration::ZERO, &|| ());
-        return Some(answer.await);
+        let response = shared.registry.read(topic, from, Duration::ZERO, &|| ());
+        return Some(response.await);
     }
     shared.catch_up().reads();
     let on_progress = || follow::record_progress(shared, topic);
-    let answer = shared
+    let response = shared
         .registry
         .read(topic, from, Duration::ZERO, &on_progress);
-    let update = async { Some(answer.await) };
+    let update = async { Some(response.await) };
     let update = update.or(received_elsewhere(shared, from)).await;
     shared.catch_up().ended();
     update
@@ -97,7 +97,7 @@
         if at <= now || kind == Kept::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
             return;
         }
-        // This node may become the registry reader at any time.
+        // The registry reader may change at any time.
         let max_sleep = shared.registry_polling().look_pause();
         let timer = async {
             Timer::after(at.since(now).min(max_sleep)).await;
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -25,7 +25,7 @@
     /// The body is larger than allowed.
     TooLarge,
     /// The body is incomplete.
-    BodyBroken,
+    BodyIncomplete,
     /// No endpoint accepts work.
     NoEndpoint,
     /// All endpoints are full.
@@ -39,11 +39,11 @@
     /// Endpoints crashed while running the request, and nothing was sent.
     Quarantined,
     /// The node shuts down before the response would end, and nothing was sent.
-    Leaving,
+    ShuttingDown,
     /// The deadline passed, and the request may have run.
     Timeout,
     /// The endpoint's response was lost or can't be used.
-    AnswerLost,
+    ResponseLost,
 }
 
 impl Refusal {
@@ -55,28 +55,28 @@
             Self::NoRoute => "no-route",
             Self::NoKey => "no-key",
             Self::TooLarge => "too-large",
-            Self::BodyBroken => "body-broken",
+            Self::BodyIncomplete => "body-broken",
             Self::NoEndpoint => "no-endpoint",
             Self::Full => "full",
             Self::StagesLate => "stages-late",
             Self::StageFailed => "stage-failed",
             Self::TimeoutNotRun => "timeout-not-run",
             Self::Quarantined => "quarantined",
-            Self::Leaving => "leaving",
+            Self::ShuttingDown => "leaving",
             Self::Timeout => "timeout",
-            Self::AnswerLost => "answer-lost",
+            Self::ResponseLost => "answer-lost",
         }
     }
 
     /// Returns the HTTP status; 503 only if nothing ran.
     pub(crate) const fn status(self) -> StatusCode {
         match self {
-            Self::Malformed | Self::BodyBroken => StatusCode::BAD_REQUEST,
+            Self::Malformed | Self::BodyIncomplete => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Timeout => StatusCode::GATEWAY_TIMEOUT,
-            Self::AnswerLost => StatusCode::BAD_GATEWAY,
+            Self::ResponseLost => StatusCode::BAD_GATEWAY,
             Self::NoConfig
             | Self::NoEndpoint
             | Self::Full
@@ -84,7 +84,7 @@
             | Self::StageFailed
             | Self::TimeoutNotRun
             | Self::Quarantined
-            | Self::Leaving => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
--- a/gateway/src/registry.rs
+++ b/gateway/src/registry.rs
@@ -31,8 +31,8 @@
 }
 
 impl From<Kept> for Topic {
-    fn from(kept: Kept) -> Self {
-        match kept {
+    fn from(kind: Kept) -> Self {
+        match kind {
             Kept::Config => Self::Config,
             Kept::Endpoints => Self::Endpoints,
         }
--- a/gateway/src/request_context.rs
+++ b/gateway/src/request_context.rs
@@ -217,7 +217,7 @@
         if self.may_have_run {
             Refusal::Timeout
         } else if self.shared.now() < self.deadline {
-            Refusal::Leaving
+            Refusal::ShuttingDown
         } else {
             Refusal::TimeoutNotRun
         }
--- a/gateway/src/retry.rs
+++ b/gateway/src/retry.rs
@@ -35,7 +35,7 @@
             Some(_) | None => Step::Refused(Refusal::StageFailed),
         },
         AttemptResult::NoEndpoint => Step::Refused(Refusal::NoEndpoint),
-        AttemptResult::Leaving => Step::Refused(Refusal::Leaving),
+        AttemptResult::ShuttingDown => Step::Refused(Refusal::ShuttingDown),
         AttemptResult::NotRun(Refusal::Quarantined) => Step::Refused(Refusal::Quarantined),
         AttemptResult::NotRun(_) if try_retry(ctx, "not-run") => Step::Retry,
         AttemptResult::Unknown(_) if try_repeat(ctx, "answer-lost") => Step::Retry,
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -49,7 +49,7 @@
     plan: Plan,
     results: BTreeMap<String, HeldResult>,
     jobs: BTreeMap<JobNumber, (usize, Vec<u32>)>,
-    done: (Sender<Done>, Receiver<Done>),
+    completions: (Sender<Done>, Receiver<Done>),
 }
 
 impl StageWork {
@@ -64,7 +64,7 @@
             plan,
             results: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            done: async_channel::unbounded(),
+            completions: async_channel::unbounded(),
         }))
     }
 
@@ -89,7 +89,7 @@
             for order in work.plan.orders(&times) {
                 work.submit(ctx, &times, order);
             }
-            let done = ctx.before_latest_send(work.done.1.recv()).await;
+            let done = ctx.before_latest_send(work.completions.1.recv()).await;
             let Some(Ok(done)) = done else {
                 return Err(ctx.timeout_refusal());
             };
@@ -141,7 +141,7 @@
         };
         let number = self
             .dispatcher
-            .submit(stage.service.clone(), job, self.done.0.clone());
+            .submit(stage.service.clone(), job, self.completions.0.clone());
         self.jobs.insert(number, (order.stage, order.pieces));
     }
 
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -76,7 +76,7 @@
             Ok(response) => return StreamStart::Stream(response),
             Err(_) if try_repeat(ctx, "endpoint-failed") => {}
             Err(Some((head, bytes))) => return StreamStart::Failed(head, bytes),
-            Err(None) => return StreamStart::Refused(Refusal::AnswerLost),
+            Err(None) => return StreamStart::Refused(Refusal::ResponseLost),
         }
     }
 }
--- a/gateway/src/unary.rs
+++ b/gateway/src/unary.rs
@@ -49,7 +49,7 @@
             ReadResult::Complete(head, bytes) | ReadResult::Failed(Some((head, bytes))) => {
                 return relay(ctx, head, full(bytes));
             }
-            ReadResult::Failed(None) => Refusal::AnswerLost,
+            ReadResult::Failed(None) => Refusal::ResponseLost,
             ReadResult::Timeout => ctx.timeout_refusal(),
         };
         return refuse(ctx, refusal);
@@ -62,13 +62,13 @@
     // An earlier attempt may have run: "not run" would be false, and the caller
     // would run its approval twice.
     let refusal = if claims_not_run && ctx.may_have_run {
-        Refusal::AnswerLost
+        Refusal::ResponseLost
     } else {
         refusal
     };
     ctx.set_outcome(refusal.status(), refusal.name());
     let wait = match refusal {
-        Refusal::Leaving => elsewhere(ctx.sample()),
+        Refusal::ShuttingDown => elsewhere(ctx.sample()),
         Refusal::Quarantined => {
             let remaining = ctx.quarantine_remaining().unwrap_or_default();
             remaining + come_back(Duration::ZERO, Duration::ZERO, ctx.sample())
