--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -130,7 +130,7 @@
         if !self.settled && self.handed_off.is_set() {
             self.shared
                 .dispatcher
-                .given_up(self.incarnation(), self.request);
+                .request_abandoned(self.incarnation(), self.request);
         }
     }
 }
@@ -196,7 +196,7 @@
                 record_connect_error(ctx, &choice.entry.id, &error);
                 flight.settle();
                 if let Some(booking) = &mut flight.booking {
-                    booking.failed();
+                    booking.mark_failed();
                 }
                 if !error.is_not_sent() {
                     report_break(ctx, &mut flight);
@@ -206,7 +206,7 @@
                 if error.is_refused() {
                     ctx.shared
                         .dispatcher
-                        .refused(flight.incarnation(), flight.address);
+                        .connection_refused(flight.incarnation(), flight.address);
                 }
                 ctx.may_have_run = may_have_run;
                 failed.push(choice.entry.id);
@@ -241,7 +241,9 @@
         afar: ctx.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
         avoid,
     };
-    let (booking, endpoint) = shared.dispatcher.place(ctx.service.clone(), placement);
+    let (booking, endpoint) = shared
+        .dispatcher
+        .request_placement(ctx.service.clone(), placement);
     let placed = async { endpoint.recv().await.ok().flatten() };
     let timeout = async {
         async_io::Timer::after(PLACEMENT_WAIT).await;
@@ -391,7 +393,7 @@
         health.answered(now, ratio);
     }
     if let Some(booking) = &flight.booking {
-        booking.begun(ratio);
+        booking.first_event(ratio);
     }
 }
 
@@ -402,7 +404,7 @@
         health.failed(now);
     }
     if let Some(booking) = &mut flight.booking {
-        booking.failed();
+        booking.mark_failed();
     }
 }
 
@@ -410,7 +412,7 @@
 pub(crate) fn report_break(ctx: &RequestContext, flight: &mut InFlight) {
     flight.settle();
     let dispatcher = &ctx.shared.dispatcher;
-    dispatcher.broke(flight.incarnation(), flight.address, flight.request);
+    dispatcher.connection_broke(flight.incarnation(), flight.address, flight.request);
 }
 
 /// Returns whether a status claims that the request did not run.
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -227,7 +227,7 @@
         });
         self.shared.out_of_rotation.set();
         self.shared.owners().leave();
-        self.shared.dispatcher.leaving();
+        self.shared.dispatcher.announce_leaving();
         Timer::after(ROTATION_DELAY).await;
         self.shared.drain.set();
         self.shared.stop_accepting.set();
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -18,7 +18,7 @@
         self.config_grown.notify(usize::MAX);
         // The other nodes poll this one soon; a notification reaches them at once.
         if !changes.is_empty() && self.is_reader() {
-            self.dispatcher.config_grew();
+            self.dispatcher.config_changed();
         }
     }
 
--- a/gateway/src/request_context.rs
+++ b/gateway/src/request_context.rs
@@ -260,7 +260,7 @@
             }
             let lifted = self.shared.crashes().answered(now, self.fingerprint());
             if let Some(lifted) = lifted {
-                self.shared.dispatcher.tell_verdict(lifted);
+                self.shared.dispatcher.announce_verdict(lifted);
             }
         }
         let since =
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -17,9 +17,9 @@
 use snipeyoke_lib::units::Bytes;
 
 use crate::dispatch::Dispatcher;
-use crate::dispatch::Done;
-use crate::dispatch::Failure;
+use crate::dispatch::JobFailure;
 use crate::dispatch::JobNumber;
+use crate::dispatch::JobResult;
 use crate::refusal::Refusal;
 use crate::request_context::RequestContext;
 
@@ -49,7 +49,7 @@
     plan: Plan,
     results: BTreeMap<String, HeldResult>,
     jobs: BTreeMap<JobNumber, (usize, Vec<u32>)>,
-    completions: (Sender<Done>, Receiver<Done>),
+    completions: (Sender<JobResult>, Receiver<JobResult>),
 }
 
 impl StageWork {
@@ -154,19 +154,19 @@
         StageTimes::new(&ctx.route.stages, &self.plan.counts(), model, limits)
     }
 
-    fn handle_done(&mut self, ctx: &mut RequestContext, done: Done) -> Result<(), Refusal> {
+    fn handle_done(&mut self, ctx: &mut RequestContext, done: JobResult) -> Result<(), Refusal> {
         let Some((stage, items)) = self.jobs.remove(&done.number) else {
             return Ok(());
         };
         let service = &ctx.route.stages[stage].service;
-        for result in done.made {
+        for result in done.results {
             let held = HeldResult {
                 service: service.clone(),
                 endpoint: result.endpoint,
                 size: ctx.route.stages[stage].bytes,
             };
             self.results.insert(result.handle.clone(), held);
-            self.plan.done(stage, result.piece, result.handle);
+            self.plan.done(stage, result.item, result.handle);
         }
         if let Some(failure) = done.failure {
             log::info!(event = "stage-failed", request = ctx.request.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ctx.remaining().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
@@ -174,9 +174,9 @@
         }
         let retry = match done.failure {
             None => return Ok(()),
-            Some(Failure::Late) => return Err(Refusal::StagesLate),
-            Some(Failure::Gone) => self.inputs_gone(stage, &items),
-            Some(Failure::Failed) => self.stage_failed(stage, &items),
+            Some(JobFailure::Late) => return Err(Refusal::StagesLate),
+            Some(JobFailure::Gone) => self.inputs_gone(stage, &items),
+            Some(JobFailure::Failed) => self.stage_failed(stage, &items),
         };
         retry.map_err(|error| {
             log::warn!(event = "stage-given-up", request = ctx.request.id.as_str(), stage, error = error.to_string().as_str(); "");
@@ -217,7 +217,7 @@
             }
         }
         for (service, results) in by_service {
-            self.dispatcher.give_back(service, results);
+            self.dispatcher.release_results(service, results);
         }
     }
 
