--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -89,11 +89,11 @@
             for order in work.plan.orders(&times) {
                 work.submit(ctx, &times, order);
             }
-            let done = ctx.before_latest_send(work.completions.1.recv()).await;
-            let Some(Ok(done)) = done else {
+            let job_result = ctx.before_latest_send(work.completions.1.recv()).await;
+            let Some(Ok(job_result)) = job_result else {
                 return Err(ctx.timeout_refusal());
             };
-            work.handle_done(ctx, done)?;
+            work.handle_job_result(ctx, job_result)?;
             let unneeded = work.plan.unneeded();
             work.release_handles(unneeded);
         }
@@ -154,12 +154,16 @@
         StageTimes::new(&ctx.route.stages, &self.plan.counts(), model, limits)
     }
 
-    fn handle_done(&mut self, ctx: &mut RequestContext, done: JobResult) -> Result<(), Refusal> {
-        let Some((stage, items)) = self.jobs.remove(&done.number) else {
+    fn handle_job_result(
+        &mut self,
+        ctx: &mut RequestContext,
+        job_result: JobResult,
+    ) -> Result<(), Refusal> {
+        let Some((stage, items)) = self.jobs.remove(&job_result.number) else {
             return Ok(());
         };
         let service = &ctx.route.stages[stage].service;
-        for result in done.results {
+        for result in job_result.results {
             let held = HeldResult {
                 service: service.clone(),
                 endpoint: result.endpoint,
@@ -168,11 +172,11 @@
             self.results.insert(result.handle.clone(), held);
             self.plan.done(stage, result.item, result.handle);
         }
-        if let Some(failure) = done.failure {
-            log::info!(event = "stage-failed", request = ctx.request.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ctx.remaining().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
-            ctx.backlog = done.backlog;
+        if let Some(failure) = job_result.failure {
+            log::info!(event = "stage-failed", request = ctx.request.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ctx.remaining().as_millis() as u64, backlog_ms = job_result.backlog.as_millis() as u64; "");
+            ctx.backlog = job_result.backlog;
         }
-        let retry = match done.failure {
+        let retry = match job_result.failure {
             None => return Ok(()),
             Some(JobFailure::Late) => return Err(Refusal::StagesLate),
             Some(JobFailure::Gone) => self.inputs_gone(stage, &items),
