--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use snipeyoke_lib::serving::directory::Choice;
 use snipeyoke_lib::serving::directory::Entry;
 use snipeyoke_lib::serving::directory::Wanted;
-use snipeyoke_lib::serving::durations::Ahead;
+use snipeyoke_lib::serving::durations::Remaining;
 use snipeyoke_lib::serving::ends::Incarnation;
 use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
@@ -156,7 +156,7 @@
             return AttemptResult::NotRun(Refusal::Quarantined);
         }
         // A response that has started can no longer be refused.
-        if !ctx.response_started && ctx.refused_by_shutdown(Ahead::Answer) {
+        if !ctx.response_started && ctx.refused_by_shutdown(Remaining::Answer) {
             return AttemptResult::ShuttingDown;
         }
         log_choice(ctx, &choice);
@@ -227,7 +227,7 @@
 ) -> Option<(Choice, Booking)> {
     let shared = &ctx.shared;
     let prompt = ctx.request.prompt?;
-    if !ctx.catalog.service(&ctx.service)?.engine {
+    if !ctx.catalog.service(&ctx.service)?.is_engine {
         return None;
     }
     let has_shared = prompt.shared >= SHARED_TOKENS_MIN;
@@ -311,7 +311,7 @@
 fn record_connect_error(ctx: &RequestContext, endpoint: &EndpointId, error: &CallError) {
     let now = ctx.shared.now();
     if let Some(health) = ctx.shared.directory().health_mut(endpoint) {
-        health.broke(now);
+        health.record_broken(now);
     }
     log::warn!(event = "call-failed", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), error = error.to_string().as_str(); "");
 }
@@ -342,7 +342,7 @@
     if head.id.as_deref() != Some(ctx.request.id.as_str()) || head.encoded {
         log::warn!(event = "answer-of-another", request = ctx.request.id.as_str(), endpoint = endpoint.to_string().as_str(), found = head.id.as_deref().unwrap_or("-"); "");
         if let Some(health) = shared.directory().health_mut(&endpoint) {
-            health.failed(now);
+            health.record_failure(now);
         }
         return AttemptResult::Unknown(Refusal::ResponseLost);
     }
@@ -375,7 +375,7 @@
         return AttemptResult::InputsGone;
     }
     if let Some(health) = directory.health_mut(endpoint) {
-        health.failed(now);
+        health.record_failure(now);
     }
     AttemptResult::NotRun(Refusal::Full)
 }
@@ -390,7 +390,7 @@
         .paces()
         .observe(&ctx.service, tokens, now.since(sent));
     if let Some(health) = shared.directory().health_mut(endpoint) {
-        health.answered(now, ratio);
+        health.record_response(now, ratio);
     }
     if let Some(booking) = &flight.booking {
         booking.first_event(ratio);
@@ -401,7 +401,7 @@
 pub(crate) fn record_failure(ctx: &RequestContext, flight: &mut InFlight) {
     let now = ctx.shared.now();
     if let Some(health) = ctx.shared.directory().health_mut(&flight.endpoint) {
-        health.failed(now);
+        health.record_failure(now);
     }
     if let Some(booking) = &mut flight.booking {
         booking.mark_failed();
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -13,9 +13,9 @@
 use hyper::http::response;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::EndpointId;
+use snipeyoke_lib::serving::batching::BatchItem;
+use snipeyoke_lib::serving::batching::ItemOutcome;
 use snipeyoke_lib::serving::directory::Load;
-use snipeyoke_lib::serving::pieces::Item;
-use snipeyoke_lib::serving::pieces::Outcome;
 
 /// What a request declares about its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -148,11 +148,11 @@
     fn parse_response(&self, head: &response::Parts) -> ResponseHead;
 
     /// Builds a call that runs a batch of stage items.
-    fn batch_request(&self, endpoint: &EndpointId, items: &[Item]) -> Request<Full<Bytes>>;
+    fn batch_request(&self, endpoint: &EndpointId, items: &[BatchItem]) -> Request<Full<Bytes>>;
 
     /// Parses the response to a batch call; returns `None` if it can't be
     /// parsed.
-    fn parse_outcomes(&self, body: &[u8]) -> Option<Vec<Outcome>>;
+    fn parse_outcomes(&self, body: &[u8]) -> Option<Vec<ItemOutcome>>;
 
     /// Builds a call that releases results.
     fn release_request(&self, handles: &[String]) -> Request<Full<Bytes>>;
--- a/gateway/src/ingress.rs
+++ b/gateway/src/ingress.rs
@@ -14,7 +14,7 @@
 use hyper::http::request;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::catalog::Denial;
-use snipeyoke_lib::serving::durations::Ahead;
+use snipeyoke_lib::serving::durations::Remaining;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::http::Handler;
 use snipeyoke_runtime::http::Reply;
@@ -30,7 +30,7 @@
 use crate::stream::serve_stream;
 use crate::unary::refuse;
 use crate::unary::serve_unary;
-use snipeyoke_lib::serving::come_back::come_back;
+use snipeyoke_lib::serving::retry_after::retry_after;
 
 /// How long a caller waits for the node's first configuration.
 ///
@@ -74,7 +74,7 @@
             Ok(ctx) => ctx,
             Err(refusal) => return refusal.reply(),
         };
-        let max_body = ctx.catalog.limits().body;
+        let max_body = ctx.catalog.limits().max_body;
         // Refuse a declared length before the body arrives, so that the caller does not
         // send all of it in vain.
         if content_length(&ctx.head).is_some_and(|n| n > max_body) {
@@ -98,10 +98,10 @@
         if ctx.quarantine_remaining().is_some() && !ctx.start_trial() {
             return refuse(ctx, Refusal::Quarantined);
         }
-        if ctx.refused_by_shutdown(Ahead::All) {
+        if ctx.refused_by_shutdown(Remaining::All) {
             return refuse(ctx, Refusal::ShuttingDown);
         }
-        self.0.budget().earn(started_at, &ctx.service);
+        self.0.budget().record_request(started_at, &ctx.service);
         serve_admitted(ctx).await
     }
 
@@ -170,7 +170,7 @@
 
     fn reply(&self) -> Reply {
         log::info!(event = "request-refused", request = self.request.as_str(), why = self.refusal.to_string().as_str(), config = self.version; "");
-        let wait = come_back(Duration::ZERO, Duration::ZERO, sample(&self.request));
+        let wait = retry_after(Duration::ZERO, Duration::ZERO, sample(&self.request));
         self.refusal.reply(wait)
     }
 }
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -13,7 +13,7 @@
 use futures_lite::FutureExt;
 use futures_lite::future;
 use rapidhash::v3::rapidhash_v3;
-use snipeyoke_lib::serving::stopping::Stop;
+use snipeyoke_lib::serving::shutdown::Shutdown;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_runtime::http;
@@ -220,10 +220,10 @@
         let given_up = started_at + grace.mul_f64(GIVE_UP_FRACTION);
         let cut = started_at + grace.mul_f64(CUT_FRACTION);
         // Only the first shutdown request counts.
-        let _earlier = self.shared.shutdown.set(Stop {
+        let _earlier = self.shared.shutdown.set(Shutdown {
             out_of_rotation: started_at + ROTATION_DELAY,
-            given_up,
-            cut,
+            cancel_at: given_up,
+            cut_at: cut,
         });
         self.shared.out_of_rotation.set();
         self.shared.owners().leave();
--- a/gateway/src/request_context.rs
+++ b/gateway/src/request_context.rs
@@ -15,11 +15,11 @@
 use snipeyoke_lib::ids::FailureDomain;
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::catalog::Catalog;
-use snipeyoke_lib::serving::catalog::Holder;
+use snipeyoke_lib::serving::catalog::KeyHolder;
 use snipeyoke_lib::serving::catalog::Route;
 use snipeyoke_lib::serving::crashes::Fingerprint;
-use snipeyoke_lib::serving::durations::Ahead;
-use snipeyoke_lib::serving::durations::Took;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::durations::RequestTiming;
 use snipeyoke_lib::time::Time;
 
 use crate::dialect::RequestHead;
@@ -40,7 +40,7 @@
     pub(crate) trial: bool,
     pub(crate) route: Arc<Route>,
     pub(crate) service: PoolName,
-    pub(crate) holder: Option<Holder>,
+    pub(crate) holder: Option<KeyHolder>,
     pub(crate) started_at: Time,
     /// When the response stops being on time.
     pub(crate) target: Time,
@@ -83,17 +83,17 @@
         catalog: Arc<Catalog>,
         request: RequestHead,
         head: request::Parts,
-        (route, holder): (Arc<Route>, Option<Holder>),
+        (route, holder): (Arc<Route>, Option<KeyHolder>),
         started_at: Time,
     ) -> Option<Self> {
         let sample = rapidhash_v3(request.id.as_bytes());
-        let service = route.target(sample)?.clone();
+        let service = route.choose_target(sample)?.clone();
         let remaining = request
             .remaining
             .unwrap_or(route.timeout)
             .min(route.timeout);
         Some(Self {
-            target: started_at + route.goal,
+            target: started_at + route.target_time,
             deadline: started_at + remaining,
             shared,
             catalog,
@@ -204,11 +204,11 @@
     pub(crate) fn try_spend_retry(&self) -> bool {
         let attempts_left = (self.attempted.len() as u32) < self.route.attempts;
         let now = self.shared.now();
-        let shutting_down = !self.response_started && self.refused_by_shutdown(Ahead::Answer);
+        let shutting_down = !self.response_started && self.refused_by_shutdown(Remaining::Answer);
         let time_left = now < self.deadline && !self.shared.given_up.is_set() && !shutting_down;
         // A trial is a single attempt, whatever its outcome.
         let refused = self.trial || self.quarantine_remaining().is_some();
-        attempts_left && time_left && !refused && self.shared.budget().take(now, &self.service)
+        attempts_left && time_left && !refused && self.shared.budget().try_spend(now, &self.service)
     }
 
     /// Returns the refusal for a request past its deadline or the node's
@@ -242,7 +242,7 @@
 impl Drop for RequestContext {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let cut = self.shared.shutdown.get().is_some_and(|s| now >= s.cut);
+        let cut = self.shared.shutdown.get().is_some_and(|s| now >= s.cut_at);
         let unanswered = if cut { "cut-leaving" } else { "caller-gone" };
         let (status, outcome) = self.timeline.outcome.unwrap_or((0, unanswered));
         let elapsed = now.since(self.started_at);
@@ -251,12 +251,12 @@
         if let (Some(sent), "answered") = (self.timeline.sent, outcome) {
             // A resumed response says little about the duration of a whole one.
             if self.request.last_event.is_none() {
-                let durations = Took {
+                let timing = RequestTiming {
                     wait: sent.since(self.started_at),
                     answer: now.since(sent),
                     tokens: self.request.prompt.and_then(|p| p.output_length()),
                 };
-                self.shared.durations().observe(&self.route.name, durations);
+                self.shared.durations().observe(&self.route.name, timing);
             }
             let lifted = self.shared.crashes().answered(now, self.fingerprint());
             if let Some(lifted) = lifted {
--- a/gateway/src/retry.rs
+++ b/gateway/src/retry.rs
@@ -46,7 +46,7 @@
 /// Returns whether a request that may have run may be retried, and spends the
 /// budget for it.
 pub(crate) fn try_repeat(ctx: &RequestContext, why: &str) -> bool {
-    ctx.route.kind.may_repeat() && try_retry(ctx, why)
+    ctx.route.kind.is_retryable() && try_retry(ctx, why)
 }
 
 /// Returns whether a request may be retried, and spends the budget for it.
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use snipeyoke_lib::serving::durations::Ahead;
-use snipeyoke_lib::serving::stopping::Candidate;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::shutdown::PendingRequest;
 use snipeyoke_lib::time::Time;
 
 use crate::request_context::RequestContext;
@@ -11,22 +11,22 @@
 impl RequestContext {
     /// Returns whether the node shuts down before the request is expected to
     /// end, and logs the basis of the decision.
-    pub(crate) fn refused_by_shutdown(&self, ahead: Ahead) -> bool {
+    pub(crate) fn refused_by_shutdown(&self, remaining: Remaining) -> bool {
         let Some(shutdown) = self.shared.shutdown.get() else {
             return false;
         };
         let now = self.shared.now();
-        let candidate = self.candidate(ahead);
-        let refused = shutdown.refuses(now, &candidate);
+        let pending = self.pending_request(remaining);
+        let refused = shutdown.should_refuse(now, &pending);
         let millis = |time: Duration| time.as_millis().to_string();
-        let bound = candidate.ahead.map(millis);
+        let bound = pending.remaining.map(millis);
         log::info!(
             event = "leaving-judged",
             request = self.request.id.as_str(),
             refused,
-            late = shutdown.is_late_stream(&candidate),
+            late = shutdown.is_late_stream(&pending),
             bound_ms = bound.as_deref().unwrap_or("-"),
-            stop_ms = millis(shutdown.end(&candidate).since(now)).as_str();
+            stop_ms = millis(shutdown.response_deadline(&pending).since(now)).as_str();
             ""
         );
         refused
@@ -38,17 +38,17 @@
         let Some(shutdown) = self.shared.shutdown.get() else {
             return Time::NEVER;
         };
-        shutdown.latest_send(&self.candidate(Ahead::Answer))
+        shutdown.latest_send(&self.pending_request(Remaining::Answer))
     }
 
-    fn candidate(&self, ahead: Ahead) -> Candidate {
+    fn pending_request(&self, remaining: Remaining) -> PendingRequest {
         let tokens = self.request.prompt.and_then(|p| p.output_length());
         let durations = self.shared.durations();
-        Candidate {
+        PendingRequest {
             stream: self.route.kind.is_stream(),
-            began: self.started_at,
-            due: self.deadline,
-            ahead: durations.bound(&self.route.name, tokens, ahead),
+            arrived_at: self.started_at,
+            deadline: self.deadline,
+            remaining: durations.bound(&self.route.name, tokens, remaining),
         }
     }
 }
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -7,12 +7,12 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::FailureDomain;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::serving::pieces::Job;
-use snipeyoke_lib::serving::pieces::Order;
-use snipeyoke_lib::serving::pieces::Plan;
-use snipeyoke_lib::serving::pieces::PlanError;
-use snipeyoke_lib::serving::pieces::StageTimes;
-use snipeyoke_lib::serving::pieces::Work;
+use snipeyoke_lib::serving::batching::Job;
+use snipeyoke_lib::serving::batching::PlanError;
+use snipeyoke_lib::serving::batching::ReadyStage;
+use snipeyoke_lib::serving::batching::StageInput;
+use snipeyoke_lib::serving::batching::StagePlan;
+use snipeyoke_lib::serving::batching::StageTimes;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct StageWork {
     dispatcher: Dispatcher,
-    plan: Plan,
+    plan: StagePlan,
     results: BTreeMap<String, HeldResult>,
     jobs: BTreeMap<JobNumber, (usize, Vec<u32>)>,
     completions: (Sender<JobResult>, Receiver<JobResult>),
@@ -58,7 +58,7 @@
         if ctx.route.stages.is_empty() {
             return Ok(None);
         }
-        let plan = Plan::new(&ctx.route.stages, &ctx.request.item_counts)?;
+        let plan = StagePlan::new(&ctx.route.stages, &ctx.request.item_counts)?;
         Ok(Some(Self {
             dispatcher: ctx.shared.dispatcher.clone(),
             plan,
@@ -78,7 +78,7 @@
             return Ok(Vec::new());
         };
         // Resuming after the first event: the results have been released.
-        if work.plan.is_given_back() && work.plan.results_gone().is_err() {
+        if work.plan.is_released() && work.plan.on_results_gone().is_err() {
             return Err(Refusal::StageFailed);
         }
         while !work.plan.is_done() {
@@ -86,7 +86,7 @@
                 return Err(Refusal::Quarantined);
             }
             let times = work.times(ctx);
-            for order in work.plan.orders(&times) {
+            for order in work.plan.start_ready(&times) {
                 work.submit(ctx, &times, order);
             }
             let job_result = ctx.before_latest_send(work.completions.1.recv()).await;
@@ -94,7 +94,7 @@
                 return Err(ctx.timeout_refusal());
             };
             work.handle_job_result(ctx, job_result)?;
-            let unneeded = work.plan.unneeded();
+            let unneeded = work.plan.take_unneeded();
             work.release_handles(unneeded);
         }
         if ctx.timeline.staged.is_none() {
@@ -109,40 +109,40 @@
 
     /// Handles a result that was gone when the request needed it.
     pub(crate) fn results_gone(&mut self) -> Result<(), PlanError> {
-        self.plan.results_gone()
+        self.plan.on_results_gone()
     }
 
     /// Releases all results, once the request has read them.
     pub(crate) fn release(&mut self) {
-        let remaining = self.plan.remaining();
+        let remaining = self.plan.take_remaining();
         self.release_handles(remaining);
     }
 
-    fn submit(&mut self, ctx: &RequestContext, times: &StageTimes, order: Order) {
+    fn submit(&mut self, ctx: &RequestContext, times: &StageTimes, order: ReadyStage) {
         let stage = &ctx.route.stages[order.stage];
         let now = ctx.shared.now();
-        let inputs = match &order.work {
-            Work::Key => None,
-            Work::Inputs(handles) => self.dominant_domain(ctx, handles),
+        let inputs = match &order.input {
+            StageInput::Key => None,
+            StageInput::Results(handles) => self.dominant_domain(ctx, handles),
         };
         let job = Job {
             request: ctx.request.id.clone(),
             fingerprint: Some(ctx.fingerprint()),
             stage: order.stage,
-            pieces: order.pieces.clone(),
-            work: order.work,
+            items: order.items.clone(),
+            input: order.input,
             key: ctx.request.item_key.clone(),
-            each: stage.bytes,
-            goal: no_earlier_than(now, times.goal(order.stage, ctx.target)),
-            due: no_earlier_than(now, times.due(order.stage, ctx.deadline)),
-            domain: prompt_domain(ctx),
+            result_bytes: stage.result_bytes,
+            target: no_earlier_than(now, times.target(order.stage, ctx.target)),
+            deadline: no_earlier_than(now, times.deadline(order.stage, ctx.deadline)),
+            result_domain: prompt_domain(ctx),
             priority: ctx.urgency(),
-            inputs,
+            input_source: inputs,
         };
         let number = self
             .dispatcher
             .submit(stage.service.clone(), job, self.completions.0.clone());
-        self.jobs.insert(number, (order.stage, order.pieces));
+        self.jobs.insert(number, (order.stage, order.items));
     }
 
     /// Returns the expected times of the stages, as of now.
@@ -150,8 +150,8 @@
         let prompt = ctx.request.prompt;
         let tokens = prompt.map_or(0, |p| p.tokens - p.shared.min(p.tokens));
         let model = ctx.shared.paces().expected(&ctx.service, tokens);
-        let limits = |name: &PoolName| ctx.catalog.service(name)?.pieces.clone();
-        StageTimes::new(&ctx.route.stages, &self.plan.counts(), model, limits)
+        let limits = |name: &PoolName| ctx.catalog.service(name)?.batching.clone();
+        StageTimes::new(&ctx.route.stages, &self.plan.item_counts(), model, limits)
     }
 
     fn handle_job_result(
@@ -167,10 +167,10 @@
             let held = HeldResult {
                 service: service.clone(),
                 endpoint: result.endpoint,
-                size: ctx.route.stages[stage].bytes,
+                size: ctx.route.stages[stage].result_bytes,
             };
             self.results.insert(result.handle.clone(), held);
-            self.plan.done(stage, result.item, result.handle);
+            self.plan.on_result(stage, result.item, result.handle);
         }
         if let Some(failure) = job_result.failure {
             log::info!(event = "stage-failed", request = ctx.request.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ctx.remaining().as_millis() as u64, backlog_ms = job_result.backlog.as_millis() as u64; "");
@@ -190,7 +190,7 @@
 
     fn inputs_gone(&mut self, stage: usize, items: &[u32]) -> Result<(), PlanError> {
         if let Some(&first) = items.first() {
-            self.plan.inputs_gone(stage, first)?;
+            self.plan.on_inputs_gone(stage, first)?;
         }
         self.reopen(stage, items);
         Ok(())
@@ -198,7 +198,7 @@
 
     fn stage_failed(&mut self, stage: usize, items: &[u32]) -> Result<(), PlanError> {
         if let Some(&first) = items.first() {
-            self.plan.failed(stage, first)?;
+            self.plan.on_failure(stage, first)?;
         }
         self.reopen(stage, items);
         Ok(())
@@ -206,7 +206,7 @@
 
     fn reopen(&mut self, stage: usize, items: &[u32]) {
         for &item in items {
-            self.plan.reopen(stage, item);
+            self.plan.on_cancelled(stage, item);
         }
     }
 
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 use hyper::StatusCode;
-use snipeyoke_lib::serving::events::Events;
+use snipeyoke_lib::serving::events::EventAssembler;
 use snipeyoke_runtime::http::Cut;
 use snipeyoke_runtime::http::Reply;
 use snipeyoke_runtime::http::cuttable;
@@ -30,12 +30,12 @@
 
 /// Serves a request up to the head of its stream; the body carries the rest.
 pub(crate) async fn serve_stream(mut ctx: RequestContext, mut stages: Option<StageWork>) -> Reply {
-    let mut events = Events::after(ctx.request.last_event);
+    let mut events = EventAssembler::resume_after(ctx.request.last_event);
     match start_stream(&mut ctx, &mut stages, &events).await {
         StreamStart::Stream(mut response) => {
             let status = response.call.head.status;
             let headers = std::mem::take(&mut response.head.headers);
-            events.drop_rest();
+            events.discard_partial();
             ctx.response_started = true;
             let active = ActiveStream {
                 ctx,
@@ -64,10 +64,10 @@
 async fn start_stream(
     ctx: &mut RequestContext,
     stages: &mut Option<StageWork>,
-    events: &Events,
+    events: &EventAssembler,
 ) -> StreamStart {
     loop {
-        let response = match attempt_step(ctx, stages, events.last()).await {
+        let response = match attempt_step(ctx, stages, events.last_id()).await {
             Step::Response(response) => response,
             Step::Retry => continue,
             Step::Refused(refusal) => return StreamStart::Refused(refusal),
@@ -109,7 +109,7 @@
 struct ActiveStream {
     ctx: RequestContext,
     stages: Option<StageWork>,
-    events: Events,
+    events: EventAssembler,
     response: Option<Box<OpenResponse>>,
 }
 
@@ -134,7 +134,7 @@
                     }
                     Err(error) => error.to_string(),
                 },
-                Some(Ok(None)) if !self.events.is_torn() => {
+                Some(Ok(None)) if !self.events.has_partial() => {
                     if let Some(response) = &mut self.response {
                         response.flight.settle();
                     }
@@ -175,7 +175,7 @@
             record_failure(&self.ctx, &mut response.flight);
             report_break(&self.ctx, &mut response.flight);
         }
-        self.events.drop_rest();
+        self.events.discard_partial();
         if !try_repeat(&self.ctx, "stream-broken") {
             return false;
         }
--- a/gateway/src/unary.rs
+++ b/gateway/src/unary.rs
@@ -23,8 +23,8 @@
 use crate::retry::attempt_step;
 use crate::retry::try_repeat;
 use crate::stages::StageWork;
-use snipeyoke_lib::serving::come_back::come_back;
-use snipeyoke_lib::serving::come_back::elsewhere;
+use snipeyoke_lib::serving::retry_after::other_node_retry_after;
+use snipeyoke_lib::serving::retry_after::retry_after;
 
 /// The maximum size of a response that is buffered before it is relayed, in
 /// bytes.
@@ -68,12 +68,12 @@
     };
     ctx.set_outcome(refusal.status(), refusal.name());
     let wait = match refusal {
-        Refusal::ShuttingDown => elsewhere(ctx.sample()),
+        Refusal::ShuttingDown => other_node_retry_after(ctx.sample()),
         Refusal::Quarantined => {
             let remaining = ctx.quarantine_remaining().unwrap_or_default();
-            remaining + come_back(Duration::ZERO, Duration::ZERO, ctx.sample())
+            remaining + retry_after(Duration::ZERO, Duration::ZERO, ctx.sample())
         }
-        _ => come_back(ctx.backlog, ctx.remaining(), ctx.sample()),
+        _ => retry_after(ctx.backlog, ctx.remaining(), ctx.sample()),
     };
     refusal.reply(wait)
 }
