--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -1,9 +1,9 @@
-//! One HTTP call to an endpoint, on a connection of its own.
+//! A single HTTP call to an endpoint, on its own connection.
 //!
-//! A connection carries one request and is closed. On a kept connection a late
-//! second answer would be taken for the answer to the next request, and a
-//! request that crosses the endpoint's close could not be told from one that
-//! ran; both are impossible here, for one handshake a request.
+//! A connection carries one request and is then closed. On a reused connection,
+//! a late second response would be taken for the response to the next request,
+//! and a request sent while the endpoint closes the connection could not be
+//! told from one that ran. The cost is one handshake per request.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,52 +26,51 @@
 use snipeyoke_runtime::link;
 use snipeyoke_runtime::threads::Exec;
 
-/// The longest time to connect.
+/// The time limit for opening a connection.
 ///
-/// Hosts answer within milliseconds. A lost opening packet is sent again after
-/// a second, which is too late for most callers: another endpoint is faster.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+/// Hosts respond within milliseconds. A lost SYN is sent again after a second,
+/// which is too late for most callers; another endpoint is faster.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest time that bytes may go unacknowledged.
+/// The maximum time that sent bytes may stay unacknowledged.
 ///
-/// An endpoint without power never answers. With the first probe after a
-/// second of silence it is found within about two.
-const UNHEARD_MAX: Duration = Duration::from_millis(1_200);
+/// An endpoint without power never responds. With the first keepalive probe
+/// after a second of silence, it is detected within about two.
+const UNACKED_MAX: Duration = Duration::from_millis(1_200);
 
-/// The silence after which the system probes a connection.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+/// The idle time after which the kernel sends keepalive probes.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug)]
 #[derive(Display, Error)]
 pub(crate) enum CallError {
-    /// No connection: the request was not sent.
+    /// No connection; the request was not sent.
     #[display("no connection: {_0}; the request was not sent")]
     NotSent(io::Error),
-    /// The connection took no request: it was not sent.
+    /// The connection accepted no request; the request was not sent.
     #[display("the connection closed before the request was sent: {_0}")]
     NotAccepted(hyper::Error),
-    /// The connection failed after the request may have been read.
+    /// The connection failed after the endpoint may have read the request.
     #[display("the connection failed: {_0}; the request may have run")]
     Broken(hyper::Error),
 }
 
 impl CallError {
-    /// Tells whether the endpoint's host refused the connection.
+    /// Returns whether the endpoint's host refused the connection.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, Self::NotSent(e) if e.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Tells whether the request surely never left this process.
+    /// Returns whether the request certainly was not sent.
     pub(crate) const fn is_not_sent(&self) -> bool {
         !matches!(self, Self::Broken(_))
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 ///
-/// The connection closes when this is dropped, which cancels the work at the
-/// endpoint.
+/// Dropping it closes the connection, which cancels the work at the endpoint.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) head: response::Parts,
@@ -91,26 +90,26 @@
     }
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
-/// `handed` is set before the first byte of it may leave.
+/// Sets `handed_off` before the first byte may be sent.
 pub(crate) async fn send_request(
     exec: &Exec,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    handed: &Flag,
+    handed_off: &Flag,
 ) -> Result<Call, CallError> {
-    let stream = link::connect(address, CONNECT_LIMIT);
+    let stream = link::connect(address, CONNECT_TIMEOUT);
     let stream = stream.await.map_err(CallError::NotSent)?;
-    watch(&stream).map_err(CallError::NotSent)?;
+    enable_keepalive(&stream).map_err(CallError::NotSent)?;
     let (mut sender, conn) = http1::handshake(FuturesIo::new(stream))
         .await
         .map_err(CallError::NotAccepted)?;
     let conn = exec.spawn(async move {
-        // How the connection ends is told by the answer or its body.
+        // Errors of the connection surface in the response or its body.
         let _ended = conn.await;
     });
-    handed.set();
+    handed_off.set();
     match sender.try_send_request(request).await {
         Ok(response) => {
             let (head, body) = response.into_parts();
@@ -127,12 +126,12 @@
     }
 }
 
-fn watch(stream: &Async<std::net::TcpStream>) -> io::Result<()> {
-    link::prepare(stream, UNHEARD_MAX)?;
+fn enable_keepalive(stream: &Async<std::net::TcpStream>) -> io::Result<()> {
+    link::prepare(stream, UNACKED_MAX)?;
     let socket = stream.get_ref();
     sockopt::set_socket_keepalive(socket, true)?;
-    sockopt::set_tcp_keepidle(socket, PROBE_AFTER)?;
-    sockopt::set_tcp_keepintvl(socket, PROBE_AFTER)?;
+    sockopt::set_tcp_keepidle(socket, KEEPALIVE_IDLE)?;
+    sockopt::set_tcp_keepintvl(socket, KEEPALIVE_IDLE)?;
     sockopt::set_tcp_keepcnt(socket, 2)?;
     Ok(())
 }
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole gateway: its tasks, and the way it leaves.
+//! A whole gateway: its tasks and its shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,61 +26,66 @@
 use crate::dialect::Dialect;
 use crate::dispatch;
 use crate::dispatch::Dispatcher;
-use crate::door::Door;
 use crate::follow;
+use crate::ingress::Ingress;
 use crate::ready::Metrics;
 use crate::ready::Readiness;
 use crate::registry::Registry;
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How long a leaving node still takes new streams, and keeps idle connections.
+/// How long a node that shuts down accepts new streams and keeps idle
+/// connections.
 ///
-/// A balancer that asks once a second and wants two misses has passed the node
-/// over after two seconds at most, and its last connections have come.
-const ASIDE: Duration = Duration::from_millis(2_300);
+/// A load balancer that probes once a second and needs two failed probes has
+/// removed the node after two seconds at most, and its last connections have
+/// arrived.
+const ROTATION_DELAY: Duration = Duration::from_millis(2_300);
 
-/// The part of the grace after which requests without an answer are given up.
+/// The fraction of the grace period after which unanswered requests are given
+/// up.
 ///
-/// Answers that come later than this would be cut; what is left is ample for
-/// the last refusals to leave, also on a host with a tenth of a core.
-const ANSWERED_BY: f64 = 0.86;
+/// Later responses would be cut. The rest is enough to send the last refusals,
+/// even on a host with a tenth of a core.
+const GIVE_UP_FRACTION: f64 = 0.86;
 
-/// The part of the grace after which answers under way are cut.
+/// The fraction of the grace period after which responses in progress are cut.
 ///
-/// A clean end before SIGKILL closes every connection in an orderly way. Last
-/// frames take up to 0.3 s after it, which fits from a grace of 5 s on.
-const GRACE_USED: f64 = 0.93;
+/// A clean end before SIGKILL closes every connection in order. The last frames
+/// take up to 0.3 s after it, which fits into a grace period of 5 s or more.
+const CUT_FRACTION: f64 = 0.93;
 
-/// The connections of callers at once.
+/// The maximum number of concurrent caller connections.
 ///
-/// A third of the descriptors that a small host allows; each request in
-/// flight takes one more for its endpoint.
-const CONNS: usize = 1_300;
+/// A third of the file descriptors that a small host allows; each request in
+/// flight uses one more for its endpoint.
+const CALLER_CONNS_MAX: usize = 1_300;
 
-/// The longest time for a head, and for an idle connection of a caller.
+/// The time limit for a request head and for an idle caller connection.
 ///
-/// Configurations allow callers up to fifteen seconds of idleness.
-const HEAD_TIME: Duration = Duration::from_secs(16);
+/// Configurations allow callers up to fifteen seconds of idle time.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(16);
 
 /// The reason why a node can't start.
 #[derive(Debug)]
 #[derive(Display, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
-    #[display("{address}: can't listen: {source}; check that the address is this host's and free")]
+    /// Can't listen on an address.
+    #[display(
+        "{address}: can't listen: {source}; check that the address belongs to this host and is free"
+    )]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl StartError {
-    /// Tells whether an address was taken.
+    /// Returns whether an address is already in use.
     #[must_use]
-    pub fn is_taken(&self) -> bool {
+    pub fn is_address_in_use(&self) -> bool {
         let Self::Listen { source, .. } = self;
         source.kind() == io::ErrorKind::AddrInUse
     }
@@ -102,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StartError`] if an address can't be listened on.
+    /// Returns [`StartError`] if it can't listen on an address.
     pub fn start(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -110,10 +115,10 @@
         execs: &Execs,
     ) -> Result<Self, StartError> {
         let listen = settings.listen.clone();
-        let callers_at = bind(listen.callers)?;
-        let ready_at = bind(listen.ready)?;
-        let peers_at = bind(listen.peers)?;
-        let metrics_at = listen.metrics.map(bind).transpose()?;
+        let callers_listener = bind(listen.callers)?;
+        let ready_listener = bind(listen.ready)?;
+        let peers_listener = bind(listen.peers)?;
+        let metrics_listener = listen.metrics.map(bind).transpose()?;
         let (dispatcher, messages) = Dispatcher::new();
         let traffic = Arc::clone(&execs.traffic);
         let seeds = settings.seeds.clone();
@@ -130,12 +135,15 @@
             served: Flag::default(),
             shared,
         };
-        gateway.serve_callers(callers_at);
-        gateway.serve_small(ready_at, Arc::new(Readiness(Arc::clone(&gateway.shared))));
-        if let Some(listener) = metrics_at {
-            gateway.serve_small(listener, Arc::new(Metrics));
+        gateway.serve_callers(callers_listener);
+        gateway.serve_http(
+            ready_listener,
+            Arc::new(Readiness(Arc::clone(&gateway.shared))),
+        );
+        if let Some(listener) = metrics_listener {
+            gateway.serve_http(listener, Arc::new(Metrics));
         }
-        gateway.run_control(peers_at, messages);
+        gateway.run_control(peers_listener, messages);
         log::info!(
             event = "started",
             node = gateway.shared.settings.node.to_string().as_str(),
@@ -147,24 +155,24 @@
     }
 
     fn serve_callers(&self, listener: Async<TcpListener>) {
-        let door = Arc::new(Door(Arc::clone(&self.shared)));
+        let ingress = Arc::new(Ingress(Arc::clone(&self.shared)));
         let bounds = Bounds {
-            head_time: HEAD_TIME,
-            conns: CONNS,
+            head_time: HEAD_TIMEOUT,
+            conns: CALLER_CONNS_MAX,
         };
         let scope = self.conns.clone();
         let drain = self.shared.drain.clone();
-        let end = self.shared.end.clone();
+        let stop_accepting = self.shared.stop_accepting.clone();
         let served = self.served.clone();
         self.callers.spawn(async move {
-            http::serve_until(listener, door, bounds, scope, drain, end).await;
+            http::serve_until(listener, ingress, bounds, scope, drain, stop_accepting).await;
             served.set();
         });
     }
 
-    fn serve_small(&self, listener: Async<TcpListener>, handler: Arc<dyn Handler>) {
+    fn serve_http(&self, listener: Async<TcpListener>, handler: Arc<dyn Handler>) {
         let bounds = Bounds {
-            head_time: HEAD_TIME,
+            head_time: HEAD_TIMEOUT,
             conns: 64,
         };
         let scope = Scope::new(self.control.exec());
@@ -181,19 +189,19 @@
         let seed = rapidhash_v3(self.shared.settings.node.as_str().as_bytes());
         let shared = || Arc::clone(&self.shared);
         let scope = &self.control;
-        // Stage jobs are traffic: they go from a request to its owner and back
-        // several times a second, which on one thread needs no wake-up of
-        // another, and can't keep the configuration waiting.
+        // Stage jobs run on the traffic thread: a request exchanges several messages a
+        // second with the owner, and no other thread has to wake up for them. They also
+        // can't delay the configuration.
         let traffic = &self.stages;
         traffic.spawn(dispatch::run(shared(), messages, traffic.clone()));
         let dispatcher = self.shared.dispatcher.clone();
         traffic.spawn(dispatch::accept(peers, dispatcher, traffic.clone()));
         scope.spawn(changes::follow(shared(), seed));
         scope.spawn(follow::follow_endpoints(shared(), seed ^ 1));
-        scope.spawn(follow::meet(shared(), seed ^ 2));
+        scope.spawn(follow::discover_peers(shared(), seed ^ 2));
     }
 
-    /// Takes new settings; addresses stay until the next start.
+    /// Applies new settings; changed addresses take effect at the next start.
     pub fn reload(&self, settings: &Settings) {
         self.shared.budget().set_limits(settings.retries);
         let now = self.shared.now();
@@ -203,39 +211,40 @@
         log::info!(event = "settings-reloaded", node = settings.node.to_string().as_str(); "");
     }
 
-    /// Leaves: the balancer first, then idle connections, then what runs.
+    /// Shuts down: leaves the load balancer's rotation, closes idle
+    /// connections, then ends requests in flight.
     pub async fn drain(&self) {
         log::info!(event = "leaving", grace_ms = self.shared.settings.grace.as_millis() as u64; "");
-        let began = self.shared.now();
+        let started_at = self.shared.now();
         let grace = self.shared.settings.grace;
-        let given_up = began + grace.mul_f64(ANSWERED_BY);
-        let cut = began + grace.mul_f64(GRACE_USED);
-        // Only the first call to leave counts.
-        let _earlier = self.shared.stop.set(Shutdown {
-            out_of_rotation: began + ASIDE,
+        let given_up = started_at + grace.mul_f64(GIVE_UP_FRACTION);
+        let cut = started_at + grace.mul_f64(CUT_FRACTION);
+        // Only the first shutdown request counts.
+        let _earlier = self.shared.shutdown.set(Shutdown {
+            out_of_rotation: started_at + ROTATION_DELAY,
             cancel_at: given_up,
             cut_at: cut,
         });
         self.shared.out_of_rotation.set();
         self.shared.owners().leave();
         self.shared.dispatcher.announce_leaving();
-        Timer::after(ASIDE).await;
+        Timer::after(ROTATION_DELAY).await;
         self.shared.drain.set();
-        self.shared.end.set();
-        let over = async {
-            self.until(given_up).await;
-            self.shared.overtime.set();
-            self.until(cut).await;
+        self.shared.stop_accepting.set();
+        let timeout = async {
+            self.sleep_until(given_up).await;
+            self.shared.given_up.set();
+            self.sleep_until(cut).await;
         };
-        self.served.wait().or(over).await;
+        self.served.wait().or(timeout).await;
         let running = self.conns.len();
-        log::info!(event = "stopped", running, took_ms = self.shared.now().since(began).as_millis() as u64; "");
+        log::info!(event = "stopped", running, took_ms = self.shared.now().since(started_at).as_millis() as u64; "");
         self.callers.cancel().await;
         self.conns.cancel().await;
         future::zip(self.stages.cancel_later(), self.control.cancel_later()).await;
     }
 
-    async fn until(&self, at: Time) {
+    async fn sleep_until(&self, at: Time) {
         Timer::after(at.since(self.shared.now())).await;
     }
 }
--- /dev/null
+++ b/gateway/src/request_context.rs
@@ -0,0 +1,290 @@
+//! The state of one client attempt while this node handles it.
+
+use std::sync::Arc;
+use std::sync::OnceLock;
+use std::time::Duration;
+
+use async_io::Timer;
+use bytes::Bytes;
+use futures_lite::FutureExt;
+use hyper::StatusCode;
+use hyper::http::request;
+use rapidhash::v3::rapidhash_v3;
+use snipeyoke_lib::ids::ClientAccount;
+use snipeyoke_lib::ids::EndpointId;
+use snipeyoke_lib::ids::FailureDomain;
+use snipeyoke_lib::ids::PoolName;
+use snipeyoke_lib::serving::catalog::Catalog;
+use snipeyoke_lib::serving::catalog::KeyHolder;
+use snipeyoke_lib::serving::catalog::Route;
+use snipeyoke_lib::serving::crashes::Fingerprint;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::durations::RequestTiming;
+use snipeyoke_lib::time::Time;
+
+use crate::dialect::RequestHead;
+use crate::fingerprint::fingerprint;
+use crate::refusal::Refusal;
+use crate::shared::Shared;
+
+/// A routed client attempt and its progress.
+#[derive(Debug)]
+pub(crate) struct RequestContext {
+    pub(crate) shared: Arc<Shared>,
+    pub(crate) catalog: Arc<Catalog>,
+    pub(crate) request: RequestHead,
+    pub(crate) head: request::Parts,
+    pub(crate) body: Bytes,
+    fingerprint: OnceLock<Fingerprint>,
+    /// Whether this is the trial attempt after a quarantine.
+    pub(crate) trial: bool,
+    pub(crate) route: Arc<Route>,
+    pub(crate) service: PoolName,
+    pub(crate) holder: Option<KeyHolder>,
+    pub(crate) started_at: Time,
+    /// When the response stops being on time.
+    pub(crate) target: Time,
+    /// When the caller gives up or the route's timeout ends.
+    pub(crate) deadline: Time,
+    /// The failure domain to run in, if the results to read there outweigh the
+    /// shared prefix.
+    pub(crate) domain: Option<FailureDomain>,
+    /// The failure domain that holds most of the stage results, and the cost of
+    /// reading them from another one, in tokens.
+    pub(crate) inputs: Option<(FailureDomain, u32)>,
+    /// The endpoints that received the request.
+    pub(crate) attempted: Vec<EndpointId>,
+    /// Whether an endpoint may have run the request.
+    pub(crate) may_have_run: bool,
+    /// Whether the head of the response has been sent to the caller.
+    pub(crate) response_started: bool,
+    /// The time needed for the work queued ahead, if the service owner reported
+    /// it.
+    pub(crate) backlog: Duration,
+    pub(crate) timeline: Timeline,
+}
+
+/// What is logged when a request ends.
+#[derive(Debug, Default)]
+pub(crate) struct Timeline {
+    /// When the stages were complete.
+    pub(crate) staged: Option<Time>,
+    /// When the request was last sent to an endpoint.
+    pub(crate) sent: Option<Time>,
+    /// When the first event, or the whole response, arrived.
+    pub(crate) first_output: Option<Time>,
+    pub(crate) events: u64,
+    pub(crate) outcome: Option<(u16, &'static str)>,
+}
+
+impl RequestContext {
+    pub(crate) fn new(
+        shared: Arc<Shared>,
+        catalog: Arc<Catalog>,
+        request: RequestHead,
+        head: request::Parts,
+        (route, holder): (Arc<Route>, Option<KeyHolder>),
+        started_at: Time,
+    ) -> Option<Self> {
+        let sample = rapidhash_v3(request.id.as_bytes());
+        let service = route.choose_target(sample)?.clone();
+        let remaining = request
+            .remaining
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
+        Some(Self {
+            target: started_at + route.target_time,
+            deadline: started_at + remaining,
+            shared,
+            catalog,
+            request,
+            head,
+            body: Bytes::new(),
+            fingerprint: OnceLock::new(),
+            trial: false,
+            route,
+            service,
+            holder,
+            started_at,
+            domain: None,
+            inputs: None,
+            attempted: Vec::new(),
+            may_have_run: false,
+            response_started: false,
+            backlog: Duration::ZERO,
+            timeline: Timeline::default(),
+        })
+    }
+
+    pub(crate) fn account(&self) -> Option<&ClientAccount> {
+        self.holder.as_ref().map(|h| &h.account)
+    }
+
+    /// Returns the hash that identifies attempts at the same request.
+    ///
+    /// The body must be set.
+    pub(crate) fn fingerprint(&self) -> Fingerprint {
+        let hash = || fingerprint(&self.head, self.account(), &self.body);
+        *self.fingerprint.get_or_init(hash)
+    }
+
+    /// Returns the remaining quarantine, imposed because endpoints crashed
+    /// while running the request.
+    pub(crate) fn quarantine_remaining(&self) -> Option<Duration> {
+        let now = self.shared.now();
+        let request = self.fingerprint();
+        let crashes = self.shared.crashes();
+        let remaining = crashes.quarantined(now, request);
+        remaining.filter(|_| !self.trial || !crashes.may_go_on(now, request))
+    }
+
+    /// Starts the trial attempt after a quarantine, if this node may run it.
+    pub(crate) fn start_trial(&mut self) -> bool {
+        let now = self.shared.now();
+        let request = self.fingerprint();
+        let counters = self.shared.owners().counters(now, request);
+        let own = self.shared.settings.listen.peers;
+        // A trial on each node could crash as many endpoints as there are nodes.
+        self.trial = counters.first() == Some(&own) && self.shared.crashes().may_try(now, request);
+        if self.trial {
+            log::info!(event = "quarantine-trial", request = self.request.id.as_str(), fingerprint = request.to_string().as_str(); "");
+        }
+        self.trial
+    }
+
+    /// Returns the urgency for a model; an account's own priority takes
+    /// precedence.
+    pub(crate) fn urgency(&self) -> u8 {
+        let own = self.holder.as_ref().and_then(|h| h.priority);
+        own.unwrap_or(self.route.priority)
+    }
+
+    /// Returns the remaining time.
+    pub(crate) fn remaining(&self) -> Duration {
+        self.deadline.since(self.shared.now())
+    }
+
+    /// Waits for a future until the request's deadline, or until a node that
+    /// shuts down gives up unanswered requests.
+    ///
+    /// Used before a response starts, while the node can still send a refusal.
+    pub(crate) async fn before_give_up<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let given_up = async {
+            self.shared.given_up.wait().await;
+            None
+        };
+        self.before_deadline(future).or(given_up).await
+    }
+
+    /// Waits for a future while the response can still be expected to end
+    /// before the node shuts down.
+    pub(crate) async fn before_latest_send<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let too_late = async {
+            self.shared.out_of_rotation.wait().await;
+            let latest = self.latest_send();
+            Timer::after(latest.since(self.shared.now())).await;
+            None
+        };
+        if self.response_started {
+            return self.before_give_up(future).await;
+        }
+        self.before_give_up(future).or(too_late).await
+    }
+
+    /// Waits for a future until the request's deadline.
+    pub(crate) async fn before_deadline<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let timeout = async {
+            Timer::after(self.remaining()).await;
+            None
+        };
+        async { Some(future.await) }.or(timeout).await
+    }
+
+    /// Returns whether another attempt is allowed, and spends the retry budget.
+    pub(crate) fn try_spend_retry(&self) -> bool {
+        let attempts_left = (self.attempted.len() as u32) < self.route.attempts;
+        let now = self.shared.now();
+        let shutting_down = !self.response_started && self.refused_by_shutdown(Remaining::Answer);
+        let time_left = now < self.deadline && !self.shared.given_up.is_set() && !shutting_down;
+        // A trial is a single attempt, whatever its outcome.
+        let refused = self.trial || self.quarantine_remaining().is_some();
+        attempts_left && time_left && !refused && self.shared.budget().try_spend(now, &self.service)
+    }
+
+    /// Returns the refusal for a request past its deadline or the node's
+    /// shutdown.
+    pub(crate) fn timeout_refusal(&self) -> Refusal {
+        if self.may_have_run {
+            Refusal::Timeout
+        } else if self.shared.now() < self.deadline {
+            Refusal::ShuttingDown
+        } else {
+            Refusal::TimeoutNotRun
+        }
+    }
+
+    /// Returns a number in `0..1` that differs between requests.
+    pub(crate) fn sample(&self) -> f64 {
+        sample(&self.request.id)
+    }
+
+    /// Sets the outcome to log.
+    pub(crate) const fn set_outcome(&mut self, status: StatusCode, outcome: &'static str) {
+        self.timeline.outcome = Some((status.as_u16(), outcome));
+    }
+}
+
+/// Returns a number in `0..1` that differs between ids.
+pub(crate) fn sample(id: &str) -> f64 {
+    (rapidhash_v3(id.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64
+}
+
+impl Drop for RequestContext {
+    fn drop(&mut self) {
+        let now = self.shared.now();
+        let cut = self.shared.shutdown.get().is_some_and(|s| now >= s.cut_at);
+        let unanswered = if cut { "cut-leaving" } else { "caller-gone" };
+        let (status, outcome) = self.timeline.outcome.unwrap_or((0, unanswered));
+        let elapsed = now.since(self.started_at);
+        metrics::counter!("snipeyoke_requests_total", "route" => self.route.name.clone(), "outcome" => outcome).increment(1);
+        metrics::histogram!("snipeyoke_request_seconds", "outcome" => outcome).record(elapsed);
+        if let (Some(sent), "answered") = (self.timeline.sent, outcome) {
+            // A resumed response says little about the duration of a whole one.
+            if self.request.last_event.is_none() {
+                let timing = RequestTiming {
+                    wait: sent.since(self.started_at),
+                    answer: now.since(sent),
+                    tokens: self.request.prompt.and_then(|p| p.output_length()),
+                };
+                self.shared.durations().observe(&self.route.name, timing);
+            }
+            let lifted = self.shared.crashes().answered(now, self.fingerprint());
+            if let Some(lifted) = lifted {
+                self.shared.dispatcher.announce_verdict(lifted);
+            }
+        }
+        let since =
+            |at: Option<Time>| at.map_or(0, |at| at.since(self.started_at).as_millis() as u64);
+        let endpoint = self.attempted.last().map(ToString::to_string);
+        let fingerprint = self.fingerprint.get().map(ToString::to_string);
+        log::info!(
+            event = "request-ended",
+            request = self.request.id.as_str(),
+            route = self.route.name.as_str(),
+            account = self.account().map_or("-", |a| a.as_str()),
+            status,
+            outcome,
+            took_ms = elapsed.as_millis() as u64,
+            staged_ms = since(self.timeline.staged),
+            first_ms = since(self.timeline.first_output),
+            events = self.timeline.events,
+            answer_tokens = self.request.prompt.and_then(|p| p.max_output).unwrap_or_default(),
+            expected_tokens = self.request.prompt.and_then(|p| p.expected_output).unwrap_or_default(),
+            tries = self.attempted.len(),
+            endpoint = endpoint.as_deref().unwrap_or("-"),
+            fingerprint = fingerprint.as_deref().unwrap_or("-"),
+            config = self.catalog.version();
+            ""
+        );
+    }
+}
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -1,4 +1,4 @@
-//! The stage work of one request, from its node's side.
+//! The stage work of one request, on the node that handles it.
 
 use std::collections::BTreeMap;
 
@@ -21,18 +21,19 @@
 use crate::dispatch::JobNumber;
 use crate::dispatch::JobResult;
 use crate::refusal::Refusal;
-use crate::ticket::Ticket;
+use crate::request_context::RequestContext;
 
-/// The bytes of results that are worth as much as one shared token.
+/// The size of results that costs as much to read as one shared token, in
+/// bytes.
 ///
-/// A request follows its results to their failure domain if they outweigh the
-/// prefix that would be read again there. Both are priced on the platform: a
-/// thousand tokens as much as two to three megabytes.
-const TOKEN_BYTES: u64 = 2_400;
+/// A request runs in the failure domain of its results if they outweigh the
+/// prefix that would have to be read again there. On the platform, a thousand
+/// tokens cost as much as two to three megabytes.
+const BYTES_PER_TOKEN: u64 = 2_400;
 
-/// A result that this request has.
+/// A stage result that this request holds.
 #[derive(Debug)]
-struct Made {
+struct HeldResult {
     service: PoolName,
     endpoint: EndpointId,
     size: Bytes,
@@ -40,180 +41,179 @@
 
 /// The stage work of one request.
 ///
-/// What is still under way when this is dropped is cancelled, and results that
-/// nobody needs are given back.
+/// Dropping it cancels the jobs under way and releases results that are no
+/// longer needed.
 #[derive(Debug)]
 pub(crate) struct StageWork {
     dispatcher: Dispatcher,
     plan: StagePlan,
-    makers: BTreeMap<String, Made>,
-    open: BTreeMap<JobNumber, (usize, Vec<u32>)>,
-    ends: (Sender<JobResult>, Receiver<JobResult>),
+    results: BTreeMap<String, HeldResult>,
+    jobs: BTreeMap<JobNumber, (usize, Vec<u32>)>,
+    completions: (Sender<JobResult>, Receiver<JobResult>),
 }
 
 impl StageWork {
-    /// Plans the stages of a request; `None` if it has none.
-    pub(crate) fn plan(ticket: &Ticket) -> Result<Option<Self>, PlanError> {
-        if ticket.route.stages.is_empty() {
+    /// Plans the stages of a request; returns `None` if it has none.
+    pub(crate) fn plan(ctx: &RequestContext) -> Result<Option<Self>, PlanError> {
+        if ctx.route.stages.is_empty() {
             return Ok(None);
         }
-        let plan = StagePlan::new(&ticket.route.stages, &ticket.ask.item_counts)?;
+        let plan = StagePlan::new(&ctx.route.stages, &ctx.request.item_counts)?;
         Ok(Some(Self {
-            dispatcher: ticket.shared.dispatcher.clone(),
+            dispatcher: ctx.shared.dispatcher.clone(),
             plan,
-            makers: BTreeMap::new(),
-            open: BTreeMap::new(),
-            ends: async_channel::unbounded(),
+            results: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            completions: async_channel::unbounded(),
         }))
     }
 
-    /// Does what is missing of the stages and returns the results that the
-    /// request itself needs.
+    /// Runs the missing stage work and returns the inputs of the request
+    /// itself.
     pub(crate) async fn inputs(
         work: Option<&mut Self>,
-        ticket: &mut Ticket,
+        ctx: &mut RequestContext,
     ) -> Result<Vec<String>, Refusal> {
         let Some(work) = work else {
             return Ok(Vec::new());
         };
-        // A resume after the first event: no endpoint can still have them.
+        // Resuming after the first event: the results have been released.
         if work.plan.is_released() && work.plan.on_results_gone().is_err() {
             return Err(Refusal::StageFailed);
         }
         while !work.plan.is_done() {
-            if ticket.quarantined().is_some() {
+            if ctx.quarantine_remaining().is_some() {
                 return Err(Refusal::Quarantined);
             }
-            let times = work.times(ticket);
+            let times = work.times(ctx);
             for order in work.plan.start_ready(&times) {
-                work.submit(ticket, &times, order);
+                work.submit(ctx, &times, order);
             }
-            let done = ticket.in_time_to_send(work.ends.1.recv()).await;
-            let Some(Ok(done)) = done else {
-                return Err(ticket.timeout());
+            let job_result = ctx.before_latest_send(work.completions.1.recv()).await;
+            let Some(Ok(job_result)) = job_result else {
+                return Err(ctx.timeout_refusal());
             };
-            work.take(ticket, done)?;
+            work.handle_job_result(ctx, job_result)?;
             let unneeded = work.plan.take_unneeded();
-            work.give_back_all(unneeded);
+            work.release_handles(unneeded);
         }
-        if ticket.timeline.staged.is_none() {
-            ticket.timeline.staged = Some(ticket.shared.now());
+        if ctx.timeline.staged.is_none() {
+            ctx.timeline.staged = Some(ctx.shared.now());
         }
         let inputs = work.plan.inputs();
-        let most = work.most(ticket, &inputs);
-        ticket.inputs = most.map(|(domain, size)| (domain, (size.0 / TOKEN_BYTES) as u32));
-        ticket.domain = domain(ticket);
+        let dominant = work.dominant_domain(ctx, &inputs);
+        ctx.inputs = dominant.map(|(domain, size)| (domain, (size.0 / BYTES_PER_TOKEN) as u32));
+        ctx.domain = preferred_domain(ctx);
         Ok(inputs)
     }
 
-    /// Notes that the request found a result gone.
+    /// Handles a result that was gone when the request needed it.
     pub(crate) fn results_gone(&mut self) -> Result<(), PlanError> {
         self.plan.on_results_gone()
     }
 
-    /// Gives back all results, once the request has read them.
-    pub(crate) fn give_back(&mut self) {
+    /// Releases all results, once the request has read them.
+    pub(crate) fn release(&mut self) {
         let remaining = self.plan.take_remaining();
-        self.give_back_all(remaining);
+        self.release_handles(remaining);
     }
 
-    fn submit(&mut self, ticket: &Ticket, times: &StageTimes, order: ReadyStage) {
-        let stage = &ticket.route.stages[order.stage];
-        let now = ticket.shared.now();
+    fn submit(&mut self, ctx: &RequestContext, times: &StageTimes, order: ReadyStage) {
+        let stage = &ctx.route.stages[order.stage];
+        let now = ctx.shared.now();
         let inputs = match &order.input {
             StageInput::Key => None,
-            StageInput::Results(handles) => self.most(ticket, handles),
+            StageInput::Results(handles) => self.dominant_domain(ctx, handles),
         };
         let job = Job {
-            request: ticket.ask.id.clone(),
-            fingerprint: Some(ticket.fingerprint()),
+            request: ctx.request.id.clone(),
+            fingerprint: Some(ctx.fingerprint()),
             stage: order.stage,
             items: order.items.clone(),
             input: order.input,
-            key: ticket.ask.item_key.clone(),
+            key: ctx.request.item_key.clone(),
             result_bytes: stage.result_bytes,
-            target: later(now, times.target(order.stage, ticket.goal)),
-            deadline: later(now, times.deadline(order.stage, ticket.due)),
-            result_domain: home(ticket),
-            priority: ticket.urgency(),
+            target: no_earlier_than(now, times.target(order.stage, ctx.target)),
+            deadline: no_earlier_than(now, times.deadline(order.stage, ctx.deadline)),
+            result_domain: prompt_domain(ctx),
+            priority: ctx.urgency(),
             input_source: inputs,
         };
         let number = self
             .dispatcher
-            .submit(stage.service.clone(), job, self.ends.0.clone());
-        self.open.insert(number, (order.stage, order.items));
+            .submit(stage.service.clone(), job, self.completions.0.clone());
+        self.jobs.insert(number, (order.stage, order.items));
     }
 
     /// Returns the expected times of the stages, as of now.
-    fn times(&self, ticket: &Ticket) -> StageTimes {
-        let prompt = ticket.ask.prompt;
+    fn times(&self, ctx: &RequestContext) -> StageTimes {
+        let prompt = ctx.request.prompt;
         let tokens = prompt.map_or(0, |p| p.tokens - p.shared.min(p.tokens));
-        let model = ticket.shared.paces().expected(&ticket.service, tokens);
-        let limits = |name: &PoolName| ticket.catalog.service(name)?.batching.clone();
-        StageTimes::new(
-            &ticket.route.stages,
-            &self.plan.item_counts(),
-            model,
-            limits,
-        )
+        let model = ctx.shared.paces().expected(&ctx.service, tokens);
+        let limits = |name: &PoolName| ctx.catalog.service(name)?.batching.clone();
+        StageTimes::new(&ctx.route.stages, &self.plan.item_counts(), model, limits)
     }
 
-    fn take(&mut self, ticket: &mut Ticket, done: JobResult) -> Result<(), Refusal> {
-        let Some((stage, pieces)) = self.open.remove(&done.number) else {
+    fn handle_job_result(
+        &mut self,
+        ctx: &mut RequestContext,
+        job_result: JobResult,
+    ) -> Result<(), Refusal> {
+        let Some((stage, items)) = self.jobs.remove(&job_result.number) else {
             return Ok(());
         };
-        let service = &ticket.route.stages[stage].service;
-        for made in done.results {
-            let result = Made {
+        let service = &ctx.route.stages[stage].service;
+        for result in job_result.results {
+            let held = HeldResult {
                 service: service.clone(),
-                endpoint: made.endpoint,
-                size: ticket.route.stages[stage].result_bytes,
+                endpoint: result.endpoint,
+                size: ctx.route.stages[stage].result_bytes,
             };
-            self.makers.insert(made.handle.clone(), result);
-            self.plan.on_result(stage, made.item, made.handle);
+            self.results.insert(result.handle.clone(), held);
+            self.plan.on_result(stage, result.item, result.handle);
         }
-        if let Some(failure) = done.failure {
-            log::info!(event = "stage-failed", request = ticket.ask.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ticket.left().as_millis() as u64, backlog_ms = done.backlog.as_millis() as u64; "");
-            ticket.backlog = done.backlog;
+        if let Some(failure) = job_result.failure {
+            log::info!(event = "stage-failed", request = ctx.request.id.as_str(), stage, service = service.as_str(), why = failure.to_string().as_str(), left_ms = ctx.remaining().as_millis() as u64, backlog_ms = job_result.backlog.as_millis() as u64; "");
+            ctx.backlog = job_result.backlog;
         }
-        let again = match done.failure {
+        let retry = match job_result.failure {
             None => return Ok(()),
             Some(JobFailure::Late) => return Err(Refusal::StagesLate),
-            Some(JobFailure::Gone) => self.inputs_gone(stage, &pieces),
-            Some(JobFailure::Failed) => self.failed(stage, &pieces),
+            Some(JobFailure::Gone) => self.inputs_gone(stage, &items),
+            Some(JobFailure::Failed) => self.stage_failed(stage, &items),
         };
-        again.map_err(|error| {
-            log::warn!(event = "stage-given-up", request = ticket.ask.id.as_str(), stage, error = error.to_string().as_str(); "");
+        retry.map_err(|error| {
+            log::warn!(event = "stage-given-up", request = ctx.request.id.as_str(), stage, error = error.to_string().as_str(); "");
             Refusal::StageFailed
         })
     }
 
-    fn inputs_gone(&mut self, stage: usize, pieces: &[u32]) -> Result<(), PlanError> {
-        if let Some(&first) = pieces.first() {
+    fn inputs_gone(&mut self, stage: usize, items: &[u32]) -> Result<(), PlanError> {
+        if let Some(&first) = items.first() {
             self.plan.on_inputs_gone(stage, first)?;
         }
-        self.reopen(stage, pieces);
+        self.reopen(stage, items);
         Ok(())
     }
 
-    fn failed(&mut self, stage: usize, pieces: &[u32]) -> Result<(), PlanError> {
-        if let Some(&first) = pieces.first() {
+    fn stage_failed(&mut self, stage: usize, items: &[u32]) -> Result<(), PlanError> {
+        if let Some(&first) = items.first() {
             self.plan.on_failure(stage, first)?;
         }
-        self.reopen(stage, pieces);
+        self.reopen(stage, items);
         Ok(())
     }
 
-    fn reopen(&mut self, stage: usize, pieces: &[u32]) {
-        for &piece in pieces {
-            self.plan.on_cancelled(stage, piece);
+    fn reopen(&mut self, stage: usize, items: &[u32]) {
+        for &item in items {
+            self.plan.on_cancelled(stage, item);
         }
     }
 
-    fn give_back_all(&mut self, handles: Vec<String>) {
+    fn release_handles(&mut self, handles: Vec<String>) {
         let mut by_service: BTreeMap<PoolName, Vec<(EndpointId, String)>> = BTreeMap::new();
         for handle in handles {
-            if let Some(result) = self.makers.remove(&handle) {
+            if let Some(result) = self.results.remove(&handle) {
                 by_service
                     .entry(result.service)
                     .or_default()
@@ -225,12 +225,17 @@
         }
     }
 
-    /// Returns where most of some results lie, and how much.
-    fn most(&self, ticket: &Ticket, handles: &[String]) -> Option<(FailureDomain, Bytes)> {
+    /// Returns the failure domain that holds most of the given results, and
+    /// their size there.
+    fn dominant_domain(
+        &self,
+        ctx: &RequestContext,
+        handles: &[String],
+    ) -> Option<(FailureDomain, Bytes)> {
         let mut sizes: BTreeMap<FailureDomain, u64> = BTreeMap::new();
-        let directory = ticket.shared.directory();
+        let directory = ctx.shared.directory();
         for handle in handles {
-            let result = self.makers.get(handle)?;
+            let result = self.results.get(handle)?;
             let Some(endpoint) = directory.get(&result.endpoint) else {
                 continue;
             };
@@ -244,29 +249,29 @@
 
 impl Drop for StageWork {
     fn drop(&mut self) {
-        for &number in self.open.keys() {
+        for &number in self.jobs.keys() {
             self.dispatcher.cancel(number);
         }
-        self.give_back();
+        self.release();
     }
 }
 
-/// Returns where the request should run to be near its results, if that is worth
-/// following.
-fn domain(ticket: &Ticket) -> Option<FailureDomain> {
-    let (domain, tokens) = ticket.inputs.as_ref()?;
-    let shared = ticket.ask.prompt.map_or(0, |p| p.shared);
+/// Returns the failure domain that holds the results, if reading them elsewhere
+/// costs more than the shared prefix.
+fn preferred_domain(ctx: &RequestContext) -> Option<FailureDomain> {
+    let (domain, tokens) = ctx.inputs.as_ref()?;
+    let shared = ctx.request.prompt.map_or(0, |p| p.shared);
     (*tokens > shared).then(|| domain.clone())
 }
 
-/// Returns where the request's prompt would best be read.
-fn home(ticket: &Ticket) -> Option<FailureDomain> {
-    let prompt = ticket.ask.prompt?;
-    let directory = ticket.shared.directory();
-    let entry = directory.home(&ticket.service, prompt.prefix)?;
+/// Returns the failure domain of the best endpoint for the prompt's prefix.
+fn prompt_domain(ctx: &RequestContext) -> Option<FailureDomain> {
+    let prompt = ctx.request.prompt?;
+    let directory = ctx.shared.directory();
+    let entry = directory.home(&ctx.service, prompt.prefix)?;
     Some(entry.domain.clone())
 }
 
-fn later(now: Time, at: Time) -> Time {
+fn no_earlier_than(now: Time, at: Time) -> Time {
     at.max(now)
 }
