--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -6,14 +6,14 @@
 
 use hyper::StatusCode;
 use snipeyoke_lib::ids::EndpointId;
-use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::directory::Choice;
+use snipeyoke_lib::serving::directory::EndpointCriteria;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::directory::Wanted;
 use snipeyoke_lib::serving::durations::Ahead;
-use snipeyoke_lib::serving::ends::Incarnation;
-use snipeyoke_lib::serving::upkeep::Kept;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::flag::Flag;
 
@@ -98,11 +98,11 @@
 
 impl InFlight {
     fn new(ticket: &Ticket, entry: &Entry, booking: Option<Booking>) -> Self {
-        ticket.shared.directory().began(&entry.id);
+        ticket.shared.directory().call_started(&entry.id);
         Self {
             shared: Arc::clone(&ticket.shared),
             endpoint: entry.id.clone(),
-            born: entry.born,
+            born: entry.started_at,
             address: entry.address,
             booking,
             request: ticket.fingerprint(),
@@ -119,14 +119,14 @@
     fn run(&self) -> Incarnation {
         Incarnation {
             endpoint: self.endpoint.clone(),
-            born: self.born,
+            started_at: self.born,
         }
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.shared.directory().ended(&self.endpoint);
+        self.shared.directory().call_ended(&self.endpoint);
         if !self.settled && self.handed.is_set() {
             self.shared.dispatcher.given_up(self.run(), self.request);
         }
@@ -229,12 +229,12 @@
     let keeps = prompt.shared >= SHARED_MIN;
     let mut avoid = ticket.tried.clone();
     avoid.extend_from_slice(failed);
-    let wish = Wish {
+    let wish = PlacementRequest {
         prefix: keeps.then_some(prompt.prefix),
-        shared: prompt.shared,
-        own: prompt.tokens.saturating_sub(prompt.shared),
-        domain: ticket.inputs.as_ref().map(|(domain, _)| domain.clone()),
-        afar: ticket.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
+        shared_tokens: prompt.shared,
+        own_tokens: prompt.tokens.saturating_sub(prompt.shared),
+        input_domain: ticket.inputs.as_ref().map(|(domain, _)| domain.clone()),
+        remote_cost: ticket.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
         avoid,
     };
     let (booking, endpoint) = shared.dispatcher.place(ticket.service.clone(), wish);
@@ -245,7 +245,7 @@
     };
     let endpoint = futures_lite::future::or(told, over).await?;
     let tried = ticket.tried.contains(&endpoint) || failed.contains(&endpoint);
-    let choice = shared.directory().booked(shared.now(), &endpoint);
+    let choice = shared.directory().booked_choice(shared.now(), &endpoint);
     let choice = choice.filter(|_| !tried)?;
     Some((choice, booking))
 }
@@ -275,7 +275,7 @@
     avoid.extend_from_slice(failed);
     let prompt = ticket.ask.prompt.filter(|p| p.shared >= SHARED_MIN);
     let near = ticket.domain.as_ref();
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
         service: &ticket.service,
         avoid: &avoid,
         domain: near.or(Some(&ticket.shared.settings.domain)),
@@ -291,14 +291,18 @@
 fn log_choice(ticket: &Ticket, choice: &Choice) {
     let endpoint = choice.entry.id.to_string();
     let now = ticket.shared.now();
-    let known = ticket.shared.upkeep().of(Kept::Endpoints).age(now);
+    let known = ticket
+        .shared
+        .upkeep()
+        .freshness(ReplicaKind::Endpoints)
+        .age(now);
     log::info!(
         event = "endpoint-chosen",
         request = ticket.ask.id.as_str(),
         endpoint = endpoint.as_str(),
         reason = choice.reason.to_string().as_str(),
         calls = choice.calls,
-        report_ms = choice.age.as_millis().min(99_999) as u64,
+        report_ms = choice.report_age.as_millis().min(99_999) as u64,
         known_ms = known.unwrap_or_default().as_millis() as u64,
         left_ms = ticket.left().as_millis() as u64;
         ""
@@ -326,7 +330,7 @@
     let now = shared.now();
     let endpoint = flight.endpoint.clone();
     if let Some(load) = answer.load {
-        shared.directory().reported(now, &endpoint, load);
+        shared.directory().apply_load(now, &endpoint, load);
     }
     let status = call.head.status;
     if answer.verdict != Verdict::Ran {
@@ -363,7 +367,7 @@
     let now = ticket.shared.now();
     let mut directory = ticket.shared.directory();
     if replaced {
-        directory.replaced(endpoint);
+        directory.mark_replaced(endpoint);
         return Tried::NotRun(Refusal::NoEndpoint);
     }
     if status == StatusCode::CONFLICT {
--- a/gateway/src/changes.rs
+++ b/gateway/src/changes.rs
@@ -9,8 +9,8 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Backoff;
-use snipeyoke_lib::serving::freshness::Waits;
-use snipeyoke_lib::serving::upkeep::Kept;
+use snipeyoke_lib::serving::freshness::LongPollWaits;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 
 use crate::follow;
 use crate::registry::Topic;
@@ -22,27 +22,27 @@
 /// Follows the configuration until the process ends.
 pub(crate) async fn follow(shared: Arc<Shared>, seed: u64) {
     let mut backoff = Backoff::new(seed);
-    let mut waits = Waits::new(seed);
+    let mut waits = LongPollWaits::new(seed);
     loop {
         follow::list(&shared, Topic::Config, &mut backoff).await;
         let wait = wait_for_changes(&shared, &mut backoff, &mut waits);
-        wait.or(watch(&shared, Kept::Config, seed ^ 3)).await;
+        wait.or(watch(&shared, ReplicaKind::Config, seed ^ 3)).await;
     }
 }
 
 /// Waits for changes of the configuration until its history is gone.
 ///
 /// Only the node that reads for all waits at the registry, and tells the others.
-async fn wait_for_changes(shared: &Shared, backoff: &mut Backoff, waits: &mut Waits) {
+async fn wait_for_changes(shared: &Shared, backoff: &mut Backoff, waits: &mut LongPollWaits) {
     let mut failing = false;
     loop {
         while !shared.is_first() {
-            let pause = shared.upkeep().look_pause();
+            let pause = shared.upkeep().poll_interval();
             Timer::after(pause).await;
         }
         let sent = shared.now();
         let from = shared.next_of(Topic::Config);
-        let wait = waits.draw();
+        let wait = waits.sample();
         let Some(update) = read_waiting(shared, from, wait).await else {
             continue;
         };
@@ -74,7 +74,7 @@
     let update = async { Some(answer.await) };
     let update = update.or(overtaken(shared, from));
     let update = update.or(lost(shared, from, &coming)).await;
-    shared.catch_up().ended();
+    shared.catch_up().on_registry_end();
     let took = shared.now().since(begun).as_millis() as u64;
     let ended = end_of(update.as_ref());
     log::info!(event = "registry-answered", topic = "config", from = from.0, took_ms = took, ended; "");
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -13,7 +13,7 @@
 use hyper::http::response;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::EndpointId;
-use snipeyoke_lib::serving::directory::Load;
+use snipeyoke_lib::serving::directory::LoadReport;
 use snipeyoke_lib::serving::pieces::Item;
 use snipeyoke_lib::serving::pieces::Outcome;
 
@@ -121,7 +121,7 @@
     /// Whether the body is coded, which no caller asks for.
     pub coded: bool,
     /// The endpoint's load.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// The headers that go to the caller.
     pub headers: HeaderMap,
 }
--- a/gateway/src/dispatch/asked.rs
+++ b/gateway/src/dispatch/asked.rs
@@ -8,8 +8,8 @@
 use snipeyoke_lib::serving::owners::Owners;
 use snipeyoke_lib::serving::pieces::Job;
 use snipeyoke_lib::serving::pieces::JobId;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Record;
-use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
 use snipeyoke_wire::KnownNode;
 use snipeyoke_wire::PieceJob;
@@ -219,20 +219,20 @@
             }
         }
         if look.brief {
-            self.shared.upkeep().looked_at(now);
+            self.shared.upkeep().on_polled(now);
         }
         let mut seen = self.seen(Some(look));
         let Some(caller) = self.callers.get_mut(&link) else {
             return;
         };
         let crashes = self.shared.crashes();
-        let (verdicts, last) = crashes.news_since(now, caller.verdicts, VERDICTS_MAX);
+        let (verdicts, last) = crashes.changes_since(now, caller.verdicts, VERDICTS_MAX);
         drop(crashes);
         seen.quarantines = verdicts.iter().map(convert::quarantine_frame).collect();
         if !look.brief {
             let owners = self.shared.owners();
             seen.known = known(&self.shared, &owners, now, caller.told);
-            let news = owners.news();
+            let news = owners.last_change();
             drop(owners);
             // A full queue is that of a silent node; its next link begins anew.
             if caller.sender.send(Body::SyncReply(seen)).is_ok() {
@@ -253,24 +253,29 @@
         let upkeep = *self.shared.upkeep();
         let mut seen = SyncReply {
             leaving: self.shared.aside.is_set(),
-            unread: upkeep.is_unread(now),
-            config_age_us: upkeep.of(Kept::Config).age(now).map(micros),
+            unread: upkeep.cannot_read(now),
+            config_age_us: upkeep.freshness(ReplicaKind::Config).age(now).map(micros),
             stamp: look.map_or(0, |l| l.stamp),
             ..SyncReply::default()
         };
         let replicas = self.shared.replicas();
         seen.config_next = replicas.config.next().0;
-        seen.config_bytes = replicas.config.size() as u64;
+        seen.config_bytes = replicas.config.value_bytes() as u64;
         let Some(look) = look else {
             return seen;
         };
-        let changes = replicas.endpoints.since(Offset(look.endpoints_next));
+        let changes = replicas
+            .endpoints
+            .changes_since(Offset(look.endpoints_next));
         let few = |all: &Vec<Record>| all.len() <= CHANGES_MAX && look.endpoints_next > 0;
         if let Some(changes) = changes.filter(|all| look.stale || few(all)) {
             seen.endpoints = changes.into_iter().map(convert::record_frame).collect();
             seen.endpoints_next = replicas.endpoints.next().0;
-            seen.endpoints_age_us = upkeep.of(Kept::Endpoints).age(now).map(micros);
-            seen.endpoints_sum = self.shared.directory().sum();
+            seen.endpoints_age_us = upkeep
+                .freshness(ReplicaKind::Endpoints)
+                .age(now)
+                .map(micros);
+            seen.endpoints_sum = self.shared.directory().checksum();
         }
         seen
     }
@@ -287,7 +292,7 @@
 /// Returns this node and the news that it has of others.
 fn known(shared: &Shared, owners: &Owners, now: Time, told: u64) -> Vec<KnownNode> {
     let own = (shared.settings.listen.peers, Some(shared.settings.power));
-    let all = owners.news_since(now, told).chain([own]);
+    let all = owners.changes_since(now, told).chain([own]);
     let known = all.map(|(address, power)| KnownNode {
         address: address.to_string(),
         power: power.map_or(0, |p| p.0),
--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_lib::serving::pieces::CallResult;
 use snipeyoke_lib::serving::pieces::PieceCall;
 use snipeyoke_runtime::flag::Flag;
@@ -59,7 +59,7 @@
 fn note_break(shared: &Shared, send: &PieceCall) {
     let run = Incarnation {
         endpoint: send.entry.id.clone(),
-        born: send.entry.born,
+        started_at: send.entry.started_at,
     };
     let requests = send.items.iter().filter_map(|i| i.fingerprint);
     for request in requests.collect::<BTreeSet<_>>() {
--- a/gateway/src/dispatch/convert.rs
+++ b/gateway/src/dispatch/convert.rs
@@ -6,7 +6,7 @@
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_lib::serving::pieces::Job;
 use snipeyoke_lib::serving::pieces::Work;
 use snipeyoke_lib::serving::replica::Record;
@@ -141,7 +141,7 @@
     EndpointEnd {
         request: bytes_of(request),
         endpoint: run.endpoint.to_string(),
-        born: run.born,
+        born: run.started_at,
         age_ms: age.as_millis() as u64,
     }
 }
@@ -151,7 +151,7 @@
 pub(super) fn end_of_endpoint(frame: &EndpointEnd) -> Option<(Fingerprint, Incarnation, Duration)> {
     let run = Incarnation {
         endpoint: frame.endpoint.parse().ok()?,
-        born: frame.born,
+        started_at: frame.born,
     };
     let age = Duration::from_millis(frame.age_ms);
     Some((fingerprint(&frame.request)?, run, age))
@@ -162,8 +162,8 @@
     Quarantine {
         request: bytes_of(verdict.request),
         version: verdict.version,
-        left_ms: verdict.left.as_millis() as u64,
-        span_ms: verdict.span.as_millis() as u64,
+        left_ms: verdict.remaining.as_millis() as u64,
+        span_ms: verdict.first_end_age.as_millis() as u64,
     }
 }
 
@@ -172,8 +172,8 @@
     Some(Verdict {
         request: fingerprint(&frame.request)?,
         version: frame.version,
-        left: Duration::from_millis(frame.left_ms),
-        span: Duration::from_millis(frame.span_ms),
+        remaining: Duration::from_millis(frame.left_ms),
+        first_end_age: Duration::from_millis(frame.span_ms),
     })
 }
 
--- a/gateway/src/dispatch/copies.rs
+++ b/gateway/src/dispatch/copies.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::serving::slices::Ask;
-use snipeyoke_lib::serving::slices::RECORD_MAX;
+use snipeyoke_lib::serving::slices::RECORD_MAX_BYTES;
 use snipeyoke_lib::serving::slices::Slice;
+use snipeyoke_lib::serving::slices::SliceRequest;
 use snipeyoke_wire::RecordAsk;
 use snipeyoke_wire::RecordSlice;
 use snipeyoke_wire::frame::Body;
@@ -19,7 +19,7 @@
     pub(super) fn catch_up(&mut self) {
         let now = self.shared.now();
         let owners = self.shared.owners();
-        let node = self.shared.catch_up().choose(now, owners.live(now));
+        let node = self.shared.catch_up().choose_source(now, owners.live(now));
         drop(owners);
         if let Some(node) = node {
             let from = self.shared.replicas().config.next();
@@ -31,14 +31,14 @@
     /// Asks again where a link to the neighbour has just come up.
     pub(super) fn ask_once_connected(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
-        if self.shared.catch_up().moved(now, peer) {
+        if self.shared.catch_up().on_slice(now, peer) {
             self.ask_slice(peer);
         }
     }
 
     fn ask_slice(&mut self, node: SocketAddr) {
         let from = self.shared.replicas().config.next();
-        let ask = self.assembly.ask(from);
+        let ask = self.assembly.next_request(from);
         self.send(
             node,
             Body::RecordAsk(RecordAsk {
@@ -56,7 +56,7 @@
         };
         let replicas = self.shared.replicas();
         let next = replicas.config.next().0;
-        let slice = replicas.config.slice(Ask {
+        let slice = replicas.config.slice(SliceRequest {
             from: Offset(ask.from),
             offset: Offset(ask.offset),
             at: ask.at,
@@ -78,14 +78,14 @@
         let now = self.shared.now();
         self.shared.told_config(peer, Offset(frame.next), 0);
         // A slice that was asked of a neighbour given up since.
-        if !self.shared.catch_up().moved(now, peer) {
+        if !self.shared.catch_up().on_slice(now, peer) {
             return;
         }
         let from = self.shared.replicas().config.next();
-        let before = self.assembly.ask(from);
-        let record = slice_of(frame).and_then(|slice| self.assembly.take(slice));
+        let before = self.assembly.next_request(from);
+        let record = slice_of(frame).and_then(|slice| self.assembly.add(slice));
         let Some(record) = record else {
-            if self.assembly.ask(from) == before {
+            if self.assembly.next_request(from) == before {
                 self.unusable(peer);
             } else {
                 self.ask_slice(peer);
@@ -95,7 +95,7 @@
         let next = record.offset.next();
         self.shared
             .extend(Topic::Config, vec![record], next, &peer.to_string());
-        if self.shared.catch_up().moved(now, peer) {
+        if self.shared.catch_up().on_slice(now, peer) {
             self.ask_slice(peer);
         }
     }
@@ -103,8 +103,8 @@
     // Asked again at once, it would send the same again, as fast as the link
     // carries it. The next look at it says anew what it has.
     fn unusable(&self, peer: SocketAddr) {
-        log::warn!(event = "config-slice-unusable", node = peer.to_string().as_str(), record_max = RECORD_MAX, remedy = "run the same release on all nodes, keep the configuration below the largest record"; "");
-        self.shared.catch_up().forget(peer);
+        log::warn!(event = "config-slice-unusable", node = peer.to_string().as_str(), record_max = RECORD_MAX_BYTES, remedy = "run the same release on all nodes, keep the configuration below the largest record"; "");
+        self.shared.catch_up().forget_holder(peer);
     }
 }
 
--- a/gateway/src/dispatch/crashes.rs
+++ b/gateway/src/dispatch/crashes.rs
@@ -7,11 +7,11 @@
 use async_channel::Sender;
 use async_io::Timer;
 use snipeyoke_lib::serving::crashes::Fingerprint;
-use snipeyoke_lib::serving::crashes::Learned;
 use snipeyoke_lib::serving::crashes::Verdict;
+use snipeyoke_lib::serving::crashes::VerdictOutcome;
 use snipeyoke_lib::serving::directory::Endpoint;
-use snipeyoke_lib::serving::ends::Broke;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::LossAction;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::link;
 use snipeyoke_wire::EndpointEnd;
@@ -50,19 +50,19 @@
 impl State {
     pub(super) fn broke(&mut self, run: Incarnation, address: SocketAddr, request: Fingerprint) {
         let now = self.shared.now();
-        match self.ends.broke(now, &run, request) {
-            Broke::Look => {
+        match self.ends.on_connection_lost(now, &run, request) {
+            LossAction::Probe => {
                 let look = look(run, address, self.inbox.clone());
                 self.scope.spawn(look);
             }
-            Broke::Ended => self.ended_under(now, &run, request),
-            Broke::Waits | Broke::Lives => {}
+            LossAction::Ended => self.ended_under(now, &run, request),
+            LossAction::AwaitProbe | LossAction::Alive => {}
         }
     }
 
     pub(super) fn refused(&mut self, run: Incarnation, address: SocketAddr) {
         let now = self.shared.now();
-        if self.ends.refused(now, &run) {
+        if self.ends.on_connection_refused(now, &run) {
             let look = look(run, address, self.inbox.clone());
             self.scope.spawn(look);
         }
@@ -71,7 +71,7 @@
     pub(super) fn looked(&mut self, run: &Incarnation, ended: bool) {
         let now = self.shared.now();
         let leaves = ended && self.leaves(run);
-        let requests = self.ends.looked(now, run, ended && !leaves);
+        let requests = self.ends.on_probe_result(now, run, ended && !leaves);
         if leaves {
             log::info!(event = "endpoint-left", endpoint = run.to_string().as_str(); "");
         } else if !ended {
@@ -86,7 +86,7 @@
     fn leaves(&self, run: &Incarnation) -> bool {
         let directory = self.shared.directory();
         let entry = directory.get(&run.endpoint).map(Endpoint::entry);
-        entry.is_some_and(|e| e.born == run.born && e.draining)
+        entry.is_some_and(|e| e.started_at == run.started_at && e.draining)
     }
 
     /// Counts an end, and tells the nodes that count for the request.
@@ -106,7 +106,7 @@
     fn report(&mut self, report: &Report, to: impl Fn(&SocketAddr) -> bool) {
         let now = self.shared.now();
         let own = self.shared.settings.listen.peers;
-        let counters = self.shared.owners().counters(now, report.request);
+        let counters = self.shared.owners().crash_counters(now, report.request);
         for node in counters.into_iter().filter(|n| *n != own && to(n)) {
             let age = now.since(report.at);
             let frame = convert::end_of_endpoint_frame(report.request, &report.run, age);
@@ -157,15 +157,18 @@
         let request = *request;
         let now = self.shared.now();
         let mut crashes = self.shared.crashes();
-        let mut ends: Vec<String> = crashes.ends(request).map(ToString::to_string).collect();
-        let verdict = crashes.told_end(now, *at, request, run);
+        let mut ends: Vec<String> = crashes
+            .lost_endpoints(request)
+            .map(ToString::to_string)
+            .collect();
+        let verdict = crashes.on_reported_end(now, *at, request, run);
         drop(crashes);
         let Some(verdict) = verdict else {
             return;
         };
         ends.push(run.to_string());
         metrics::counter!("snipeyoke_quarantines_total").increment(1);
-        log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = ends.join(",").as_str(), span_ms = verdict.span.as_millis() as u64, left_ms = verdict.left.as_millis() as u64; "");
+        log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = ends.join(",").as_str(), span_ms = verdict.first_end_age.as_millis() as u64, left_ms = verdict.remaining.as_millis() as u64; "");
         self.tell_all(verdict);
         self.end_jobs(request);
     }
@@ -183,22 +186,22 @@
             return;
         };
         let now = self.shared.now();
-        let learned = self.shared.crashes().learn(now, verdict);
+        let learned = self.shared.crashes().apply_verdict(now, verdict);
         match learned {
-            Learned::Known => {}
-            Learned::News => {
+            VerdictOutcome::Known => {}
+            VerdictOutcome::New => {
                 log_learned(&verdict);
-                if !verdict.left.is_zero() {
+                if !verdict.remaining.is_zero() {
                     self.end_jobs(verdict.request);
                 }
             }
-            Learned::Objected(lifted) => self.tell_all(lifted),
+            VerdictOutcome::Overruled(lifted) => self.tell_all(lifted),
         }
     }
 
     /// Tells all nodes what this one has found of a request.
     pub(super) fn tell_all(&mut self, verdict: Verdict) {
-        if verdict.left.is_zero() {
+        if verdict.remaining.is_zero() {
             log::info!(event = "quarantine-lifted", fingerprint = verdict.request.to_string().as_str(), why = "answered"; "");
         }
         let now = self.shared.now();
@@ -219,11 +222,11 @@
 
 fn log_learned(verdict: &Verdict) {
     let fingerprint = verdict.request.to_string();
-    if verdict.left.is_zero() {
+    if verdict.remaining.is_zero() {
         log::info!(event = "quarantine-lifted", fingerprint = fingerprint.as_str(), why = "told"; "");
         return;
     }
-    log::info!(event = "quarantine-learned", fingerprint = fingerprint.as_str(), left_ms = verdict.left.as_millis() as u64; "");
+    log::info!(event = "quarantine-learned", fingerprint = fingerprint.as_str(), left_ms = verdict.remaining.as_millis() as u64; "");
 }
 
 /// Tells whether an endpoint whose connection broke has ended.
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -5,10 +5,10 @@
 use async_channel::Sender;
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_lib::serving::pieces::CallResult;
 use snipeyoke_lib::serving::pieces::Job;
 use snipeyoke_runtime::link::LinkSender;
@@ -43,7 +43,7 @@
     Place {
         number: u64,
         service: PoolName,
-        wish: Wish,
+        wish: PlacementRequest,
         reply: Sender<Option<EndpointId>>,
     },
     /// Something became of a booked request of this node.
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -25,10 +25,10 @@
 use async_channel::Sender;
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_lib::serving::pieces::Job;
 
 pub(crate) use self::links::accept;
@@ -106,7 +106,7 @@
     pub(crate) fn place(
         &self,
         service: PoolName,
-        wish: Wish,
+        wish: PlacementRequest,
     ) -> (Booking, Receiver<Option<EndpointId>>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, endpoint) = async_channel::bounded(1);
--- a/gateway/src/dispatch/neighbours.rs
+++ b/gateway/src/dispatch/neighbours.rs
@@ -5,7 +5,7 @@
 
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::serving::owners::Owners;
-use snipeyoke_lib::serving::upkeep::Told;
+use snipeyoke_lib::serving::registry_polling::ReplicaStatus;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
 use snipeyoke_wire::KnownNode;
@@ -39,7 +39,7 @@
         if let Some(known) = self.peers.get_mut(&peer) {
             known.asked = None;
         }
-        self.shared.owners().heard(now, peer);
+        self.shared.owners().mark_heard(now, peer);
         match body {
             Body::PieceJobEnd(end) => {
                 let held = self.pending.get(&JobNumber(end.job));
@@ -60,7 +60,7 @@
     pub(super) fn take_sync(&mut self, peer: SocketAddr, mut seen: SyncReply) {
         let now = self.shared.now();
         let mut owners = self.shared.owners();
-        owners.leaves(peer, seen.leaving);
+        owners.set_peer_leaving(peer, seen.leaving);
         for known in &seen.known {
             learn(&mut owners, now, known);
         }
@@ -81,14 +81,14 @@
         }
         let has_config = self.shared.replicas().config.next() >= next;
         let age = |micros: Option<u64>| micros.map(Duration::from_micros);
-        let told = Told {
-            unread: seen.unread,
-            config: age(seen.config_age_us).filter(|_| has_config),
-            endpoints: age(seen.endpoints_age_us).filter(|_| has_endpoints),
+        let told = ReplicaStatus {
+            cannot_read: seen.unread,
+            config_age: age(seen.config_age_us).filter(|_| has_config),
+            endpoints_age: age(seen.endpoints_age_us).filter(|_| has_endpoints),
         };
         let sent = Time::from_micros(seen.stamp);
         let mut upkeep = self.shared.upkeep();
-        upkeep.take(now, &mut self.shared.owners(), (peer, sent), told);
+        upkeep.apply_status(now, &mut self.shared.owners(), (peer, sent), told);
     }
 
     /// Takes in a neighbour's endpoints; tells whether this node has all of them.
@@ -106,7 +106,7 @@
         }
         let replicas = self.shared.replicas();
         let same = replicas.endpoints.next() == next;
-        let sum = self.shared.directory().sum();
+        let sum = self.shared.directory().checksum();
         drop(replicas);
         // Two copies that are complete up to the same record hold the same. If
         // they don't, the registry knows which one is wrong.
@@ -121,7 +121,7 @@
     /// Looks at the node that reads the registry for all, if it is time.
     pub(super) fn look_at_reader(&mut self, now: Time) {
         let mut upkeep = self.shared.upkeep();
-        let reader = upkeep.look(now, &mut self.shared.owners());
+        let reader = upkeep.poll_target(now, &mut self.shared.owners());
         drop(upkeep);
         if let Some(reader) = reader {
             self.look(reader, true);
@@ -130,7 +130,7 @@
 
     /// Returns when to look at the node that reads for all.
     pub(super) fn look_at(&self) -> Time {
-        self.shared.upkeep().look_at(self.shared.now())
+        self.shared.upkeep().next_poll(self.shared.now())
     }
 
     /// Looks at the nodes that hold jobs, and at some other one.
@@ -237,10 +237,10 @@
         {
             sender.close();
         }
-        self.shared.owners().silent(now, peer);
-        self.shared.upkeep().lost(peer);
+        self.shared.owners().mark_silent(now, peer);
+        self.shared.upkeep().on_peer_lost(peer);
         self.lost_booker(peer);
-        self.shared.catch_up().forget(peer);
+        self.shared.catch_up().forget_holder(peer);
         if self.endpoints_asked.is_some_and(|(node, _)| node == peer) {
             self.endpoints_asked = None;
         }
@@ -265,8 +265,8 @@
     let Ok(address) = known.address.parse() else {
         return;
     };
-    owners.learn(now, address);
+    owners.discover(now, address);
     if known.power > 0 {
-        owners.has_power(address, MilliCores(known.power));
+        owners.set_power(address, MilliCores(known.power));
     }
 }
--- a/gateway/src/dispatch/places.rs
+++ b/gateway/src/dispatch/places.rs
@@ -6,8 +6,8 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::bookings::BookingId;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::bookings::Shard;
-use snipeyoke_lib::serving::bookings::Wish;
 use snipeyoke_wire::PlaceAsk;
 use snipeyoke_wire::PlaceNote;
 use snipeyoke_wire::Placed;
@@ -92,7 +92,7 @@
         &mut self,
         number: u64,
         service: PoolName,
-        wish: Wish,
+        wish: PlacementRequest,
         reply: Sender<Option<EndpointId>>,
     ) {
         let now = self.shared.now();
@@ -100,7 +100,7 @@
             .shared
             .directory()
             .shard(&service, wish.prefix.unwrap_or(number));
-        let booker = self.shared.owners().booker(now, &service, shard);
+        let booker = self.shared.owners().booking_owner(now, &service, shard);
         let place = Place {
             service,
             shard,
@@ -156,7 +156,7 @@
             if let Some(bookings) = bookings {
                 // Its own endpoints' health this node has noted already.
                 let _endpoint = match note {
-                    Note::Begun { .. } => bookings.read(id).cloned(),
+                    Note::Begun { .. } => bookings.on_prompt_read(id).cloned(),
                     Note::Ended { .. } => bookings.end(id),
                 };
             }
@@ -177,7 +177,7 @@
         service: &PoolName,
         shard: Shard,
         id: BookingId,
-        wish: &Wish,
+        wish: &PlacementRequest,
     ) -> Option<EndpointId> {
         let now = self.shared.now();
         let key = (service.clone(), shard);
@@ -221,7 +221,7 @@
             let endpoint = if note.ended {
                 bookings.end(id)
             } else {
-                bookings.read(id).cloned()
+                bookings.on_prompt_read(id).cloned()
             };
             let Some(endpoint) = endpoint else {
                 continue;
@@ -239,28 +239,28 @@
     }
 }
 
-fn ask_frame(number: u64, place: &Place, wish: Wish) -> PlaceAsk {
+fn ask_frame(number: u64, place: &Place, wish: PlacementRequest) -> PlaceAsk {
     PlaceAsk {
         number,
         service: place.service.to_string(),
         shard: place.shard.index,
         shards: place.shard.count,
         prefix: wish.prefix,
-        shared: wish.shared,
-        own: wish.own,
-        domain: wish.domain.map(|d| d.to_string()).unwrap_or_default(),
-        afar: wish.afar,
+        shared: wish.shared_tokens,
+        own: wish.own_tokens,
+        domain: wish.input_domain.map(|d| d.to_string()).unwrap_or_default(),
+        afar: wish.remote_cost,
         avoid: wish.avoid.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn wish_of(ask: &PlaceAsk) -> Wish {
-    Wish {
+fn wish_of(ask: &PlaceAsk) -> PlacementRequest {
+    PlacementRequest {
         prefix: ask.prefix,
-        shared: ask.shared,
-        own: ask.own,
-        domain: ask.domain.parse().ok(),
-        afar: ask.afar,
+        shared_tokens: ask.shared,
+        own_tokens: ask.own,
+        input_domain: ask.domain.parse().ok(),
+        remote_cost: ask.afar,
         avoid: ask.avoid.iter().filter_map(|e| e.parse().ok()).collect(),
     }
 }
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -51,7 +51,7 @@
 impl State {
     pub(super) fn queue(&mut self, service: &PoolName, job: Job, origin: Origin) -> Option<JobId> {
         let now = self.shared.now();
-        let refused = |r| !self.shared.crashes().may_go_on(now, r);
+        let refused = |r| !self.shared.crashes().may_continue(now, r);
         if job.fingerprint.is_some_and(refused) {
             return None;
         }
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -14,12 +14,12 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::bookings::Bookings;
 use snipeyoke_lib::serving::bookings::Shard;
-use snipeyoke_lib::serving::ends::Ends;
+use snipeyoke_lib::serving::endpoint_loss::EndpointLoss;
 use snipeyoke_lib::serving::pieces::Job;
 use snipeyoke_lib::serving::pieces::JobId;
 use snipeyoke_lib::serving::pieces::PieceQueue;
-use snipeyoke_lib::serving::returned::Results;
-use snipeyoke_lib::serving::returned::Returned;
+use snipeyoke_lib::serving::releases::HeldResults;
+use snipeyoke_lib::serving::releases::RecentReleases;
 use snipeyoke_lib::serving::slices::Assembly;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::link::LinkSender;
@@ -135,12 +135,12 @@
         departed: BTreeMap::new(),
         synced: Time::ZERO,
         turn: 0,
-        returned: Returned::default(),
+        returned: RecentReleases::default(),
         places: BTreeMap::new(),
         bookings: BTreeMap::new(),
         assembly: Assembly::default(),
         endpoints_asked: None,
-        ends: Ends::default(),
+        ends: EndpointLoss::default(),
         reports: VecDeque::new(),
     };
     loop {
@@ -185,13 +185,13 @@
     /// The bookings that meet here.
     pub(super) bookings: BTreeMap<(PoolName, Shard), Bookings>,
     /// What owners may not have heard of yet.
-    pub(super) returned: Returned,
+    pub(super) returned: RecentReleases,
     /// The record that comes in slices from a neighbour.
     pub(super) assembly: Assembly,
     /// The neighbour that was asked for what it knows of endpoints, and when.
     pub(super) endpoints_asked: Option<(SocketAddr, Time)>,
     /// The endpoints whose connections broke of late.
-    pub(super) ends: Ends,
+    pub(super) ends: EndpointLoss,
     /// What this node told of the ends of endpoints of late.
     pub(super) reports: VecDeque<Report>,
 }
@@ -235,7 +235,7 @@
             } => self.broke(run, address, request),
             Message::GivenUp { run, request } => {
                 let now = self.shared.now();
-                self.ends.given_up(now, &run, request);
+                self.ends.on_request_abandoned(now, &run, request);
             }
             Message::Refused { run, address } => self.refused(run, address),
             Message::Looked { run, ended } => self.looked(&run, ended),
@@ -408,7 +408,7 @@
         }
     }
 
-    pub(super) fn give_back(&mut self, service: &PoolName, results: Results) {
+    pub(super) fn give_back(&mut self, service: &PoolName, results: HeldResults) {
         let now = self.shared.now();
         let owner = self.shared.owners().owner(now, service);
         if owner == self.shared.settings.listen.peers {
@@ -419,7 +419,7 @@
             }
             return;
         }
-        self.returned.note(now, owner, service, &results);
+        self.returned.record(now, owner, service, &results);
         let results = results
             .into_iter()
             .map(|(endpoint, handle)| snipeyoke_wire::PieceResult {
@@ -437,7 +437,7 @@
     /// Gives back once more what a node may have missed, to whoever owns it now.
     pub(super) fn give_back_missed(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
-        let heard = self.shared.owners().heard_at(peer);
+        let heard = self.shared.owners().last_heard(peer);
         let missed = self.returned.take_missed(now, peer, heard);
         for (service, results) in missed {
             log::info!(event = "results-given-back-again", peer = peer.to_string().as_str(), service = service.as_str(), results = results.len(); "");
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -7,8 +7,8 @@
 use async_io::Timer;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Backoff;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Record;
-use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
 
 use crate::registry::Failure;
@@ -40,7 +40,7 @@
     loop {
         list(&shared, Topic::Endpoints, &mut backoff).await;
         shared.differs.store(false, Ordering::Relaxed);
-        watch(&shared, Kept::Endpoints, seed ^ 5).await;
+        watch(&shared, ReplicaKind::Endpoints, seed ^ 5).await;
     }
 }
 
@@ -53,19 +53,19 @@
         let sent = shared.now();
         let pages = pages(shared, topic).await;
         if topic == Topic::Config {
-            shared.catch_up().ended();
+            shared.catch_up().on_registry_end();
         }
         match pages {
             Ok((records, end)) => {
                 backoff.succeeded();
-                shared.upkeep().read(shared.now(), true);
+                shared.upkeep().on_read(shared.now(), true);
                 shared.replace(topic, records, end);
                 note_read(shared, topic, sent);
                 return;
             }
             Err(failure) => {
-                shared.upkeep().read(shared.now(), false);
-                shared.catch_up().registry_fails(true);
+                shared.upkeep().on_read(shared.now(), false);
+                shared.catch_up().set_registry_failed(true);
                 log::warn!(event = "registry-failed", topic = topic.to_string().as_str(), call = "list", why = failure.to_string().as_str(); "");
             }
         }
@@ -107,8 +107,8 @@
 ) -> bool {
     match update {
         Update::Records { records, next, end } => {
-            shared.upkeep().read(shared.now(), true);
-            shared.catch_up().registry_fails(false);
+            shared.upkeep().on_read(shared.now(), true);
+            shared.catch_up().set_registry_failed(false);
             if std::mem::take(failing) {
                 log::info!(event = "registry-regained", topic = topic.to_string().as_str(); "");
                 shared.regained.notify(usize::MAX);
@@ -125,8 +125,8 @@
             false
         }
         Update::Failed(failure) => {
-            shared.upkeep().read(shared.now(), false);
-            shared.catch_up().registry_fails(true);
+            shared.upkeep().on_read(shared.now(), false);
+            shared.catch_up().set_registry_failed(true);
             if !std::mem::replace(failing, true) {
                 let from = shared.next_of(topic).0;
                 log::warn!(event = "registry-lost", topic = topic.to_string().as_str(), from, why = failure.to_string().as_str(); "");
@@ -151,15 +151,15 @@
 /// Notes that more of an answer came.
 pub(crate) fn note_came(shared: &Shared, topic: Topic) {
     if topic == Topic::Config {
-        shared.catch_up().came(shared.now());
+        shared.catch_up().on_registry_data(shared.now());
     }
 }
 
 /// Notes that all records up to the moment of `sent` are there.
 fn note_read(shared: &Shared, topic: Topic, sent: Time) {
     let kept = match topic {
-        Topic::Config => Kept::Config,
-        Topic::Endpoints => Kept::Endpoints,
+        Topic::Config => ReplicaKind::Config,
+        Topic::Endpoints => ReplicaKind::Endpoints,
         Topic::Nodes => return,
     };
     shared.upkeep().confirm(kept, sent);
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -120,7 +120,7 @@
         let shared = Shared::new(settings, dialect, registry, traffic, dispatcher);
         let shared = Arc::new(shared);
         for seed in seeds {
-            shared.owners().learn(shared.now(), seed);
+            shared.owners().discover(shared.now(), seed);
         }
         let gateway = Self {
             callers: Scope::new(Arc::clone(&execs.traffic)),
@@ -198,7 +198,7 @@
         self.shared.budget().set_limits(settings.retries);
         let now = self.shared.now();
         for &seed in &settings.seeds {
-            self.shared.owners().learn(now, seed);
+            self.shared.owners().discover(now, seed);
         }
         log::info!(event = "settings-reloaded", node = settings.node.to_string().as_str(); "");
     }
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -13,7 +13,7 @@
 impl Shared {
     fn config_grew(&self, news: &[Record], source: &str) {
         let have = self.replicas().config.next();
-        self.catch_up().has(have);
+        self.catch_up().advance_to(have);
         self.apply_config(news, source);
         self.grown.notify(usize::MAX);
         // The others look at this node in a moment; told now, they have it at once.
@@ -147,9 +147,9 @@
         let nodes = values.filter_map(|v| self.registry.node(v));
         let mut owners = self.owners();
         for node in nodes {
-            owners.learn(self.now(), node.address);
+            owners.discover(self.now(), node.address);
             if let Some(power) = node.power {
-                owners.has_power(node.address, power);
+                owners.set_power(node.address, power);
             }
         }
         self.budget().share(owners.count());
--- a/gateway/src/registry.rs
+++ b/gateway/src/registry.rs
@@ -11,8 +11,8 @@
 use snipeyoke_lib::log::LogCall;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::directory::Entry;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Record;
-use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::units::MilliCores;
 
 /// The topics of a registry.
@@ -30,11 +30,11 @@
     Nodes,
 }
 
-impl From<Kept> for Topic {
-    fn from(kept: Kept) -> Self {
+impl From<ReplicaKind> for Topic {
+    fn from(kept: ReplicaKind) -> Self {
         match kept {
-            Kept::Config => Self::Config,
-            Kept::Endpoints => Self::Endpoints,
+            ReplicaKind::Config => Self::Config,
+            ReplicaKind::Endpoints => Self::Endpoints,
         }
     }
 }
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -15,15 +15,15 @@
 use snipeyoke_lib::serving::budget::SharedBudget;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::catch_up::CatchUp;
-use snipeyoke_lib::serving::crashes::Crashes;
+use snipeyoke_lib::serving::crashes::CrashTracker;
 use snipeyoke_lib::serving::directory::Directory;
 use snipeyoke_lib::serving::durations::Durations;
 use snipeyoke_lib::serving::owners::Owners;
 use snipeyoke_lib::serving::pace::Paces;
+use snipeyoke_lib::serving::registry_polling::RegistryPolling;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Replica;
 use snipeyoke_lib::serving::stopping::Stop;
-use snipeyoke_lib::serving::upkeep::Kept;
-use snipeyoke_lib::serving::upkeep::Upkeep;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::board::Fact;
 use snipeyoke_runtime::clock::Clock;
@@ -86,8 +86,8 @@
     durations: Mutex<Durations>,
     replicas: Mutex<Replicas>,
     catch_up: Mutex<CatchUp>,
-    crashes: Mutex<Crashes>,
-    upkeep: Mutex<Upkeep>,
+    crashes: Mutex<CrashTracker>,
+    upkeep: Mutex<RegistryPolling>,
 }
 
 /// The copies of the registry's topics.
@@ -114,7 +114,7 @@
             crashes: Mutex::default(),
             durations: Mutex::default(),
             replicas: Mutex::default(),
-            upkeep: Mutex::new(Upkeep::new(settings.change, settings.notice)),
+            upkeep: Mutex::new(RegistryPolling::new(settings.change, settings.notice)),
             catch_up: Mutex::new(CatchUp::new(settings.listen.peers)),
             catalog: Fact::new(None),
             changed: Event::new(),
@@ -168,11 +168,11 @@
         lock(&self.catch_up)
     }
 
-    pub(crate) fn crashes(&self) -> MutexGuard<'_, Crashes> {
+    pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         lock(&self.crashes)
     }
 
-    pub(crate) fn upkeep(&self) -> MutexGuard<'_, Upkeep> {
+    pub(crate) fn upkeep(&self) -> MutexGuard<'_, RegistryPolling> {
         lock(&self.upkeep)
     }
 
@@ -181,12 +181,12 @@
         let now = self.now();
         // The order of these two locks is the same everywhere.
         let mut upkeep = self.upkeep();
-        upkeep.is_first(now, &mut self.owners())
+        upkeep.is_reader(now, &mut self.owners())
     }
 
     /// Takes in that copies of the endpoints differ from another node's.
     pub(crate) fn differs(&self) {
-        if self.upkeep().differs(self.now()) {
+        if self.upkeep().on_mismatch(self.now()) {
             self.differs.store(true, Ordering::Relaxed);
             self.regained.notify(usize::MAX);
         }
@@ -196,7 +196,7 @@
     ///
     /// `size` are the bytes of its configuration.
     pub(crate) fn told_config(&self, node: SocketAddr, next: Offset, size: u64) {
-        if self.catch_up().told(self.now(), node, next, size) {
+        if self.catch_up().on_peer_offset(self.now(), node, next, size) {
             log::info!(event = "config-behind", node = node.to_string().as_str(), next = next.0; "");
             self.behind.notify(usize::MAX);
         }
@@ -212,7 +212,8 @@
 
     /// Tells whether the endpoints are to be asked of a neighbour, all of them.
     pub(crate) fn lacks_endpoints(&self) -> bool {
-        self.upkeep().is_cut_off(self.now(), Kept::Endpoints)
+        self.upkeep()
+            .is_registry_unreachable(self.now(), ReplicaKind::Endpoints)
     }
 
     /// Tells whether the node can serve callers.
--- a/gateway/src/ticket.rs
+++ b/gateway/src/ticket.rs
@@ -127,18 +127,19 @@
         let now = self.shared.now();
         let request = self.fingerprint();
         let crashes = self.shared.crashes();
-        let left = crashes.quarantined(now, request);
-        left.filter(|_| !self.trial || !crashes.may_go_on(now, request))
+        let left = crashes.quarantine_remaining(now, request);
+        left.filter(|_| !self.trial || !crashes.may_continue(now, request))
     }
 
     /// Takes it as the trial after its quarantine, if this node may try it.
     pub(crate) fn try_quarantined(&mut self) -> bool {
         let now = self.shared.now();
         let request = self.fingerprint();
-        let counters = self.shared.owners().counters(now, request);
+        let counters = self.shared.owners().crash_counters(now, request);
         let own = self.shared.settings.listen.peers;
         // Tried at each node, it would end as many endpoints as there are nodes.
-        self.trial = counters.first() == Some(&own) && self.shared.crashes().may_try(now, request);
+        self.trial =
+            counters.first() == Some(&own) && self.shared.crashes().try_start_trial(now, request);
         if self.trial {
             log::info!(event = "quarantine-trial", request = self.ask.id.as_str(), fingerprint = request.to_string().as_str(); "");
         }
@@ -249,7 +250,7 @@
                 };
                 self.shared.durations().observe(&self.route.name, took);
             }
-            let lifted = self.shared.crashes().answered(now, self.fingerprint());
+            let lifted = self.shared.crashes().on_answered(now, self.fingerprint());
             if let Some(lifted) = lifted {
                 self.shared.dispatcher.tell_verdict(lifted);
             }
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Backoff;
-use snipeyoke_lib::serving::upkeep::Kept;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::time::Time;
 
 use crate::follow;
@@ -19,7 +19,7 @@
 ///
 /// A read that waits for the next change tells nothing while it waits: the
 /// registry may have lost it, or passed it over. These reads don't wait.
-pub(crate) async fn watch(shared: &Shared, kept: Kept, seed: u64) {
+pub(crate) async fn watch(shared: &Shared, kept: ReplicaKind, seed: u64) {
     let topic = Topic::from(kept);
     let mut backoff = Backoff::new(seed);
     let mut sight = Sight::default();
@@ -28,7 +28,7 @@
     loop {
         let not_before = shared.now() + pause;
         due(shared, kept, &mut sight, not_before).await;
-        if kept == Kept::Endpoints && shared.differs.load(Ordering::Relaxed) {
+        if kept == ReplicaKind::Endpoints && shared.differs.load(Ordering::Relaxed) {
             return;
         }
         let sent = shared.now();
@@ -55,12 +55,12 @@
         let answer = shared.registry.read(topic, from, Duration::ZERO, &|| ());
         return Some(answer.await);
     }
-    shared.catch_up().reads();
+    shared.catch_up().on_registry_read();
     let came = || follow::note_came(shared, topic);
     let answer = shared.registry.read(topic, from, Duration::ZERO, &came);
     let update = async { Some(answer.await) };
     let update = update.or(overtaken(shared, from)).await;
-    shared.catch_up().ended();
+    shared.catch_up().on_registry_end();
     update
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// Waits until a topic has to be read.
-async fn due(shared: &Shared, kept: Kept, sight: &mut Sight, not_before: Time) {
+async fn due(shared: &Shared, kept: ReplicaKind, sight: &mut Sight, not_before: Time) {
     loop {
         // Listened for before the look, so that no news falls in between.
         let behind = shared.behind.listen();
@@ -86,11 +86,11 @@
         sight.note(shared, kept);
         let now = shared.now();
         let at = read_at(shared, kept).max(not_before);
-        if at <= now || kept == Kept::Endpoints && shared.differs.load(Ordering::Relaxed) {
+        if at <= now || kept == ReplicaKind::Endpoints && shared.differs.load(Ordering::Relaxed) {
             return;
         }
         // Another node may have to read for all from any moment on.
-        let most = shared.upkeep().look_pause();
+        let most = shared.upkeep().poll_interval();
         let timer = async {
             Timer::after(at.since(now).min(most)).await;
         };
@@ -98,15 +98,17 @@
     }
 }
 
-fn read_at(shared: &Shared, kept: Kept) -> Time {
+fn read_at(shared: &Shared, kept: ReplicaKind) -> Time {
     let first = shared.is_first();
     let fresh = shared.upkeep().read_at(kept, first);
-    if kept == Kept::Endpoints {
+    if kept == ReplicaKind::Endpoints {
         return fresh;
     }
     let catch_up = shared.catch_up();
     // The same records would come twice, over a link that may be full.
-    fresh.min(catch_up.read_at()).max(catch_up.coming_until())
+    fresh
+        .min(catch_up.read_at())
+        .max(catch_up.registry_active_until())
 }
 
 /// What logs and metrics tell of a copy's age.
@@ -116,26 +118,26 @@
 }
 
 impl Sight {
-    fn note(&mut self, shared: &Shared, kept: Kept) {
+    fn note(&mut self, shared: &Shared, kept: ReplicaKind) {
         let now = shared.now();
-        let freshness = *shared.upkeep().of(kept);
+        let freshness = *shared.upkeep().freshness(kept);
         let age = freshness.age(now).unwrap_or_default();
         let gauge = match kept {
-            Kept::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
-            Kept::Endpoints => metrics::gauge!("snipeyoke_endpoints_age_seconds"),
+            ReplicaKind::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
+            ReplicaKind::Endpoints => metrics::gauge!("snipeyoke_endpoints_age_seconds"),
         };
         gauge.set(age.as_secs_f64());
-        let lost = freshness.is_lost(now);
+        let lost = freshness.is_expired(now);
         if lost == self.lost {
             return;
         }
         self.lost = lost;
         let age_ms = age.as_millis() as u64;
         let event = match (kept, lost) {
-            (Kept::Config, true) => "config-unconfirmed",
-            (Kept::Config, false) => "config-confirmed",
-            (Kept::Endpoints, true) => "endpoints-unconfirmed",
-            (Kept::Endpoints, false) => "endpoints-confirmed",
+            (ReplicaKind::Config, true) => "config-unconfirmed",
+            (ReplicaKind::Config, false) => "config-confirmed",
+            (ReplicaKind::Endpoints, true) => "endpoints-unconfirmed",
+            (ReplicaKind::Endpoints, false) => "endpoints-confirmed",
         };
         if lost {
             log::warn!(event, age_ms, remedy = "look at the way to the registry and to the other nodes"; "");
--- a/lib/benches/pieces.rs
+++ b/lib/benches/pieces.rs
@@ -29,7 +29,7 @@
     });
     let entry = |n: u16| Entry {
         id: format!("m{n}").parse().expect("a name"),
-        born: None,
+        started_at: None,
         service: "tiles".parse().expect("a name"),
         address: ([127, 0, 0, 1], n).into(),
         domain: format!("d{}", n % 3).parse().expect("a name"),
--- a/lib/src/serving/bookings.rs
+++ b/lib/src/serving/bookings.rs
@@ -14,7 +14,7 @@
 
 use super::directory::Directory;
 use super::directory::Endpoint;
-use super::directory::middle;
+use super::directory::median;
 use super::directory::rank;
 use crate::ids::EndpointId;
 use crate::ids::FailureDomain;
@@ -100,17 +100,17 @@
 
 /// What a request asks of its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Wish {
+pub struct PlacementRequest {
     /// The hash of its shared part; `None` if that is not worth keeping to.
     pub prefix: Option<u64>,
     /// The tokens of its shared part.
-    pub shared: u32,
+    pub shared_tokens: u32,
     /// The tokens of its own.
-    pub own: u32,
+    pub own_tokens: u32,
     /// Where its inputs lie.
-    pub domain: Option<FailureDomain>,
+    pub input_domain: Option<FailureDomain>,
     /// What it costs to read them in another failure domain, in tokens.
-    pub afar: u32,
+    pub remote_cost: u32,
     /// Endpoints that are not to be taken, unless there is no other.
     pub avoid: Vec<EndpointId>,
 }
@@ -153,12 +153,12 @@
         directory: &Directory,
         (service, shard): (&PoolName, Shard),
         id: BookingId,
-        wish: &Wish,
+        wish: &PlacementRequest,
     ) -> Option<EndpointId> {
         self.sweep(now);
         self.end(id);
         let here = |e: &&Endpoint| Shard::of(&e.entry().id, shard.count) == shard;
-        let all: Vec<&Endpoint> = directory.open(service).filter(here).collect();
+        let all: Vec<&Endpoint> = directory.open_endpoints(service).filter(here).collect();
         let fresh = |e: &&Endpoint| !wish.avoid.contains(&e.entry().id);
         let mut pool: Vec<&Endpoint> = all.iter().copied().filter(fresh).collect();
         if pool.is_empty() {
@@ -167,8 +167,8 @@
         let prefix = wish.prefix.unwrap_or_default();
         let home = pool.iter().max_by_key(|e| rank(prefix, &e.entry().id))?;
         let home = home.entry().id.clone();
-        let slowness = middle(pool.iter().map(|e| e.health().slowness(now)).collect());
-        let unread = |e: &Endpoint| wish.own + self.missing(wish, e, &home);
+        let slowness = median(pool.iter().map(|e| e.health().slowness(now)).collect());
+        let unread = |e: &Endpoint| wish.own_tokens + self.missing_tokens(wish, e, &home);
         let cost = |e: &Endpoint| self.cost(now, e, wish, (unread(e), slowness));
         let ordered = |a: &&&Endpoint, b: &&&Endpoint| {
             let by_rank = |e: &Endpoint| rank(prefix, &e.entry().id);
@@ -178,7 +178,7 @@
         let best = pool.iter().min_by(ordered)?;
         let pending = unread(best);
         let entry = best.entry();
-        let (endpoint, born) = (entry.id.clone(), entry.born);
+        let (endpoint, born) = (entry.id.clone(), entry.started_at);
         self.note_warm(now, wish, &endpoint, born);
         let load = self.loads.entry(endpoint.clone()).or_default();
         load.calls += 1;
@@ -193,7 +193,7 @@
     }
 
     /// Notes that a request's prompt has been read; tells where it was booked.
-    pub fn read(&mut self, id: BookingId) -> Option<&EndpointId> {
+    pub fn on_prompt_read(&mut self, id: BookingId) -> Option<&EndpointId> {
         let held = self.held.get_mut(&id)?;
         let read = std::mem::take(&mut held.pending);
         if let Some(load) = self.loads.get_mut(&held.endpoint) {
@@ -204,7 +204,7 @@
 
     /// Notes that a request has ended; tells where it was booked.
     pub fn end(&mut self, id: BookingId) -> Option<EndpointId> {
-        self.read(id)?;
+        self.on_prompt_read(id)?;
         let held = self.held.remove(&id)?;
         if let Some(load) = self.loads.get_mut(&held.endpoint) {
             load.calls = load.calls.saturating_sub(1);
@@ -242,7 +242,7 @@
 
     /// Returns the tokens that an endpoint still has to read.
     #[must_use]
-    pub fn pending(&self, endpoint: &EndpointId) -> u64 {
+    pub fn pending_tokens(&self, endpoint: &EndpointId) -> u64 {
         self.loads.get(endpoint).map_or(0, |l| l.pending)
     }
 
@@ -250,7 +250,7 @@
         &self,
         now: Time,
         endpoint: &Endpoint,
-        wish: &Wish,
+        wish: &PlacementRequest,
         (unread, slowness): (u32, f32),
     ) -> f32 {
         let entry = endpoint.entry();
@@ -259,30 +259,48 @@
         let times = health.slowness(now) / slowness.max(0.1);
         let slow = if times > SLOW { times } else { 1.0 };
         let failing = 1.0 + FAILURES * health.failures(now);
-        let away = wish.domain.as_ref().is_some_and(|d| *d != entry.domain);
+        let away = wish
+            .input_domain
+            .as_ref()
+            .is_some_and(|d| *d != entry.domain);
         let full = load.calls >= entry.slots;
         let tokens = load.pending as f32 + READ * unread as f32 + CALL * load.calls as f32;
         let worst = if health.is_paused(now) { PAUSED } else { 0.0 };
-        let queued = if full { READ * wish.shared as f32 } else { 0.0 };
-        let afar = if away { wish.afar as f32 } else { 0.0 };
+        let queued = if full {
+            READ * wish.shared_tokens as f32
+        } else {
+            0.0
+        };
+        let afar = if away { wish.remote_cost as f32 } else { 0.0 };
         tokens * slow * failing + queued + afar + worst
     }
 
     /// Returns the shared tokens that an endpoint would have to read.
-    fn missing(&self, wish: &Wish, endpoint: &Endpoint, home: &EndpointId) -> u32 {
+    fn missing_tokens(
+        &self,
+        wish: &PlacementRequest,
+        endpoint: &Endpoint,
+        home: &EndpointId,
+    ) -> u32 {
         let Some(prefix) = wish.prefix else {
-            return wish.shared;
+            return wish.shared_tokens;
         };
         let entry = endpoint.entry();
         let known = self.warm.get(&prefix).filter(|all| !all.is_empty());
         let warm = known.map_or(entry.id == *home, |all| {
             all.iter()
-                .any(|w| w.endpoint == entry.id && w.born == entry.born)
+                .any(|w| w.endpoint == entry.id && w.born == entry.started_at)
         });
-        if warm { 0 } else { wish.shared }
+        if warm { 0 } else { wish.shared_tokens }
     }
 
-    fn note_warm(&mut self, now: Time, wish: &Wish, endpoint: &EndpointId, born: Option<u64>) {
+    fn note_warm(
+        &mut self,
+        now: Time,
+        wish: &PlacementRequest,
+        endpoint: &EndpointId,
+        born: Option<u64>,
+    ) {
         let Some(prefix) = wish.prefix else {
             return;
         };
--- a/lib/src/serving/catch_up.rs
+++ b/lib/src/serving/catch_up.rs
@@ -13,7 +13,7 @@
 use rapidhash::v3::RapidSecrets;
 use rapidhash::v3::rapidhash_v3_seeded;
 
-use super::slices::SLICE_MAX;
+use super::slices::SLICE_MAX_BYTES;
 use crate::ids::Offset;
 use crate::time::Time;
 use crate::units::MilliCores;
@@ -23,7 +23,7 @@
 ///
 /// All nodes' waiting reads are answered together; the word of a neighbour may
 /// come before this node's own answer.
-pub const GRACE: Duration = Duration::from_millis(200);
+pub const REGISTRY_GRACE: Duration = Duration::from_millis(200);
 
 /// How long the registry may take to begin its answer before a neighbour is
 /// asked.
@@ -31,24 +31,24 @@
 /// Neighbours tell of a change within some hundred milliseconds of it. The
 /// registry's own answer begins within milliseconds, and within some hundred
 /// when it is slow.
-pub const PATIENCE: Duration = Duration::from_millis(600);
+pub const REGISTRY_PATIENCE: Duration = Duration::from_millis(600);
 
 /// The same for a node that has no configuration at all.
 ///
 /// It refuses every caller until it has one, and its first read went out before
 /// it heard of any neighbour.
-pub const PATIENCE_EMPTY: Duration = Duration::from_millis(100);
+pub const EMPTY_REGISTRY_PATIENCE: Duration = Duration::from_millis(100);
 
 /// How long a copy may come no further before another source is tried.
 ///
 /// As long as a neighbour may be silent: a slice takes 52 ms over an idle link
 /// of 10 Mbit/s.
-pub const STALL: Duration = Duration::from_millis(750);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// The largest configuration that is asked of a neighbour at once, in bytes.
 ///
 /// One slice: it takes a round trip, and no call to the registry.
-pub const SMALL: u64 = SLICE_MAX as u64;
+pub const SMALL_CONFIG_BYTES: u64 = SLICE_MAX_BYTES as u64;
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
@@ -101,7 +101,7 @@
     }
 
     /// Notes the offset up to which this node is complete.
-    pub fn has(&mut self, have: Offset) {
+    pub fn advance_to(&mut self, have: Offset) {
         self.have = self.have.max(have);
         self.holders.retain(|_, h| h.next > self.have);
         if self.holders.is_empty() {
@@ -112,12 +112,12 @@
 
     /// Notes up to where a neighbour is complete, and the bytes that it has;
     /// tells whether this node has just learned that it lacks something.
-    pub fn told(&mut self, now: Time, node: SocketAddr, next: Offset, size: u64) -> bool {
+    pub fn on_peer_offset(&mut self, now: Time, node: SocketAddr, next: Offset, size: u64) -> bool {
         if next <= self.have {
-            self.forget(node);
+            self.forget_holder(node);
             return false;
         }
-        let small = (1..=SMALL).contains(&size);
+        let small = (1..=SMALL_CONFIG_BYTES).contains(&size);
         self.holders.insert(node, Holder { next, small });
         if self.behind.is_some() {
             return false;
@@ -128,18 +128,18 @@
     }
 
     /// Notes that more of an answer came from the registry.
-    pub const fn came(&mut self, now: Time) {
+    pub const fn on_registry_data(&mut self, now: Time) {
         self.came = Some(now);
         self.failed = false;
     }
 
     /// Notes that the registry's answer has ended, or is given up.
-    pub const fn ended(&mut self) {
+    pub const fn on_registry_end(&mut self) {
         self.came = None;
     }
 
     /// Notes that the registry is read for what this node may lack.
-    pub const fn reads(&mut self) {
+    pub const fn on_registry_read(&mut self) {
         self.read = true;
     }
 
@@ -149,17 +149,21 @@
     #[must_use]
     pub fn read_at(&self) -> Time {
         let behind = self.behind.filter(|_| !self.read);
-        let grace = if self.is_small() { PATIENCE } else { GRACE };
+        let grace = if self.is_small() {
+            REGISTRY_PATIENCE
+        } else {
+            REGISTRY_GRACE
+        };
         behind.map_or(Time::NEVER, |at| at + grace)
     }
 
     /// Notes whether a call to the registry failed.
-    pub const fn registry_fails(&mut self, fails: bool) {
+    pub const fn set_registry_failed(&mut self, fails: bool) {
         self.failed = fails;
     }
 
     /// Notes that a neighbour is lost or holds nothing newer.
-    pub fn forget(&mut self, node: SocketAddr) {
+    pub fn forget_holder(&mut self, node: SocketAddr) {
         self.holders.remove(&node);
         if self.copy.is_some_and(|c| c.node == node) {
             self.copy = None;
@@ -170,7 +174,7 @@
     }
 
     /// Notes that a slice came from a neighbour; tells whether it was asked.
-    pub fn moved(&mut self, now: Time, node: SocketAddr) -> bool {
+    pub fn on_slice(&mut self, now: Time, node: SocketAddr) -> bool {
         let Some(copy) = self.copy.as_mut().filter(|c| c.node == node) else {
             return false;
         };
@@ -180,8 +184,8 @@
 
     /// Returns until when an answer of the registry counts as on its way.
     #[must_use]
-    pub fn coming_until(&self) -> Time {
-        self.came.map_or(Time::ZERO, |at| at + STALL)
+    pub fn registry_active_until(&self) -> Time {
+        self.came.map_or(Time::ZERO, |at| at + STALL_TIMEOUT)
     }
 
     /// Returns when to ask for the next decision; never, if nothing is missing.
@@ -190,16 +194,16 @@
         let Some(behind) = self.behind else {
             return Time::NEVER;
         };
-        let patience = behind + self.patience();
-        let came = self.coming_until();
-        let moved = self.copy.map_or(Time::ZERO, |c| c.moved + STALL);
+        let patience = behind + self.registry_patience();
+        let came = self.registry_active_until();
+        let moved = self.copy.map_or(Time::ZERO, |c| c.moved + STALL_TIMEOUT);
         patience.max(came).max(moved)
     }
 
     /// Returns the neighbour to ask for a copy now, if one is to be asked.
     ///
     /// `live` are the nodes that answer and their hosts' power.
-    pub fn choose(
+    pub fn choose_source(
         &mut self,
         now: Time,
         live: impl Iterator<Item = (SocketAddr, Option<MilliCores>)>,
@@ -208,7 +212,7 @@
             return None;
         }
         let stalled = self.copy.take().map(|c| c.node);
-        let Some(node) = self.best(live, stalled) else {
+        let Some(node) = self.best_holder(live, stalled) else {
             // None of them answers. They say anew what they have once they do.
             self.holders.clear();
             self.behind = None;
@@ -218,12 +222,12 @@
         Some(node)
     }
 
-    fn patience(&self) -> Duration {
+    fn registry_patience(&self) -> Duration {
         match (self.failed, self.have.0) {
             (true, _) => Duration::ZERO,
-            (false, 0) => PATIENCE_EMPTY,
+            (false, 0) => EMPTY_REGISTRY_PATIENCE,
             (false, _) if self.is_small() => Duration::ZERO,
-            (false, _) => PATIENCE,
+            (false, _) => REGISTRY_PATIENCE,
         }
     }
 
@@ -236,7 +240,7 @@
     ///
     /// Among equals each node has an order of its own, so that nodes that lag
     /// together don't all ask the same one.
-    fn best(
+    fn best_holder(
         &self,
         live: impl Iterator<Item = (SocketAddr, Option<MilliCores>)>,
         stalled: Option<SocketAddr>,
--- a/lib/src/serving/crashes.rs
+++ b/lib/src/serving/crashes.rs
@@ -12,7 +12,7 @@
 
 use derive_more::Display;
 
-use super::ends::Incarnation;
+use super::endpoint_loss::Incarnation;
 use crate::time::Time;
 
 /// The ends after which a request is quarantined.
@@ -84,20 +84,20 @@
     /// Counts the verdicts on this request; the highest is in force.
     pub version: u32,
     /// How long it is quarantined from now on; zero if that is lifted.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How long ago the first end was that led to it.
-    pub span: Duration,
+    pub first_end_age: Duration,
 }
 
 /// What became of a verdict that another node told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learned {
+pub enum VerdictOutcome {
     /// It was known.
     Known,
     /// It is in force now.
-    News,
+    New,
     /// The request was answered since its first end: all are to be told this.
-    Objected(Verdict),
+    Overruled(Verdict),
 }
 
 #[derive(Debug, Clone)]
@@ -123,7 +123,7 @@
 
 /// What one node knows of requests under which endpoints end.
 #[derive(Debug, Clone, Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     suspects: BTreeMap<Fingerprint, Vec<End>>,
     records: BTreeMap<Fingerprint, Record>,
     answered: BTreeMap<Fingerprint, Time>,
@@ -131,18 +131,23 @@
     news: u64,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Notes that an endpoint has just ended under a request.
     ///
     /// Returns a verdict that all other nodes are to be told.
-    pub fn ended(&mut self, now: Time, request: Fingerprint, run: &Incarnation) -> Option<Verdict> {
-        self.told_end(now, now, request, run)
+    pub fn on_end(
+        &mut self,
+        now: Time,
+        request: Fingerprint,
+        run: &Incarnation,
+    ) -> Option<Verdict> {
+        self.on_reported_end(now, now, request, run)
     }
 
     /// Notes that an endpoint ended under a request at `at`, as it is told now.
     ///
     /// Returns a verdict that all other nodes are to be told.
-    pub fn told_end(
+    pub fn on_reported_end(
         &mut self,
         now: Time,
         at: Time,
@@ -163,7 +168,7 @@
                 return None;
             }
             let version = record.version + u32::from(again);
-            let verdict = self.set(now, request, version, Some(longer), record.first);
+            let verdict = self.set_record(now, request, version, Some(longer), record.first);
             return again.then_some(verdict);
         }
         let ends = self.suspects.entry(request).or_default();
@@ -179,7 +184,7 @@
         let first = ends.iter().map(|e| e.at).min().unwrap_or(at);
         let version = self.records.get(&request).map_or(1, |r| r.version + 1);
         let until = now + lasts(now, first);
-        Some(self.set(now, request, version, Some(until), first))
+        Some(self.set_record(now, request, version, Some(until), first))
     }
 
     /// Tells whether a request was answered whole, here or as others told,
@@ -193,7 +198,7 @@
     /// Notes that a request was answered whole.
     ///
     /// Returns a verdict that all other nodes are to be told.
-    pub fn answered(&mut self, now: Time, request: Fingerprint) -> Option<Verdict> {
+    pub fn on_answered(&mut self, now: Time, request: Fingerprint) -> Option<Verdict> {
         self.suspects.remove(&request);
         self.answered.insert(request, now);
         self.order.push_back((now, request));
@@ -205,44 +210,48 @@
         }
         let record = self.records.get(&request).filter(|r| r.until.is_some())?;
         let version = record.version + 1;
-        Some(self.set(now, request, version, None, now))
+        Some(self.set_record(now, request, version, None, now))
     }
 
     /// Takes in a verdict that another node told.
-    pub fn learn(&mut self, now: Time, told: Verdict) -> Learned {
+    pub fn apply_verdict(&mut self, now: Time, told: Verdict) -> VerdictOutcome {
         self.sweep(now);
         let request = told.request;
-        let left = told.left.min(LASTS[1]);
+        let left = told.remaining.min(LASTS[1]);
         let until = (!left.is_zero()).then(|| now + left);
         let held = self.records.get(&request);
         let (version, held_until) = held.map_or((0, None), |r| (r.version, r.until));
         // Nodes whose verdicts have the same number found it at the same time.
         let least = held_until.map(|u| u + LONGER);
         if (told.version, until) <= (version, least) {
-            return Learned::Known;
+            return VerdictOutcome::Known;
         }
         let known = told.version == version && held_until.is_some();
-        let first = now - told.span;
+        let first = now - told.first_end_age;
         let answered = self.answered.get(&request);
         let answered = answered.is_some_and(|&at| at + WAYS > first);
         if until.is_some() && answered {
-            let lifted = self.set(now, request, told.version + 1, None, now);
-            return Learned::Objected(lifted);
+            let lifted = self.set_record(now, request, told.version + 1, None, now);
+            return VerdictOutcome::Overruled(lifted);
         }
         let tried = held_until.is_some() && !known;
-        self.set(now, request, told.version, until, first);
+        self.set_record(now, request, told.version, until, first);
         if tried && let Some(record) = self.records.get_mut(&request) {
             // The other node's trial ended an endpoint.
             record.trials += 1;
         }
-        if known { Learned::Known } else { Learned::News }
+        if known {
+            VerdictOutcome::Known
+        } else {
+            VerdictOutcome::New
+        }
     }
 
     /// Returns for how much longer a request is refused.
     ///
     /// Once the quarantine is over it is refused until a trial was answered.
     #[must_use]
-    pub fn quarantined(&self, now: Time, request: Fingerprint) -> Option<Duration> {
+    pub fn quarantine_remaining(&self, now: Time, request: Fingerprint) -> Option<Duration> {
         let record = self.records.get(&request)?;
         let until = record.until?;
         if now.since(until) >= REMEMBERED {
@@ -259,7 +268,7 @@
     /// Tells whether a request whose quarantine is over may be tried now.
     ///
     /// To be asked at one node alone, once for each request that comes.
-    pub fn may_try(&mut self, now: Time, request: Fingerprint) -> bool {
+    pub fn try_start_trial(&mut self, now: Time, request: Fingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
@@ -274,13 +283,13 @@
 
     /// Tells whether a request that is under way may go on, a trial included.
     #[must_use]
-    pub fn may_go_on(&self, now: Time, request: Fingerprint) -> bool {
+    pub fn may_continue(&self, now: Time, request: Fingerprint) -> bool {
         let until = self.records.get(&request).and_then(|r| r.until);
         until.is_none_or(|u| u <= now)
     }
 
     /// Returns the endpoints that ended under a request that is not quarantined.
-    pub fn ends(&self, request: Fingerprint) -> impl Iterator<Item = &Incarnation> {
+    pub fn lost_endpoints(&self, request: Fingerprint) -> impl Iterator<Item = &Incarnation> {
         self.suspects
             .get(&request)
             .into_iter()
@@ -291,7 +300,7 @@
     /// Returns the verdicts since the one numbered `since`, oldest first, `most`
     /// of them at most, and the number to ask for the next ones.
     #[must_use]
-    pub fn news_since(&self, now: Time, since: u64, most: usize) -> (Vec<Verdict>, u64) {
+    pub fn changes_since(&self, now: Time, since: u64, most: usize) -> (Vec<Verdict>, u64) {
         if since >= self.news {
             return (Vec::new(), self.news);
         }
@@ -311,7 +320,7 @@
         let mut news: Vec<u64> = self.records.values().map(|r| r.news).collect();
         news.sort_unstable_by(|a, b| b.cmp(a));
         let since = news.get(most).copied().unwrap_or_default();
-        self.news_since(now, since, most).0
+        self.changes_since(now, since, most).0
     }
 
     /// Returns the number of requests that are quarantined, and of those whose
@@ -323,7 +332,7 @@
         (quarantined, self.suspects.len())
     }
 
-    fn set(
+    fn set_record(
         &mut self,
         now: Time,
         request: Fingerprint,
@@ -383,9 +392,9 @@
         request,
         version: record.version,
         // One that is over is still refused, but for trials: it is not lifted.
-        left: record
+        remaining: record
             .until
             .map_or(Duration::ZERO, |u| u.since(now).max(LEAST)),
-        span: now.since(record.first),
+        first_end_age: now.since(record.first),
     }
 }
--- a/lib/src/serving/directory.rs
+++ b/lib/src/serving/directory.rs
@@ -54,7 +54,7 @@
     /// Its name.
     pub id: EndpointId,
     /// The moment of its start, as it tells it; a name may be used again.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Its service.
     pub service: PoolName,
     /// Where it listens.
@@ -72,18 +72,18 @@
         let Self {
             id,
             address,
-            born,
+            started_at,
             draining,
             ..
         } = self;
-        let text = format!("{id} {address} {born:?} {draining}");
+        let text = format!("{id} {address} {started_at:?} {draining}");
         rapidhash_v3_seeded(text.as_bytes(), &SECRETS)
     }
 }
 
 /// The load that an endpoint reported with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct LoadReport {
     /// Calls at work and waiting.
     pub calls: u32,
     /// The calls that it works on at once.
@@ -147,7 +147,7 @@
 
 /// What a call asks of its endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct EndpointCriteria<'a> {
     /// The service.
     pub service: &'a PoolName,
     /// Endpoints that are not to be taken, unless there is no other.
@@ -191,7 +191,7 @@
     /// The calls that it was taken to have.
     pub calls: f32,
     /// The age of its last report of load.
-    pub age: Duration,
+    pub report_age: Duration,
 }
 
 /// All endpoints that this node knows.
@@ -211,7 +211,9 @@
         let held = self.endpoints.get_mut(&entry.id);
         let before = held.as_ref().map_or(0, |e| e.entry.hash());
         self.sum = self.sum.wrapping_sub(before);
-        let same = |e: &Endpoint| e.entry.born == entry.born && e.entry.address == entry.address;
+        let same = |e: &Endpoint| {
+            e.entry.started_at == entry.started_at && e.entry.address == entry.address
+        };
         match held {
             Some(endpoint) if same(endpoint) => {
                 endpoint.entry = entry;
@@ -248,17 +250,20 @@
     ///
     /// Two nodes that know the same endpoints have the same sum.
     #[must_use]
-    pub const fn sum(&self) -> u64 {
+    pub const fn checksum(&self) -> u64 {
         self.sum
     }
 
     /// Tells whether a service has an endpoint that may get calls.
     #[must_use]
     pub fn serves(&self, service: &PoolName) -> bool {
-        self.open(service).next().is_some()
+        self.open_endpoints(service).next().is_some()
     }
 
-    pub(super) fn open<'a>(&'a self, service: &PoolName) -> impl Iterator<Item = &'a Endpoint> {
+    pub(super) fn open_endpoints<'a>(
+        &'a self,
+        service: &PoolName,
+    ) -> impl Iterator<Item = &'a Endpoint> {
         let all = self.endpoints.values();
         all.filter(move |e| e.is_open() && e.entry.service == *service)
     }
@@ -266,7 +271,9 @@
     /// Returns the endpoint that a prefix belongs to while nothing is wrong.
     #[must_use]
     pub fn home(&self, service: &PoolName, prefix: u64) -> Option<&Entry> {
-        let ranked = self.open(service).max_by_key(|e| rank(prefix, &e.entry.id));
+        let ranked = self
+            .open_endpoints(service)
+            .max_by_key(|e| rank(prefix, &e.entry.id));
         ranked.map(|e| &e.entry)
     }
 
@@ -274,15 +281,15 @@
     /// that of its prefix's endpoint.
     #[must_use]
     pub fn shard(&self, service: &PoolName, prefix: u64) -> Shard {
-        let count = Shard::count(self.open(service).count());
+        let count = Shard::count(self.open_endpoints(service).count());
         let home = self.home(service, prefix);
         home.map_or(Shard { index: 0, count }, |e| Shard::of(&e.id, count))
     }
 
     /// Chooses the endpoint for a call.
     #[must_use]
-    pub fn choose(&self, now: Time, wanted: Wanted<'_>) -> Option<Choice> {
-        let all: Vec<&Endpoint> = self.open(wanted.service).collect();
+    pub fn choose(&self, now: Time, wanted: EndpointCriteria<'_>) -> Option<Choice> {
+        let all: Vec<&Endpoint> = self.open_endpoints(wanted.service).collect();
         let fresh = |e: &&Endpoint| !wanted.avoid.contains(&e.entry.id);
         let usable: Vec<&Endpoint> = all.iter().copied().filter(fresh).collect();
         let well = |e: &&Endpoint| !e.health.is_paused(now);
@@ -316,27 +323,27 @@
     /// Returns an endpoint that another node chose; `None` if it may get no
     /// calls as far as is known here.
     #[must_use]
-    pub fn booked(&self, now: Time, id: &EndpointId) -> Option<Choice> {
+    pub fn booked_choice(&self, now: Time, id: &EndpointId) -> Option<Choice> {
         let endpoint = self.get(id).filter(|e| e.is_open())?;
         Some(choice(now, endpoint, Reason::Booked))
     }
 
     /// Notes that a call was sent.
-    pub fn began(&mut self, id: &EndpointId) {
+    pub fn call_started(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.own += 1;
         }
     }
 
     /// Notes that a call ended, in whatever way.
-    pub fn ended(&mut self, id: &EndpointId) {
+    pub fn call_ended(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.own = endpoint.own.saturating_sub(1);
         }
     }
 
     /// Notes the load that came with an answer.
-    pub fn reported(&mut self, now: Time, id: &EndpointId, load: Load) {
+    pub fn apply_load(&mut self, now: Time, id: &EndpointId, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             // The report counts this node's calls too, which it knows itself.
             endpoint.others = load.calls.saturating_sub(endpoint.own);
@@ -352,7 +359,7 @@
     /// Notes that another endpoint answers at this one's address.
     ///
     /// It gets no more calls until it says something new of itself.
-    pub fn replaced(&mut self, id: &EndpointId) {
+    pub fn mark_replaced(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.replaced = true;
         }
@@ -364,11 +371,15 @@
         entry: endpoint.entry.clone(),
         reason,
         calls: endpoint.calls(now),
-        age: now.since(endpoint.reported),
+        report_age: now.since(endpoint.reported),
     }
 }
 
-fn least<'a>(now: Time, pool: &[&'a Endpoint], wanted: Wanted<'_>) -> Option<&'a Endpoint> {
+fn least<'a>(
+    now: Time,
+    pool: &[&'a Endpoint],
+    wanted: EndpointCriteria<'_>,
+) -> Option<&'a Endpoint> {
     let burden = |e: &Endpoint| {
         let afar = wanted.domain.is_some_and(|d| e.entry.domain != *d);
         let slots = e.entry.slots.max(1) as f32;
@@ -385,8 +396,8 @@
     let count = ranked.len().max(1) as f32;
     let calls: f32 = ranked.iter().map(|e| e.calls(now)).sum();
     let bound = BOUND_RATIO * calls / count + BOUND_SLACK;
-    let slowness = middle(ranked.iter().map(|e| e.health.slowness(now)).collect());
-    let failures = middle(ranked.iter().map(|e| e.health.failures(now)).collect());
+    let slowness = median(ranked.iter().map(|e| e.health.slowness(now)).collect());
+    let failures = median(ranked.iter().map(|e| e.health.failures(now)).collect());
     let fits = |e: &&&Endpoint| {
         let slow = e.health.slowness(now) > SLOW * slowness;
         let failing = e.health.failures(now) > failures + 0.3;
@@ -399,7 +410,7 @@
     endpoint
 }
 
-pub(super) fn middle(mut values: Vec<f32>) -> f32 {
+pub(super) fn median(mut values: Vec<f32>) -> f32 {
     values.sort_by(f32::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(1.0)
 }
--- a/lib/src/serving/ends.rs
+++ b/lib/src/serving/endpoint_loss.rs
@@ -41,20 +41,20 @@
     /// Its name.
     pub endpoint: EndpointId,
     /// The moment of its start, as it tells it; a name may be used again.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 /// What to do about a broken connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broke {
+pub enum LossAction {
     /// Look whether the endpoint lives.
-    Look,
+    Probe,
     /// Wait for the look that is under way.
-    Waits,
+    AwaitProbe,
     /// The endpoint has ended.
     Ended,
-    /// The endpoint lives.
-    Lives,
+    /// The endpoint is alive.
+    Alive,
 }
 
 #[derive(Debug, Clone)]
@@ -67,15 +67,20 @@
 
 /// The endpoints whose connections broke of late.
 #[derive(Debug, Clone, Default)]
-pub struct Ends {
+pub struct EndpointLoss {
     found: BTreeMap<Incarnation, (Time, Found)>,
     /// Requests that were given up while their endpoints had them, oldest first.
     given_up: VecDeque<(Time, Incarnation, Fingerprint)>,
 }
 
-impl Ends {
+impl EndpointLoss {
     /// Notes that the connection of a request broke before the whole answer.
-    pub fn broke(&mut self, now: Time, run: &Incarnation, request: Fingerprint) -> Broke {
+    pub fn on_connection_lost(
+        &mut self,
+        now: Time,
+        run: &Incarnation,
+        request: Fingerprint,
+    ) -> LossAction {
         self.found.retain(|_, (at, found)| {
             let known = matches!(found, Found::Lives);
             now.since(*at) < if known { LIVES } else { ENDED }
@@ -84,15 +89,15 @@
         match self.found.get_mut(run) {
             Some((_, Found::Looking(waiting))) => {
                 waiting.push((now, request));
-                Broke::Waits
+                LossAction::AwaitProbe
             }
-            Some((_, Found::Ended)) => Broke::Ended,
-            Some((_, Found::Lives)) => Broke::Lives,
-            None if full => Broke::Lives,
+            Some((_, Found::Ended)) => LossAction::Ended,
+            Some((_, Found::Lives)) => LossAction::Alive,
+            None if full => LossAction::Alive,
             None => {
                 let looking = Found::Looking(vec![(now, request)]);
                 self.found.insert(run.clone(), (now, looking));
-                Broke::Look
+                LossAction::Probe
             }
         }
     }
@@ -100,8 +105,8 @@
     /// Notes that a request was given up while an endpoint had it.
     ///
     /// Its connection is closed then, and won't tell that the endpoint ends.
-    pub fn given_up(&mut self, now: Time, run: &Incarnation, request: Fingerprint) {
-        self.forget_given_up(now);
+    pub fn on_request_abandoned(&mut self, now: Time, run: &Incarnation, request: Fingerprint) {
+        self.forget_abandoned(now);
         if self.given_up.len() >= GIVEN_UP_MAX {
             self.given_up.pop_front();
         }
@@ -110,8 +115,8 @@
 
     /// Notes that an endpoint refused a connection; tells whether to look
     /// whether it has ended.
-    pub fn refused(&mut self, now: Time, run: &Incarnation) -> bool {
-        self.forget_given_up(now);
+    pub fn on_connection_refused(&mut self, now: Time, run: &Incarnation) -> bool {
+        self.forget_abandoned(now);
         let suspected = self.given_up.iter().any(|(_, r, _)| r == run);
         let known = self.found.contains_key(run) || self.found.len() >= ENDPOINTS_MAX;
         if suspected && !known {
@@ -121,7 +126,7 @@
         suspected && !known
     }
 
-    fn forget_given_up(&mut self, now: Time) {
+    fn forget_abandoned(&mut self, now: Time) {
         let old = |(at, _, _): &(Time, _, _)| now.since(*at) >= GIVEN_UP;
         while self.given_up.front().is_some_and(old) {
             self.given_up.pop_front();
@@ -130,7 +135,7 @@
 
     /// Takes in what a look found; returns the requests under which the
     /// endpoint ended, and when.
-    pub fn looked(
+    pub fn on_probe_result(
         &mut self,
         now: Time,
         run: &Incarnation,
--- a/lib/src/serving/freshness.rs
+++ b/lib/src/serving/freshness.rs
@@ -77,13 +77,13 @@
 
     /// Tells whether a change may have been unknown for longer than the bound.
     #[must_use]
-    pub fn is_lost(&self, now: Time) -> bool {
+    pub fn is_expired(&self, now: Time) -> bool {
         self.age(now).is_none_or(|age| age > self.bound)
     }
 
     /// Tells whether a node of such an age can't read for others.
     #[must_use]
-    pub fn is_unread(&self, age: Option<Duration>) -> bool {
+    pub fn cannot_read(&self, age: Option<Duration>) -> bool {
         age.is_none_or(|age| age > self.bound.mul_f64(ALONE))
     }
 
@@ -104,16 +104,16 @@
 
     /// Returns the pause between two looks at the node that reads for all.
     #[must_use]
-    pub fn look_pause(&self) -> Duration {
+    pub fn poll_interval(&self) -> Duration {
         self.bound.mul_f64(LOOK)
     }
 
     /// Returns that pause as of now: shorter while another reader takes over.
     #[must_use]
-    pub fn look_pause_at(&self, now: Time) -> Duration {
+    pub fn poll_interval_at(&self, now: Time) -> Duration {
         let age = self.age(now).unwrap_or(Duration::MAX);
         let hurries = self.is_late(now) && age < self.bound.mul_f64(HURRY);
-        self.look_pause() / if hurries { HURRIED } else { 1 }
+        self.poll_interval() / if hurries { HURRIED } else { 1 }
     }
 }
 
@@ -127,9 +127,9 @@
 /// Nodes start together. With one wait for all of them their reads end and begin
 /// at the same moments, and what happens to one then happens to all.
 #[derive(Debug, Clone)]
-pub struct Waits(Pcg64Mcg);
+pub struct LongPollWaits(Pcg64Mcg);
 
-impl Waits {
+impl LongPollWaits {
     /// Starts with a seeded generator.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -137,7 +137,7 @@
     }
 
     /// Returns the wait of the next read.
-    pub fn draw(&mut self) -> Duration {
+    pub fn sample(&mut self) -> Duration {
         Duration::from_secs_f64(self.0.random_range(WAITS))
     }
 }
--- a/lib/src/serving/owners.rs
+++ b/lib/src/serving/owners.rs
@@ -108,7 +108,7 @@
     }
 
     /// Notes that a node is said to exist; tells whether this is news.
-    pub fn learn(&mut self, now: Time, peer: SocketAddr) -> bool {
+    pub fn discover(&mut self, now: Time, peer: SocketAddr) -> bool {
         if peer == self.own || self.peers.contains_key(&peer) {
             return false;
         }
@@ -128,7 +128,7 @@
     }
 
     /// Notes the power of a node's host.
-    pub fn has_power(&mut self, peer: SocketAddr, power: MilliCores) {
+    pub fn set_power(&mut self, peer: SocketAddr, power: MilliCores) {
         if let Some(known) = self.peers.get_mut(&peer)
             && known.power != Some(power)
         {
@@ -139,8 +139,8 @@
     }
 
     /// Notes that a node answered.
-    pub fn heard(&mut self, now: Time, peer: SocketAddr) {
-        self.learn(now, peer);
+    pub fn mark_heard(&mut self, now: Time, peer: SocketAddr) {
+        self.discover(now, peer);
         if let Some(known) = self.peers.get_mut(&peer) {
             known.heard = now;
             known.answered = true;
@@ -159,14 +159,14 @@
     }
 
     /// Notes whether a node says that it leaves.
-    pub fn leaves(&mut self, peer: SocketAddr, leaving: bool) {
+    pub fn set_peer_leaving(&mut self, peer: SocketAddr, leaving: bool) {
         if let Some(known) = self.peers.get_mut(&peer) {
             known.leaving = leaving;
         }
     }
 
     /// Notes that a node did not answer in time.
-    pub fn silent(&mut self, now: Time, peer: SocketAddr) {
+    pub fn mark_silent(&mut self, now: Time, peer: SocketAddr) {
         if let Some(known) = self.peers.get_mut(&peer) {
             known.silent = now + SILENT;
         }
@@ -174,20 +174,20 @@
     }
 
     /// Notes whether a node can't read the registry itself.
-    pub fn unread(&mut self, now: Time, peer: SocketAddr, unread: bool) {
+    pub fn set_cannot_read(&mut self, now: Time, peer: SocketAddr, unread: bool) {
         if let Some(known) = self.peers.get_mut(&peer) {
             known.unread = if unread { now + UNREAD } else { Time::ZERO };
         }
     }
 
     /// Notes whether this node can't read the registry itself.
-    pub const fn own_unread(&mut self, unread: bool) {
+    pub const fn set_own_cannot_read(&mut self, unread: bool) {
         self.unread = unread;
     }
 
     /// Returns when a node last answered; the start of time if it never did.
     #[must_use]
-    pub fn heard_at(&self, peer: SocketAddr) -> Time {
+    pub fn last_heard(&self, peer: SocketAddr) -> Time {
         let answered = self.peers.get(&peer).filter(|p| p.answered);
         answered.map_or(Time::ZERO, |p| p.heard)
     }
@@ -209,13 +209,13 @@
 
     /// Returns the number of the last news about other nodes.
     #[must_use]
-    pub const fn news(&self) -> u64 {
+    pub const fn last_change(&self) -> u64 {
         self.news
     }
 
     /// Returns the nodes that are not silent and of which there was news since
     /// the one numbered `since`, and their hosts' power.
-    pub fn news_since(
+    pub fn changes_since(
         &self,
         now: Time,
         since: u64,
@@ -234,20 +234,20 @@
     /// Returns the owner of a service's pieces as of now.
     #[must_use]
     pub fn owner(&self, now: Time, service: &PoolName) -> SocketAddr {
-        self.first(now, service.as_str())
+        self.first_ranked(now, service.as_str())
     }
 
     /// Returns the node at which the requests to a part of a model's endpoints
     /// are booked, as of now.
     #[must_use]
-    pub fn booker(&self, now: Time, service: &PoolName, shard: Shard) -> SocketAddr {
-        self.first(now, &format!("{service}, part {}", shard.index))
+    pub fn booking_owner(&self, now: Time, service: &PoolName, shard: Shard) -> SocketAddr {
+        self.first_ranked(now, &format!("{service}, part {}", shard.index))
     }
 
     /// Returns the nodes that count the ends of endpoints under a request, as of
     /// now.
     #[must_use]
-    pub fn counters(&self, now: Time, request: Fingerprint) -> Vec<SocketAddr> {
+    pub fn crash_counters(&self, now: Time, request: Fingerprint) -> Vec<SocketAddr> {
         let subject = request.to_string();
         let mut nodes: Vec<SocketAddr> = self.strong(now).collect();
         // While all leave, each would count for itself alone.
@@ -261,7 +261,7 @@
         counters.map(|(_, node)| node).collect()
     }
 
-    fn first(&self, now: Time, subject: &str) -> SocketAddr {
+    fn first_ranked(&self, now: Time, subject: &str) -> SocketAddr {
         let strong = self.strong(now);
         let first = strong.max_by_key(|a| (rank(subject, a), *a));
         first.unwrap_or(self.own)
@@ -281,11 +281,11 @@
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         let mut readers = ranked.iter().take(READERS).map(|&(_, node)| node);
         let first = readers.clone().next();
-        let able = readers.find(|a| !self.is_unread(now, a));
+        let able = readers.find(|a| !self.cannot_read(now, a));
         able.or(first).unwrap_or(self.own)
     }
 
-    fn is_unread(&self, now: Time, node: &SocketAddr) -> bool {
+    fn cannot_read(&self, now: Time, node: &SocketAddr) -> bool {
         let peer = self.peers.get(node);
         peer.map_or(self.unread, |p| p.unread > now)
     }
--- a/lib/src/serving/pieces/queue.rs
+++ b/lib/src/serving/pieces/queue.rs
@@ -261,7 +261,9 @@
             maker.present = false;
         }
         for entry in entries {
-            let same = |m: &Maker| m.entry.born == entry.born && m.entry.address == entry.address;
+            let same = |m: &Maker| {
+                m.entry.started_at == entry.started_at && m.entry.address == entry.address
+            };
             match self.makers.get_mut(&entry.id) {
                 Some(maker) if same(maker) => {
                     maker.present = true;
--- a/lib/src/serving/upkeep.rs
+++ b/lib/src/serving/registry_polling.rs
@@ -36,7 +36,7 @@
 /// What nodes keep a copy of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(derive_more::Display)]
-pub enum Kept {
+pub enum ReplicaKind {
     /// The configuration.
     #[display("config")]
     Config,
@@ -46,22 +46,22 @@
 }
 
 /// All that nodes keep copies of.
-pub const KEPT: [Kept; 2] = [Kept::Config, Kept::Endpoints];
+pub const REPLICA_KINDS: [ReplicaKind; 2] = [ReplicaKind::Config, ReplicaKind::Endpoints];
 
 /// What a node says of itself when it is looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Told {
+pub struct ReplicaStatus {
     /// Whether it can't read the registry for others.
-    pub unread: bool,
+    pub cannot_read: bool,
     /// The age of its configuration, if this node has all of that.
-    pub config: Option<Duration>,
+    pub config_age: Option<Duration>,
     /// The age of its endpoints, if this node has all of them.
-    pub endpoints: Option<Duration>,
+    pub endpoints_age: Option<Duration>,
 }
 
 /// How recent a node's copies are, and when to ask whom.
 #[derive(Debug, Clone, Copy)]
-pub struct Upkeep {
+pub struct RegistryPolling {
     config: Freshness,
     endpoints: Freshness,
     looked: Time,
@@ -77,7 +77,7 @@
     differed: Option<Time>,
 }
 
-impl Upkeep {
+impl RegistryPolling {
     /// Starts without copies.
     ///
     /// A confirmed change of the configuration is in force within `change`; a
@@ -99,7 +99,7 @@
 
     /// Notes that a copy differs from another node's; tells whether it is to be
     /// read anew.
-    pub fn differs(&mut self, now: Time) -> bool {
+    pub fn on_mismatch(&mut self, now: Time) -> bool {
         let lately = |at| now.since(at) < DIFFERS_PAUSE;
         if self.differed.is_some_and(lately) {
             return false;
@@ -110,23 +110,23 @@
 
     /// Returns how recent a copy is.
     #[must_use]
-    pub const fn of(&self, kept: Kept) -> &Freshness {
+    pub const fn freshness(&self, kept: ReplicaKind) -> &Freshness {
         match kept {
-            Kept::Config => &self.config,
-            Kept::Endpoints => &self.endpoints,
+            ReplicaKind::Config => &self.config,
+            ReplicaKind::Endpoints => &self.endpoints,
         }
     }
 
     /// Notes that a copy held everything that was confirmed by `at`.
-    pub fn confirm(&mut self, kept: Kept, at: Time) {
+    pub fn confirm(&mut self, kept: ReplicaKind, at: Time) {
         match kept {
-            Kept::Config => self.config.confirm(at),
-            Kept::Endpoints => self.endpoints.confirm(at),
+            ReplicaKind::Config => self.config.confirm(at),
+            ReplicaKind::Endpoints => self.endpoints.confirm(at),
         }
     }
 
     /// Notes whether a read of the registry worked.
-    pub fn read(&mut self, now: Time, worked: bool) {
+    pub fn on_read(&mut self, now: Time, worked: bool) {
         if worked {
             self.failures = 0;
             self.barred = Time::ZERO;
@@ -143,81 +143,85 @@
     /// Nodes that start together all lack their copies, and the registry has them
     /// on its way. Asked of each other, lists of thousands would fill their links.
     #[must_use]
-    pub fn is_cut_off(&self, now: Time, kept: Kept) -> bool {
+    pub fn is_registry_unreachable(&self, now: Time, kept: ReplicaKind) -> bool {
         self.failures > 0 && self.is_stale(now, kept)
     }
 
     /// Tells whether a copy is so old that this node reads for itself.
     #[must_use]
-    pub fn is_stale(&self, now: Time, kept: Kept) -> bool {
-        let freshness = self.of(kept);
-        freshness.is_unread(freshness.age(now))
+    pub fn is_stale(&self, now: Time, kept: ReplicaKind) -> bool {
+        let freshness = self.freshness(kept);
+        freshness.cannot_read(freshness.age(now))
     }
 
     /// Tells whether this node can't read the registry for others.
     #[must_use]
-    pub fn is_unread(&self, now: Time) -> bool {
-        let stale = KEPT.iter().any(|&kept| self.is_stale(now, kept));
-        let settled = |since| now.since(since) > self.look_pause();
+    pub fn cannot_read(&self, now: Time) -> bool {
+        let stale = REPLICA_KINDS.iter().any(|&kept| self.is_stale(now, kept));
+        let settled = |since| now.since(since) > self.poll_interval();
         let late = self.first_since.is_some_and(settled) && self.is_late(now);
         stale || late || self.barred > now
     }
 
     fn is_late(&self, now: Time) -> bool {
-        KEPT.iter().any(|&kept| self.of(kept).is_late(now))
+        REPLICA_KINDS
+            .iter()
+            .any(|&kept| self.freshness(kept).is_late(now))
     }
 
     /// Tells whether this node reads the registry for others.
     ///
     /// One whose own reads fail looks at the next one, as all others do.
-    pub fn is_first(&mut self, now: Time, owners: &mut Owners) -> bool {
-        owners.own_unread(self.is_unread(now));
+    pub fn is_reader(&mut self, now: Time, owners: &mut Owners) -> bool {
+        owners.set_own_cannot_read(self.cannot_read(now));
         let asked = self
             .asked
-            .is_some_and(|at| now.since(at) < 2 * self.look_pause());
+            .is_some_and(|at| now.since(at) < 2 * self.poll_interval());
         let first = asked || owners.reader(now) == owners.own();
         self.first_since = first.then(|| self.first_since.unwrap_or(now));
         first
     }
 
     /// Notes that another node took this one for the reader.
-    pub const fn looked_at(&mut self, now: Time) {
+    pub const fn on_polled(&mut self, now: Time) {
         self.asked = Some(now);
     }
 
     /// Returns when this node reads a topic; `first` if it does so for others.
     #[must_use]
-    pub fn read_at(&self, kept: Kept, first: bool) -> Time {
-        self.of(kept).read_at(first)
+    pub fn read_at(&self, kept: ReplicaKind, first: bool) -> Time {
+        self.freshness(kept).read_at(first)
     }
 
     /// Returns the pause between two looks at the node that reads for all.
     #[must_use]
-    pub fn look_pause(&self) -> Duration {
-        self.config.look_pause().min(self.endpoints.look_pause())
+    pub fn poll_interval(&self) -> Duration {
+        self.config
+            .poll_interval()
+            .min(self.endpoints.poll_interval())
     }
 
     /// Returns that pause as of now: shorter while another reader takes over.
-    fn look_pause_at(&self, now: Time) -> Duration {
-        let pauses = KEPT.map(|kept| self.of(kept).look_pause_at(now));
+    fn poll_interval_at(&self, now: Time) -> Duration {
+        let pauses = REPLICA_KINDS.map(|kept| self.freshness(kept).poll_interval_at(now));
         pauses.into_iter().min().unwrap_or_default()
     }
 
     /// Returns when to look at the node that reads for all.
     #[must_use]
-    pub fn look_at(&self, now: Time) -> Time {
-        self.looked + self.look_pause_at(now)
+    pub fn next_poll(&self, now: Time) -> Time {
+        self.looked + self.poll_interval_at(now)
     }
 
     /// Returns the node to look at now, if it is time and not this one's turn
     /// to read.
-    pub fn look(&mut self, now: Time, owners: &mut Owners) -> Option<SocketAddr> {
-        if now < self.look_at(now) {
+    pub fn poll_target(&mut self, now: Time, owners: &mut Owners) -> Option<SocketAddr> {
+        if now < self.next_poll(now) {
             return None;
         }
         self.looked = now;
-        self.pass_over_silent(now, owners);
-        owners.own_unread(self.is_unread(now));
+        self.skip_silent_reader(now, owners);
+        owners.set_own_cannot_read(self.cannot_read(now));
         let reader = owners.reader(now);
         if reader == owners.own() {
             self.waits = None;
@@ -230,18 +234,18 @@
     }
 
     /// Leaves a reader that has not answered while its answer grows urgent.
-    fn pass_over_silent(&mut self, now: Time, owners: &mut Owners) {
+    fn skip_silent_reader(&mut self, now: Time, owners: &mut Owners) {
         let Some((node, since)) = self.waits else {
             return;
         };
-        if self.is_late(now) && now.since(since) > 2 * self.look_pause_at(now) {
-            owners.unread(now, node, true);
+        if self.is_late(now) && now.since(since) > 2 * self.poll_interval_at(now) {
+            owners.set_cannot_read(now, node, true);
             self.waits = None;
         }
     }
 
     /// Notes that a node is lost: it may have been the one that reads.
-    pub fn lost(&mut self, node: SocketAddr) {
+    pub fn on_peer_lost(&mut self, node: SocketAddr) {
         self.looked = Time::ZERO;
         self.waits = self.waits.filter(|(waits, _)| *waits != node);
     }
@@ -250,23 +254,23 @@
     ///
     /// `sent` is when it was asked. What it knew, it knew at least as long before
     /// that as it said.
-    pub fn take(
+    pub fn apply_status(
         &mut self,
         now: Time,
         owners: &mut Owners,
         (peer, sent): (SocketAddr, Time),
-        told: Told,
+        told: ReplicaStatus,
     ) {
         let sent = sent.min(now);
         self.waits = self.waits.filter(|(waits, _)| *waits != peer);
-        if let Some(age) = told.config {
+        if let Some(age) = told.config_age {
             self.config.confirm(sent - age);
         }
-        if let Some(age) = told.endpoints {
+        if let Some(age) = told.endpoints_age {
             self.endpoints.confirm(sent - age);
         }
         let asked = owners.reader(now) == peer;
-        owners.unread(now, peer, told.unread);
+        owners.set_cannot_read(now, peer, told.cannot_read);
         if asked && owners.reader(now) != peer {
             self.looked = Time::ZERO;
         }
--- a/lib/src/serving/returned.rs
+++ b/lib/src/serving/releases.rs
@@ -27,25 +27,31 @@
 const REMEMBERED: Duration = Duration::from_secs(5);
 
 /// Results of one service and the endpoints that hold them.
-pub type Results = Vec<(EndpointId, String)>;
+pub type HeldResults = Vec<(EndpointId, String)>;
 
 #[derive(Debug, Clone)]
 struct Told {
     at: Time,
     owner: SocketAddr,
     service: PoolName,
-    results: Results,
+    results: HeldResults,
 }
 
 /// What this node gave back lately.
 #[derive(Debug, Clone, Default)]
-pub struct Returned {
+pub struct RecentReleases {
     told: VecDeque<Told>,
 }
 
-impl Returned {
+impl RecentReleases {
     /// Notes that an owner was told that results are not needed any more.
-    pub fn note(&mut self, now: Time, owner: SocketAddr, service: &PoolName, results: &Results) {
+    pub fn record(
+        &mut self,
+        now: Time,
+        owner: SocketAddr,
+        service: &PoolName,
+        results: &HeldResults,
+    ) {
         let old = |t: &Told| now.since(t.at) > REMEMBERED;
         while self.told.front().is_some_and(old) {
             self.told.pop_front();
@@ -64,9 +70,9 @@
         now: Time,
         owner: SocketAddr,
         heard: Time,
-    ) -> BTreeMap<PoolName, Results> {
+    ) -> BTreeMap<PoolName, HeldResults> {
         let since = heard - UNSURE;
-        let mut missed: BTreeMap<PoolName, Results> = BTreeMap::new();
+        let mut missed: BTreeMap<PoolName, HeldResults> = BTreeMap::new();
         let held = std::mem::take(&mut self.told);
         for told in held {
             if now.since(told.at) > REMEMBERED {
--- a/lib/src/serving/replica.rs
+++ b/lib/src/serving/replica.rs
@@ -69,7 +69,7 @@
 
     /// Returns the bytes of all values.
     #[must_use]
-    pub fn size(&self) -> usize {
+    pub fn value_bytes(&self) -> usize {
         let values = self
             .records
             .values()
@@ -109,7 +109,7 @@
             }
         }
         self.next = self.next.max(next);
-        self.forget_dropped();
+        self.forget_dropped_keys();
         news
     }
 
@@ -150,7 +150,7 @@
 
     /// Returns the oldest change that someone who is complete up to `from` lacks.
     #[must_use]
-    pub fn first_from(&self, from: Offset) -> Option<&Record> {
+    pub fn first_change_from(&self, from: Offset) -> Option<&Record> {
         let newer = self.records.values().filter(|h| h.changed >= from);
         newer.min_by_key(|h| h.changed).map(|h| &h.record)
     }
@@ -160,7 +160,7 @@
     ///
     /// `None` if keys that were dropped since then are forgotten.
     #[must_use]
-    pub fn since(&self, from: Offset) -> Option<Vec<Record>> {
+    pub fn changes_since(&self, from: Offset) -> Option<Vec<Record>> {
         if from.0 > 0 && from < self.forgotten {
             return None;
         }
@@ -175,7 +175,7 @@
         held.is_none_or(|h| h.record.offset < record.offset)
     }
 
-    fn forget_dropped(&mut self) {
+    fn forget_dropped_keys(&mut self) {
         let dropped = |h: &&Held| h.record.value.is_none();
         let mut all: Vec<Offset> = self
             .records
--- a/lib/src/serving/slices.rs
+++ b/lib/src/serving/slices.rs
@@ -15,17 +15,17 @@
 ///
 /// A slice takes 52 ms over a link of 10 Mbit/s, which is how long a short frame
 /// behind it waits at most.
-pub const SLICE_MAX: usize = 64 << 10;
+pub const SLICE_MAX_BYTES: usize = 64 << 10;
 
 /// The largest record that is put together, in bytes.
 ///
 /// Ten times a configuration of 4,200 routes. Without a bound a faulty sender
 /// could take the reader's memory.
-pub const RECORD_MAX: u64 = 8 << 20;
+pub const RECORD_MAX_BYTES: u64 = 8 << 20;
 
 /// What a reader asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct SliceRequest {
     /// The offset up to which the reader is complete.
     pub from: Offset,
     /// The offset of the record that it has begun.
@@ -55,8 +55,8 @@
     /// It belongs to the oldest record that the reader lacks: records that come
     /// in the order of their offsets leave no gap, wherever the reader stops.
     #[must_use]
-    pub fn slice(&self, ask: Ask) -> Option<Slice> {
-        let first = self.first_from(ask.from)?;
+    pub fn slice(&self, ask: SliceRequest) -> Option<Slice> {
+        let first = self.first_change_from(ask.from)?;
         let value = first.value.as_deref();
         let begun = if first.offset == ask.offset {
             ask.at
@@ -70,7 +70,7 @@
             offset: first.offset,
             at: begun,
             total: value.map(|v| v.len() as u64),
-            data: rest[..rest.len().min(SLICE_MAX)].to_vec(),
+            data: rest[..rest.len().min(SLICE_MAX_BYTES)].to_vec(),
         })
     }
 }
@@ -85,8 +85,8 @@
 impl Assembly {
     /// Returns what a reader that is complete up to `from` asks for next.
     #[must_use]
-    pub const fn ask(&self, from: Offset) -> Ask {
-        Ask {
+    pub const fn next_request(&self, from: Offset) -> SliceRequest {
+        SliceRequest {
             from,
             offset: self.offset,
             at: self.data.len() as u64,
@@ -97,8 +97,8 @@
     ///
     /// Slices of the same offset hold parts of the same bytes, whoever sent
     /// them. One that doesn't fit is dropped; the next ask says what is missing.
-    pub fn take(&mut self, slice: Slice) -> Option<Record> {
-        if slice.total.is_some_and(|total| total > RECORD_MAX) {
+    pub fn add(&mut self, slice: Slice) -> Option<Record> {
+        if slice.total.is_some_and(|total| total > RECORD_MAX_BYTES) {
             return None;
         }
         if slice.offset != self.offset && slice.at == 0 {
--- a/lib/tests/pipeline_world.rs
+++ b/lib/tests/pipeline_world.rs
@@ -366,7 +366,7 @@
         id: format!("{}-{number}", service.name)
             .parse()
             .expect("a name"),
-        born: None,
+        started_at: None,
         service: service.name.parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: "a".parse().expect("a name"),
--- a/lib/tests/test_bookings.rs
+++ b/lib/tests/test_bookings.rs
@@ -9,12 +9,12 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::bookings::BookingId;
 use snipeyoke_lib::serving::bookings::Bookings;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::bookings::Shard;
-use snipeyoke_lib::serving::bookings::Wish;
 use snipeyoke_lib::serving::directory::Directory;
+use snipeyoke_lib::serving::directory::EndpointCriteria;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::directory::Load;
-use snipeyoke_lib::serving::directory::Wanted;
+use snipeyoke_lib::serving::directory::LoadReport;
 use snipeyoke_lib::time::Time;
 
 /// The tokens that an engine reads in a millisecond.
@@ -39,7 +39,7 @@
 fn entry(n: usize, domain: &str) -> Entry {
     Entry {
         id: id(n),
-        born: None,
+        started_at: None,
         service: service(),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: domain.parse().expect("a name"),
@@ -61,12 +61,12 @@
     BookingId { link: 0, number }
 }
 
-fn wish(prefix: u64, tokens: u32) -> Wish {
-    Wish {
+fn wish(prefix: u64, tokens: u32) -> PlacementRequest {
+    PlacementRequest {
         prefix: Some(prefix),
-        shared: SHARED,
-        own: tokens,
-        ..Wish::default()
+        shared_tokens: SHARED,
+        own_tokens: tokens,
+        ..PlacementRequest::default()
     }
 }
 
@@ -168,7 +168,7 @@
         |_, prompt| {
             let mut nodes = nodes.borrow_mut();
             let service = service();
-            let wanted = Wanted {
+            let wanted = EndpointCriteria {
                 service: &service,
                 avoid: &[],
                 domain: None,
@@ -177,18 +177,18 @@
             };
             let node = &mut nodes[prompt.node];
             let choice = node.choose(ms(prompt.at), wanted).expect("there are some");
-            node.began(&choice.entry.id);
+            node.call_started(&choice.entry.id);
             choice.entry.id.as_str()[1..].parse().expect("a number")
         },
         |_, prompt, endpoint| {
             let mut nodes = nodes.borrow_mut();
             let node = &mut nodes[prompt.node];
-            node.ended(&id(endpoint));
-            let load = Load {
+            node.call_ended(&id(endpoint));
+            let load = LoadReport {
                 calls: 1,
                 slots: 64,
             };
-            node.reported(ms(prompt.at), &id(endpoint), load);
+            node.apply_load(ms(prompt.at), &id(endpoint), load);
         },
     )
 }
@@ -240,7 +240,7 @@
     let directory = directory(8);
     let mut bookings = Bookings::default();
     let service = service();
-    let mut place = |now: u64, number, wish: &Wish| {
+    let mut place = |now: u64, number, wish: &PlacementRequest| {
         let now = Time::from_millis(now);
         let place = bookings.place(now, &directory, (&service, ALL), own(number), wish);
         place.expect("there are some")
@@ -259,11 +259,11 @@
     let directory = directory(8);
     let mut bookings = Bookings::default();
     let service = service();
-    let near = Wish {
-        domain: Some("b".parse().expect("a name")),
-        afar: 3_000,
-        own: 500,
-        ..Wish::default()
+    let near = PlacementRequest {
+        input_domain: Some("b".parse().expect("a name")),
+        remote_cost: 3_000,
+        own_tokens: 500,
+        ..PlacementRequest::default()
     };
     let mut domains = Vec::new();
     for number in 0..40 {
@@ -296,7 +296,7 @@
     assert_eq!(bookings.len(), 50);
     bookings.end_link(2);
     assert!(bookings.is_empty());
-    assert!((0..4).all(|n| bookings.pending(&id(n)) == 0));
+    assert!((0..4).all(|n| bookings.pending_tokens(&id(n)) == 0));
 }
 
 #[test]
@@ -310,7 +310,7 @@
     let later = now + Duration::from_mins(1);
     bookings.place(later, &directory, (&service, ALL), own(2), &wish(1, 100));
     assert_eq!(bookings.len(), 1);
-    assert_eq!(bookings.pending(&id(0)), 100);
+    assert_eq!(bookings.pending_tokens(&id(0)), 100);
 }
 
 #[test]
@@ -320,7 +320,7 @@
     let service = service();
     let now = Time::from_millis(1_000);
     let mut wish = wish(1, 900);
-    let mut place = |wish: &Wish, number| {
+    let mut place = |wish: &PlacementRequest, number| {
         let place = bookings.place(now, &directory, (&service, ALL), own(number), wish);
         place.expect("there are some")
     };
--- a/lib/tests/test_catch_up.rs
+++ b/lib/tests/test_catch_up.rs
@@ -5,10 +5,10 @@
 
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::serving::catch_up::CatchUp;
-use snipeyoke_lib::serving::catch_up::GRACE;
-use snipeyoke_lib::serving::catch_up::PATIENCE;
-use snipeyoke_lib::serving::catch_up::STALL;
-use snipeyoke_lib::serving::slices::SLICE_MAX;
+use snipeyoke_lib::serving::catch_up::REGISTRY_GRACE;
+use snipeyoke_lib::serving::catch_up::REGISTRY_PATIENCE;
+use snipeyoke_lib::serving::catch_up::STALL_TIMEOUT;
+use snipeyoke_lib::serving::slices::SLICE_MAX_BYTES;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
 
@@ -48,7 +48,7 @@
 impl Lagging {
     fn new() -> Self {
         let mut catch_up = CatchUp::new(node(99));
-        catch_up.has(Offset(6));
+        catch_up.advance_to(Offset(6));
         Self {
             now: Time::from_millis(10_000),
             catch_up,
@@ -63,19 +63,20 @@
         let since = self.now.as_micros() / 1_000;
         if since.is_multiple_of(LOOK.as_millis() as u64) {
             let looked = node(1 + (since / 250 % u64::from(NODES)) as u16);
-            self.catch_up.told(self.now, looked, Offset(7), LARGE);
+            self.catch_up
+                .on_peer_offset(self.now, looked, Offset(7), LARGE);
         }
-        if let Some(node) = self.catch_up.choose(self.now, live()) {
+        if let Some(node) = self.catch_up.choose_source(self.now, live()) {
             self.asked.push(node);
-            self.coming = SLICE_MAX;
+            self.coming = SLICE_MAX_BYTES;
         }
         let from = self.asked.last().copied();
         if let Some(from) = from.filter(|&node| self.coming > 0 && !dead(node)) {
             let more = (LINK / 1e3) as usize;
             self.come += more.min(self.coming);
             self.coming = self.coming.saturating_sub(more);
-            if self.coming == 0 && self.come < SIZE && self.catch_up.moved(self.now, from) {
-                self.coming = SLICE_MAX;
+            if self.coming == 0 && self.come < SIZE && self.catch_up.on_slice(self.now, from) {
+                self.coming = SLICE_MAX_BYTES;
             }
         }
         self.now = self.now + Duration::from_millis(1);
@@ -94,8 +95,8 @@
     assert_eq!(lagging.asked.len(), 1, "one neighbour is asked");
     let took = lagging.now.since(began);
     let copy = Duration::from_secs_f64(SIZE as f64 / LINK);
-    assert!(took < PATIENCE + copy + 2 * LOOK, "took {took:?}");
-    lagging.catch_up.has(Offset(7));
+    assert!(took < REGISTRY_PATIENCE + copy + 2 * LOOK, "took {took:?}");
+    lagging.catch_up.advance_to(Offset(7));
     assert_eq!(lagging.catch_up.wake(), Time::NEVER);
 }
 
@@ -106,7 +107,7 @@
     let mut lagging = Lagging::new();
     for tick in 0..3_000 {
         if tick % 500 == 0 {
-            lagging.catch_up.came(lagging.now);
+            lagging.catch_up.on_registry_data(lagging.now);
         }
         lagging.step(|_| false);
     }
@@ -116,7 +117,7 @@
 #[test]
 fn a_stalled_copy_goes_on_elsewhere() {
     // The first two neighbours asked have died, which nobody knows yet. The copy
-    // comes from the third one, and no two are asked within the same STALL.
+    // comes from the third one, and no two are asked within the same stall time-out.
     let mut lagging = Lagging::new();
     let mut dead = Vec::new();
     let began = lagging.now;
@@ -129,18 +130,21 @@
     }
     assert_eq!(lagging.asked.len(), 3);
     let copy = Duration::from_secs_f64(SIZE as f64 / LINK);
-    assert!(lagging.now.since(began) < PATIENCE + 2 * STALL + copy + 2 * LOOK);
+    assert!(lagging.now.since(began) < REGISTRY_PATIENCE + 2 * STALL_TIMEOUT + copy + 2 * LOOK);
 }
 
 #[test]
 fn without_the_registry_a_neighbour_is_asked_at_once() {
     // The registry turns this node away. There is nothing to wait for.
     let mut lagging = Lagging::new();
-    lagging.catch_up.registry_fails(true);
+    lagging.catch_up.set_registry_failed(true);
     lagging
         .catch_up
-        .told(lagging.now, node(3), Offset(7), LARGE);
-    assert_eq!(lagging.catch_up.choose(lagging.now, live()), Some(node(3)));
+        .on_peer_offset(lagging.now, node(3), Offset(7), LARGE);
+    assert_eq!(
+        lagging.catch_up.choose_source(lagging.now, live()),
+        Some(node(3))
+    );
 }
 
 #[test]
@@ -150,11 +154,11 @@
     let mut asked = std::collections::BTreeSet::new();
     for own in 100..114 {
         let mut catch_up = CatchUp::new(node(own));
-        catch_up.registry_fails(true);
+        catch_up.set_registry_failed(true);
         for holder in 1..=NODES {
-            catch_up.told(Time::ZERO, node(holder), Offset(7), LARGE);
+            catch_up.on_peer_offset(Time::ZERO, node(holder), Offset(7), LARGE);
         }
-        asked.extend(catch_up.choose(Time::ZERO, live()));
+        asked.extend(catch_up.choose_source(Time::ZERO, live()));
     }
     assert!(asked.iter().all(|a| a.port() <= 8), "{asked:?}");
     assert!(asked.len() >= 4, "{asked:?}");
@@ -165,12 +169,12 @@
     // The only neighbour that had more has died. A decision that stays due would
     // keep the node busy for nothing.
     let mut catch_up = CatchUp::new(node(99));
-    catch_up.registry_fails(true);
-    assert!(catch_up.told(Time::ZERO, node(50), Offset(7), LARGE));
-    assert_eq!(catch_up.choose(Time::ZERO, live()), None);
+    catch_up.set_registry_failed(true);
+    assert!(catch_up.on_peer_offset(Time::ZERO, node(50), Offset(7), LARGE));
+    assert_eq!(catch_up.choose_source(Time::ZERO, live()), None);
     assert_eq!(catch_up.wake(), Time::NEVER);
-    assert!(catch_up.told(Time::ZERO, node(3), Offset(7), LARGE));
-    assert_eq!(catch_up.choose(Time::ZERO, live()), Some(node(3)));
+    assert!(catch_up.on_peer_offset(Time::ZERO, node(3), Offset(7), LARGE));
+    assert_eq!(catch_up.choose_source(Time::ZERO, live()), Some(node(3)));
 }
 
 #[test]
@@ -179,18 +183,21 @@
     // node waits for it, then reads once; what comes then is not asked again.
     let mut catch_up = CatchUp::new(node(99));
     let told = Time::from_millis(1_000);
-    catch_up.told(told, node(3), Offset(7), LARGE);
-    catch_up.told(told + LOOK, node(4), Offset(7), LARGE);
-    assert_eq!(catch_up.read_at(), told + GRACE);
-    catch_up.reads();
+    catch_up.on_peer_offset(told, node(3), Offset(7), LARGE);
+    catch_up.on_peer_offset(told + LOOK, node(4), Offset(7), LARGE);
+    assert_eq!(catch_up.read_at(), told + REGISTRY_GRACE);
+    catch_up.on_registry_read();
     assert_eq!(catch_up.read_at(), Time::NEVER);
-    catch_up.came(told + GRACE);
-    assert_eq!(catch_up.coming_until(), told + GRACE + STALL);
-    catch_up.ended();
-    assert_eq!(catch_up.coming_until(), Time::ZERO);
-    catch_up.has(Offset(7));
-    catch_up.told(told + STALL, node(3), Offset(8), LARGE);
-    assert_eq!(catch_up.read_at(), told + STALL + GRACE);
+    catch_up.on_registry_data(told + REGISTRY_GRACE);
+    assert_eq!(
+        catch_up.registry_active_until(),
+        told + REGISTRY_GRACE + STALL_TIMEOUT
+    );
+    catch_up.on_registry_end();
+    assert_eq!(catch_up.registry_active_until(), Time::ZERO);
+    catch_up.advance_to(Offset(7));
+    catch_up.on_peer_offset(told + STALL_TIMEOUT, node(3), Offset(8), LARGE);
+    assert_eq!(catch_up.read_at(), told + STALL_TIMEOUT + REGISTRY_GRACE);
 }
 
 #[test]
@@ -198,11 +205,14 @@
     // One node reads the registry for all and tells of a change. Were each to
     // read it for itself, hundreds would at the same moment.
     let mut catch_up = CatchUp::new(node(99));
-    catch_up.has(Offset(6));
+    catch_up.advance_to(Offset(6));
     let told = Time::from_millis(10_000);
-    catch_up.told(told, node(3), Offset(7), 8_000);
-    assert_eq!(catch_up.choose(told, live()), Some(node(3)));
-    assert!(catch_up.read_at() >= told + PATIENCE, "the registry waits");
+    catch_up.on_peer_offset(told, node(3), Offset(7), 8_000);
+    assert_eq!(catch_up.choose_source(told, live()), Some(node(3)));
+    assert!(
+        catch_up.read_at() >= told + REGISTRY_PATIENCE,
+        "the registry waits"
+    );
     assert!(
         catch_up.read_at() < Time::NEVER,
         "the neighbour may be lost"
--- a/lib/tests/test_crashes_random.rs
+++ b/lib/tests/test_crashes_random.rs
@@ -11,11 +11,11 @@
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::TestRng;
 use proptest::test_runner::TestRunner;
-use snipeyoke_lib::serving::crashes::Crashes;
+use snipeyoke_lib::serving::crashes::CrashTracker;
 use snipeyoke_lib::serving::crashes::Fingerprint;
-use snipeyoke_lib::serving::crashes::Learned;
 use snipeyoke_lib::serving::crashes::Verdict;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::crashes::VerdictOutcome;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_lib::serving::owners::Owners;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 struct Node {
     owners: Owners,
-    crashes: Crashes,
+    crashes: CrashTracker,
     up: bool,
     since: Time,
     /// What it told each other node, by the life of that node.
@@ -97,11 +97,11 @@
         let node = |n| {
             let mut owners = Owners::new(address(n), MilliCores(500));
             for other in 0..nodes {
-                owners.learn(now, address(other));
+                owners.discover(now, address(other));
             }
             Node {
                 owners,
-                crashes: Crashes::default(),
+                crashes: CrashTracker::default(),
                 up: true,
                 since: Time::ZERO,
                 told: BTreeMap::new(),
@@ -137,11 +137,11 @@
     fn ask(&mut self, node: usize, request: Fingerprint, millis: u64) {
         let now = self.now;
         let held = &mut self.nodes[node];
-        let refused = held.crashes.quarantined(now, request).is_some();
-        let counters = held.owners.counters(now, request);
+        let refused = held.crashes.quarantine_remaining(now, request).is_some();
+        let counters = held.owners.crash_counters(now, request);
         let tries = refused
             && counters.first() == Some(&address(node))
-            && held.crashes.may_try(now, request);
+            && held.crashes.try_start_trial(now, request);
         if !held.up || refused && !tries {
             return;
         }
@@ -156,7 +156,7 @@
         self.endpoints += 1;
         let run = Incarnation {
             endpoint: format!("i-{}", self.endpoints).parse().expect("a name"),
-            born: None,
+            started_at: None,
         };
         self.later(millis, node, Event::Ends(request, run));
     }
@@ -165,7 +165,7 @@
         match event {
             Event::Down => {
                 self.nodes[node].up = false;
-                self.nodes[node].crashes = Crashes::default();
+                self.nodes[node].crashes = CrashTracker::default();
                 self.nodes[node].sent.clear();
             }
             Event::Up => {
@@ -192,14 +192,14 @@
             Event::Answered(request) => {
                 let now = self.now;
                 self.answers.push((now, node));
-                if let Some(lifted) = self.nodes[node].crashes.answered(now, request) {
+                if let Some(lifted) = self.nodes[node].crashes.on_answered(now, request) {
                     self.tell_all(node, lifted);
                 }
             }
             Event::Told(verdict) => {
                 let now = self.now;
-                let learned = self.nodes[node].crashes.learn(now, verdict);
-                if let Learned::Objected(lifted) = learned {
+                let learned = self.nodes[node].crashes.apply_verdict(now, verdict);
+                if let VerdictOutcome::Overruled(lifted) = learned {
                     assert_eq!(verdict.request, HARMLESS, "no other is answered");
                     self.tell_all(node, lifted);
                 }
@@ -208,7 +208,7 @@
     }
 
     fn report(&mut self, node: usize, at: Time, request: Fingerprint, run: &Incarnation) {
-        let counters = self.nodes[node].owners.counters(self.now, request);
+        let counters = self.nodes[node].owners.crash_counters(self.now, request);
         for counter in counters {
             let to = usize::from(counter.port()) - 1_000;
             let way = 1 + self.draw() % 40;
@@ -221,7 +221,7 @@
     fn count_end(&mut self, node: usize, at: Time, request: Fingerprint, run: &Incarnation) {
         let now = self.now;
         let crashes = &mut self.nodes[node].crashes;
-        let Some(verdict) = crashes.told_end(now, at, request, run) else {
+        let Some(verdict) = crashes.on_reported_end(now, at, request, run) else {
             return;
         };
         assert!(self.ends[&request].len() >= 3, "{request} has too few ends");
@@ -249,7 +249,9 @@
         }
         let now = self.now;
         if !self.nodes[other].up {
-            self.nodes[node].owners.silent(now + SILENT, address(other));
+            self.nodes[node]
+                .owners
+                .mark_silent(now + SILENT, address(other));
             let recent = self.nodes[node].sent.clone();
             for (at, request, run) in recent {
                 if now.since(at) < Duration::from_secs(5) {
@@ -258,11 +260,11 @@
             }
             return;
         }
-        self.nodes[node].owners.heard(now, address(other));
+        self.nodes[node].owners.mark_heard(now, address(other));
         let since = self.nodes[node].since;
         let told = self.nodes[other].told.get(&(node, since)).copied();
         let crashes = &self.nodes[other].crashes;
-        let (verdicts, last) = crashes.news_since(now, told.unwrap_or_default(), 64);
+        let (verdicts, last) = crashes.changes_since(now, told.unwrap_or_default(), 64);
         self.nodes[other].told.insert((node, since), last);
         for verdict in verdicts {
             let way = 1 + self.draw() % 40;
@@ -345,10 +347,10 @@
                 let (quarantined, suspects) = node.crashes.counts(now);
                 assert!(quarantined <= 2 && suspects <= 2_048);
                 if world.is_cleared() && now.since(node.since) > CONTACT {
-                    assert_eq!(node.crashes.quarantined(now, HARMLESS), None);
+                    assert_eq!(node.crashes.quarantine_remaining(now, HARMLESS), None);
                 }
                 if world.third.is_some() && now.since(node.since) > CONTACT {
-                    assert!(node.crashes.quarantined(now, DEADLY).is_some());
+                    assert!(node.crashes.quarantine_remaining(now, DEADLY).is_some());
                 }
             }
             Ok(())
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -2,8 +2,8 @@
 
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::serving::directory::Directory;
+use snipeyoke_lib::serving::directory::EndpointCriteria;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::directory::Wanted;
 use snipeyoke_lib::time::Time;
 
 const NOW: Time = Time::from_millis(1_000);
@@ -11,7 +11,7 @@
 fn entry(name: &str, domain: &str) -> Entry {
     Entry {
         id: name.parse().expect("a name"),
-        born: Some(1),
+        started_at: Some(1),
         service: "llm".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: domain.parse().expect("a name"),
@@ -31,7 +31,7 @@
 fn choose(directory: &Directory, prefix: Option<u64>) -> EndpointId {
     let service = "llm".parse().expect("a name");
     let domain = "d1".parse().expect("a name");
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
         service: &service,
         avoid: &[],
         domain: Some(&domain),
@@ -51,7 +51,7 @@
     let mut directory = directory();
     let home = choose(&directory, Some(7));
     for _ in 0..3 {
-        directory.began(&home);
+        directory.call_started(&home);
         assert_eq!(choose(&directory, Some(7)), home);
     }
 }
@@ -64,7 +64,7 @@
     let mut used = Vec::new();
     for _ in 0..16 {
         let id = choose(&directory, Some(7));
-        directory.began(&id);
+        directory.call_started(&id);
         if !used.contains(&id) {
             used.push(id);
         }
@@ -81,7 +81,7 @@
         Some("d1")
     );
     for _ in 0..2 {
-        directory.began(&first);
+        directory.call_started(&first);
     }
     assert_ne!(choose(&directory, None), first);
 }
@@ -92,13 +92,13 @@
     // its failures of before count.
     let mut directory = directory();
     let id: EndpointId = "m0".parse().expect("a name");
-    directory.began(&id);
+    directory.call_started(&id);
     if let Some(health) = directory.health_mut(&id) {
         health.broke(NOW);
     }
     let mut again = entry("m0", "d0");
     assert!(!directory.set(again.clone()), "the same life");
-    again.born = Some(2);
+    again.started_at = Some(2);
     assert!(directory.set(again));
     let endpoint = directory.get(&id).expect("it is there");
     assert!(!endpoint.health().is_paused(NOW));
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -8,10 +8,10 @@
 use rand_pcg::Pcg64Mcg;
 use snipeyoke_lib::log::Backoff;
 use snipeyoke_lib::serving::owners::Owners;
-use snipeyoke_lib::serving::upkeep::KEPT;
-use snipeyoke_lib::serving::upkeep::Kept;
-use snipeyoke_lib::serving::upkeep::Told;
-use snipeyoke_lib::serving::upkeep::Upkeep;
+use snipeyoke_lib::serving::registry_polling::REPLICA_KINDS;
+use snipeyoke_lib::serving::registry_polling::RegistryPolling;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
+use snipeyoke_lib::serving::registry_polling::ReplicaStatus;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
 
@@ -71,10 +71,10 @@
 struct Node {
     address: SocketAddr,
     owners: Owners,
-    upkeep: Upkeep,
-    reads: BTreeMap<Kept, Read>,
+    upkeep: RegistryPolling,
+    reads: BTreeMap<ReplicaKind, Read>,
     /// When the next read may go out after one that failed.
-    pauses: BTreeMap<Kept, Time>,
+    pauses: BTreeMap<ReplicaKind, Time>,
     backoff: Backoff,
     looks: Vec<Look>,
     /// When something was last wrong with it, if ever.
@@ -99,10 +99,10 @@
     ([10, 0, 0, 1], n).into()
 }
 
-const fn bound(kept: Kept) -> Duration {
+const fn bound(kept: ReplicaKind) -> Duration {
     match kept {
-        Kept::Config => BOUND,
-        Kept::Endpoints => NOTICE,
+        ReplicaKind::Config => BOUND,
+        ReplicaKind::Endpoints => NOTICE,
     }
 }
 
@@ -112,10 +112,10 @@
         let begin = |n: u16| {
             let mut owners = Owners::new(node(n), MilliCores(190));
             for peer in (1..=count).filter(|&peer| peer != n) {
-                owners.heard(Time::ZERO, node(peer));
+                owners.mark_heard(Time::ZERO, node(peer));
             }
-            let mut upkeep = Upkeep::new(BOUND, Duration::from_secs(2));
-            for kept in KEPT {
+            let mut upkeep = RegistryPolling::new(BOUND, Duration::from_secs(2));
+            for kept in REPLICA_KINDS {
                 upkeep.confirm(kept, start);
             }
             Node {
@@ -168,7 +168,7 @@
         if wrong == Some(Wrong::Frozen) {
             return;
         }
-        for kept in KEPT {
+        for kept in REPLICA_KINDS {
             self.read(index, kept, wrong);
         }
         self.look(index);
@@ -177,19 +177,19 @@
         if node.ill.is_some_and(settles) {
             return;
         }
-        for kept in KEPT {
-            let age = node.upkeep.of(kept).age(now).expect("it began so");
+        for kept in REPLICA_KINDS {
+            let age = node.upkeep.freshness(kept).age(now).expect("it began so");
             let part = age.as_secs_f64() / bound(kept).as_secs_f64();
             self.oldest = self.oldest.max(part);
         }
     }
 
-    fn read(&mut self, index: usize, kept: Kept, wrong: Option<Wrong>) {
+    fn read(&mut self, index: usize, kept: ReplicaKind, wrong: Option<Wrong>) {
         let now = self.now;
         let node = &mut self.nodes[index];
         if let Some(read) = node.reads.get(&kept).copied().filter(|r| r.over <= now) {
             node.reads.remove(&kept);
-            node.upkeep.read(now, read.works);
+            node.upkeep.on_read(now, read.works);
             if read.works {
                 node.upkeep.confirm(kept, read.sent);
                 node.backoff.succeeded();
@@ -197,7 +197,7 @@
                 node.pauses.insert(kept, now + node.backoff.failed());
             }
         }
-        let first = node.upkeep.is_first(now, &mut node.owners);
+        let first = node.upkeep.is_reader(now, &mut node.owners);
         let paused = node.pauses.get(&kept).is_some_and(|&until| until > now);
         if paused || node.reads.contains_key(&kept) || node.upkeep.read_at(kept, first) > now {
             return;
@@ -220,12 +220,12 @@
             self.looked(index, look);
         }
         let node = &mut self.nodes[index];
-        let Some(at) = node.upkeep.look(now, &mut node.owners) else {
+        let Some(at) = node.upkeep.poll_target(now, &mut node.owners) else {
             return;
         };
         self.looks += 1;
         let asked = self.nodes.iter_mut().find(|n| n.address == at);
-        asked.expect("it is one of them").upkeep.looked_at(now);
+        asked.expect("it is one of them").upkeep.on_polled(now);
         let over = now + ANSWER;
         let sent = now;
         self.nodes[index].looks.push(Look { at, sent, over });
@@ -239,8 +239,8 @@
         if !hears || apart.contains(&true) {
             let node = &mut self.nodes[index];
             if now.since(look.sent) > SILENCE {
-                node.owners.silent(now, look.at);
-                node.upkeep.lost(look.at);
+                node.owners.mark_silent(now, look.at);
+                node.upkeep.on_peer_lost(look.at);
             } else {
                 let over = now + self.step;
                 node.looks.push(Look { over, ..look });
@@ -250,20 +250,20 @@
         let seen = self.nodes.iter().find(|n| n.address == look.at);
         let seen = seen.expect("it is one of them");
         // As of when the other node answered, which is later than it was asked.
-        let told = Told {
-            unread: seen.upkeep.is_unread(now),
-            config: seen.upkeep.of(Kept::Config).age(now),
-            endpoints: seen.upkeep.of(Kept::Endpoints).age(now),
+        let told = ReplicaStatus {
+            cannot_read: seen.upkeep.cannot_read(now),
+            config_age: seen.upkeep.freshness(ReplicaKind::Config).age(now),
+            endpoints_age: seen.upkeep.freshness(ReplicaKind::Endpoints).age(now),
         };
         let node = &mut self.nodes[index];
-        node.owners.heard(now, look.at);
+        node.owners.mark_heard(now, look.at);
         let from = (look.at, look.sent);
-        node.upkeep.take(now, &mut node.owners, from, told);
+        node.upkeep.apply_status(now, &mut node.owners, from, told);
     }
 
     fn is_lost(&self, node: &Node) -> bool {
-        let lost = |&kept: &Kept| node.upkeep.of(kept).is_lost(self.now);
-        KEPT.iter().any(lost)
+        let lost = |&kept: &ReplicaKind| node.upkeep.freshness(kept).is_expired(self.now);
+        REPLICA_KINDS.iter().any(lost)
     }
 }
 
@@ -272,14 +272,14 @@
     // An endpoint says that it leaves. One read of the registry fails; the next
     // one must still come before the endpoint may get nothing new.
     for notice in [2_000_u64, 3_000, 4_000].map(Duration::from_millis) {
-        let mut upkeep = Upkeep::new(BOUND, notice);
+        let mut upkeep = RegistryPolling::new(BOUND, notice);
         let read = Time::from_millis(1_000);
-        upkeep.confirm(Kept::Endpoints, read);
-        let pause = upkeep.read_at(Kept::Endpoints, true).since(read);
+        upkeep.confirm(ReplicaKind::Endpoints, read);
+        let pause = upkeep.read_at(ReplicaKind::Endpoints, true).since(read);
         assert!(2 * pause < notice);
         // A silent one, and the look by which the others learn of the second.
         let failed = pause + CALL + Duration::from_millis(100);
-        assert!(failed + upkeep.look_pause() < notice, "{notice:?}");
+        assert!(failed + upkeep.poll_interval() < notice, "{notice:?}");
         // Each has its price: no more than four, beside the time for a call.
         assert!(4 * pause + Duration::from_millis(400) >= notice);
     }
@@ -290,24 +290,24 @@
     // Hundreds of nodes start together, and thousands of endpoints are on their
     // way from the registry to each. Asked of each other as well, the lists fill
     // the links of whoever has one first, and nobody is served for half a minute.
-    let mut upkeep = Upkeep::new(BOUND, BOUND);
+    let mut upkeep = RegistryPolling::new(BOUND, BOUND);
     let now = Time::from_millis(1_000);
-    assert!(upkeep.is_stale(now, Kept::Endpoints));
-    assert!(!upkeep.is_cut_off(now, Kept::Endpoints));
-    upkeep.read(now, false);
-    assert!(upkeep.is_cut_off(now, Kept::Endpoints));
-    upkeep.read(now, true);
-    upkeep.confirm(Kept::Endpoints, now);
-    assert!(!upkeep.is_cut_off(now, Kept::Endpoints));
+    assert!(upkeep.is_stale(now, ReplicaKind::Endpoints));
+    assert!(!upkeep.is_registry_unreachable(now, ReplicaKind::Endpoints));
+    upkeep.on_read(now, false);
+    assert!(upkeep.is_registry_unreachable(now, ReplicaKind::Endpoints));
+    upkeep.on_read(now, true);
+    upkeep.confirm(ReplicaKind::Endpoints, now);
+    assert!(!upkeep.is_registry_unreachable(now, ReplicaKind::Endpoints));
 }
 
 #[test]
 fn copies_that_stay_different_are_not_read_with_each_look() {
     // Two nodes disagree on an endpoint whatever they read. Each look would make
     // both list thousands of endpoints again.
-    let mut upkeep = Upkeep::new(BOUND, BOUND);
+    let mut upkeep = RegistryPolling::new(BOUND, BOUND);
     let look = Duration::from_millis(400);
-    let lists = (0..150).filter(|&n| upkeep.differs(Time::from_millis(1_000) + look * n));
+    let lists = (0..150).filter(|&n| upkeep.on_mismatch(Time::from_millis(1_000) + look * n));
     assert_eq!(lists.count(), 4, "in a minute");
 }
 
@@ -403,7 +403,7 @@
     let back = world.now;
     world.run(BOUND);
     for node in &world.nodes {
-        let age = node.upkeep.of(Kept::Config).age(world.now);
+        let age = node.upkeep.freshness(ReplicaKind::Config).age(world.now);
         assert!(
             age.expect("it began so") < world.now.since(back),
             "{} knows nothing since",
--- a/lib/tests/test_owners.rs
+++ b/lib/tests/test_owners.rs
@@ -19,7 +19,7 @@
 fn owners(own: u16, nodes: u16) -> Owners {
     let mut owners = Owners::new(node(own), MilliCores(190));
     for n in 1..=nodes {
-        owners.learn(Time::ZERO, node(n));
+        owners.discover(Time::ZERO, node(n));
     }
     owners
 }
@@ -50,11 +50,11 @@
         .map(service)
         .find(|s| owners.owner(Time::ZERO, s) == node(4));
     let other = other.expect("six nodes share twenty services");
-    owners.silent(Time::from_millis(10), node(3));
+    owners.mark_silent(Time::from_millis(10), node(3));
     let next = owners.owner(Time::from_millis(11), &first);
     assert_ne!(next, node(3));
     assert_eq!(owners.owner(Time::from_millis(11), &other), node(4));
-    owners.heard(Time::from_millis(900), node(3));
+    owners.mark_heard(Time::from_millis(900), node(3));
     assert_eq!(owners.owner(Time::from_millis(901), &first), node(3));
 }
 
@@ -82,13 +82,13 @@
     for owners in &mut all {
         owners.leave();
         for n in 1..=6 {
-            owners.leaves(node(n), true);
+            owners.set_peer_leaving(node(n), true);
         }
     }
     for request in 0..20 {
         let named = all
             .iter()
-            .map(|o| o.counters(Time::ZERO, Fingerprint(request)));
+            .map(|o| o.crash_counters(Time::ZERO, Fingerprint(request)));
         let named: Vec<Vec<SocketAddr>> = named.collect();
         assert_eq!(named[0].len(), 2);
         assert!(named.iter().all(|n| *n == named[0]), "{named:?}");
@@ -104,8 +104,8 @@
     let mut all: Vec<Owners> = (1..=6).map(|n| Owners::new(node(n), power(n))).collect();
     for owners in &mut all {
         for n in 1..=6 {
-            owners.learn(Time::ZERO, node(n));
-            owners.has_power(node(n), power(n));
+            owners.discover(Time::ZERO, node(n));
+            owners.set_power(node(n), power(n));
         }
     }
     for n in 0..20 {
@@ -115,8 +115,8 @@
         assert!(named.iter().all(|&a| a == named[0]));
     }
     let weak = &mut all[5];
-    weak.silent(Time::from_millis(10), node(1));
-    weak.silent(Time::from_millis(10), node(2));
+    weak.mark_silent(Time::from_millis(10), node(1));
+    weak.mark_silent(Time::from_millis(10), node(2));
     let named = weak.owner(Time::from_millis(11), &service(0));
     assert!(named != node(1) && named != node(2));
 }
--- a/lib/tests/test_pieces.rs
+++ b/lib/tests/test_pieces.rs
@@ -38,7 +38,7 @@
 fn entry(name: &str, domain: &str) -> Entry {
     Entry {
         id: name.parse().expect("a name"),
-        born: None,
+        started_at: None,
         service: "prep".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: domain.parse().expect("a name"),
@@ -347,7 +347,7 @@
     let first = queue.poll(at(0));
     queue.ended(at(278), first[0].call, made(&first[0]));
     let mut again = entry("p1", "a");
-    again.born = Some(7);
+    again.started_at = Some(7);
     queue.set_endpoints(std::iter::once(&again));
     large.request = "r1".to_owned();
     queue.submit(large);
--- a/lib/tests/test_returned.rs
+++ b/lib/tests/test_releases.rs
@@ -4,8 +4,8 @@
 
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::serving::returned::Results;
-use snipeyoke_lib::serving::returned::Returned;
+use snipeyoke_lib::serving::releases::HeldResults;
+use snipeyoke_lib::serving::releases::RecentReleases;
 use snipeyoke_lib::time::Time;
 
 fn node(n: u16) -> SocketAddr {
@@ -16,16 +16,16 @@
     name.parse().expect("a name")
 }
 
-fn result(n: u64) -> Results {
+fn result(n: u64) -> HeldResults {
     let endpoint: EndpointId = "i-1".parse().expect("a name");
     vec![(endpoint, format!("h{n}"))]
 }
 
 /// Gives one result back every ten milliseconds, for three seconds.
-fn busy(owner: SocketAddr) -> Returned {
-    let mut returned = Returned::default();
+fn busy(owner: SocketAddr) -> RecentReleases {
+    let mut returned = RecentReleases::default();
     for n in 0..300 {
-        returned.note(
+        returned.record(
             Time::from_millis(n * 10),
             owner,
             &service("tiles"),
@@ -55,7 +55,7 @@
 fn what_other_owners_were_told_stays_with_them() {
     let mut returned = busy(node(1));
     let now = Time::from_millis(3_000);
-    returned.note(now, node(2), &service("boards"), &result(1_000));
+    returned.record(now, node(2), &service("boards"), &result(1_000));
     let missed = returned.take_missed(now, node(2), Time::ZERO);
     assert_eq!(missed.len(), 1);
     assert_eq!(missed[&service("boards")], result(1_000));
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -59,7 +59,7 @@
     assert_eq!(keys, ["gone", "kept"]);
     assert!(replica.get("newer").is_some_and(|r| r.value.is_some()));
     assert_eq!(
-        replica.since(Offset(5)).map(|news| news.len()),
+        replica.changes_since(Offset(5)).map(|news| news.len()),
         Some(2),
         "the drop passes on to neighbours"
     );
@@ -75,10 +75,14 @@
     let again = vec![record("a", Some(b"1 again"), 3), record("b", None, 4)];
     let news = replica.extend_with(again, Offset(5), |r| r.value.is_none());
     assert_eq!(news.len(), 1);
-    let told = replica.since(Offset(3)).expect("nothing is forgotten");
+    let told = replica
+        .changes_since(Offset(3))
+        .expect("nothing is forgotten");
     assert_eq!(told, [record("b", None, 4)]);
     // Someone who lacks everything gets the newest value, and no dropped key.
-    let all = replica.since(Offset(0)).expect("nothing is forgotten");
+    let all = replica
+        .changes_since(Offset(0))
+        .expect("nothing is forgotten");
     assert_eq!(all, [record("a", Some(b"1 again"), 1)]);
 }
 
@@ -95,10 +99,12 @@
         ];
         replica.extend(records, Offset(2 * n + 2));
     }
-    assert_eq!(replica.since(Offset(10)), None);
-    let recent = replica.since(Offset(9_900)).expect("these are kept");
+    assert_eq!(replica.changes_since(Offset(10)), None);
+    let recent = replica
+        .changes_since(Offset(9_900))
+        .expect("these are kept");
     assert_eq!(recent.len(), 50);
-    assert_eq!(replica.since(Offset(0)), Some(Vec::new()));
+    assert_eq!(replica.changes_since(Offset(0)), Some(Vec::new()));
 }
 
 #[test]
--- a/lib/tests/test_slices.rs
+++ b/lib/tests/test_slices.rs
@@ -12,8 +12,8 @@
 use snipeyoke_lib::serving::replica::Record;
 use snipeyoke_lib::serving::replica::Replica;
 use snipeyoke_lib::serving::slices::Assembly;
-use snipeyoke_lib::serving::slices::RECORD_MAX;
-use snipeyoke_lib::serving::slices::SLICE_MAX;
+use snipeyoke_lib::serving::slices::RECORD_MAX_BYTES;
+use snipeyoke_lib::serving::slices::SLICE_MAX_BYTES;
 use snipeyoke_lib::serving::slices::Slice;
 
 /// The records of the topic.
@@ -22,7 +22,7 @@
 /// Returns the topic: two keys, values of none to three slices, some dropped.
 fn topic() -> Vec<Record> {
     let record = |offset: u64| {
-        let bytes = (offset as usize * 7_919 * 5) % (3 * SLICE_MAX);
+        let bytes = (offset as usize * 7_919 * 5) % (3 * SLICE_MAX_BYTES);
         let byte = offset as u8;
         let value: Option<Arc<[u8]>> = Some(vec![byte; bytes].into());
         Record {
@@ -61,12 +61,12 @@
     let mut reader = Replica::default();
     let mut assembly = Assembly::default();
     for &Step { holder, lost } in steps {
-        let slice = copies[holder as usize].slice(assembly.ask(reader.next()));
+        let slice = copies[holder as usize].slice(assembly.next_request(reader.next()));
         let Some(slice) = slice.filter(|_| !lost) else {
             continue;
         };
-        prop_assert!(slice.data.len() <= SLICE_MAX);
-        if let Some(record) = assembly.take(slice) {
+        prop_assert!(slice.data.len() <= SLICE_MAX_BYTES);
+        if let Some(record) = assembly.add(slice) {
             let next = record.offset.next();
             reader.extend(vec![record], next);
         }
@@ -105,7 +105,7 @@
     // The first holder dies when half of a large record has come. The rest
     // comes from the second one; nothing comes twice.
     let mut holder = Replica::default();
-    let value: Arc<[u8]> = (0..4 * SLICE_MAX).map(|n| (n % 251) as u8).collect();
+    let value: Arc<[u8]> = (0..4 * SLICE_MAX_BYTES).map(|n| (n % 251) as u8).collect();
     let record = Record {
         key: "config".to_owned(),
         value: Some(value),
@@ -117,26 +117,28 @@
     let mut come = 0;
     let mut taken = None;
     for holder in [&holder, &holder, &other, &other] {
-        let slice = holder.slice(assembly.ask(Offset(3))).expect("it is newer");
+        let slice = holder
+            .slice(assembly.next_request(Offset(3)))
+            .expect("it is newer");
         come += slice.data.len();
-        taken = assembly.take(slice);
+        taken = assembly.add(slice);
     }
     assert_eq!(taken, Some(record));
-    assert_eq!(come, 4 * SLICE_MAX);
+    assert_eq!(come, 4 * SLICE_MAX_BYTES);
 }
 
 #[test]
 fn a_record_beyond_the_bound_is_not_begun() {
     // A faulty sender names a size that would take the reader's memory.
     let mut assembly = Assembly::default();
-    let before = assembly.ask(Offset(0));
+    let before = assembly.next_request(Offset(0));
     let slice = Slice {
         key: "config".to_owned(),
         offset: Offset(1),
         at: 0,
-        total: Some(RECORD_MAX + 1),
-        data: vec![0; SLICE_MAX],
+        total: Some(RECORD_MAX_BYTES + 1),
+        data: vec![0; SLICE_MAX_BYTES],
     };
-    assert_eq!(assembly.take(slice), None);
-    assert_eq!(assembly.ask(Offset(0)), before);
+    assert_eq!(assembly.add(slice), None);
+    assert_eq!(assembly.next_request(Offset(0)), before);
 }
