--- a/lib/src/serving/bookings.rs
+++ b/lib/src/serving/bookings.rs
@@ -25,39 +25,39 @@
 ///
 /// Among 32 some are idle at any load that the service can bear. One node would
 /// otherwise place all requests of the largest service.
-const SPLIT: usize = 32;
+const SHARD_ENDPOINTS: usize = 32;
 
 /// How long an endpoint is taken to keep a prompt's shared part.
 ///
 /// An engine at work has read its whole memory anew in about half a minute.
-const WARM: Duration = Duration::from_secs(30);
+const PREFIX_RETENTION: Duration = Duration::from_secs(30);
 
 /// How long a booking lasts whose end nobody told.
 ///
 /// Answers take seconds. A lost word must not make an endpoint look busy for good.
-const HELD_MAX: Duration = Duration::from_secs(30);
+const BOOKING_MAX: Duration = Duration::from_secs(30);
 
 /// The time between two looks for what has run out.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The tokens that a running answer is taken for.
 ///
 /// Each makes the others' steps half a hundredth longer.
-const CALL: f32 = 64.0;
+const CALL_TOKENS: f32 = 64.0;
 
 /// How much a token that has to be read counts, against one that waits.
 ///
 /// What is read again keeps later prompts waiting, too.
-const READ: f32 = 1.5;
+const READ_WEIGHT: f32 = 1.5;
 
 /// How many times slower than its peers an endpoint counts as slow.
-const SLOW: f32 = 2.5;
+const SLOW_RATIO: f32 = 2.5;
 
 /// The weight of an endpoint's failures in its cost.
-const FAILURES: f32 = 8.0;
+const FAILURE_WEIGHT: f32 = 8.0;
 
 /// What the worst of all endpoints costs more than any other: it is paused.
-const PAUSED: f32 = 1e9;
+const PAUSED_COST: f32 = 1e9;
 
 /// A part of a service's endpoints, whose bookings meet at one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,8 +74,8 @@
     /// A power of two, so that few numbers of endpoints lie at a change.
     #[must_use]
     pub fn count(endpoints: usize) -> u32 {
-        let parts = (endpoints / SPLIT).max(1);
-        1 << parts.ilog2()
+        let shards = (endpoints / SHARD_ENDPOINTS).max(1);
+        1 << shards.ilog2()
     }
 
     /// Returns the part that an endpoint belongs to.
@@ -116,33 +116,33 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct Booking {
     endpoint: EndpointId,
     /// What it has not read yet.
-    pending: u32,
+    pending_tokens: u32,
     since: Time,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Load {
-    pending: u64,
+    pending_tokens: u64,
     calls: u32,
 }
 
 #[derive(Debug, Clone)]
-struct Warm {
+struct PrefixHolder {
     endpoint: EndpointId,
-    born: Option<u64>,
-    used: Time,
+    started_at: Option<u64>,
+    last_used: Time,
 }
 
 /// The requests that are under way at a part of a service's endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Bookings {
-    held: BTreeMap<BookingId, Held>,
+    bookings: BTreeMap<BookingId, Booking>,
     loads: BTreeMap<EndpointId, Load>,
-    warm: BTreeMap<u64, Vec<Warm>>,
-    swept: Time,
+    prefix_holders: BTreeMap<u64, Vec<PrefixHolder>>,
+    last_sweep: Time,
 }
 
 impl Bookings {
@@ -153,66 +153,67 @@
         directory: &Directory,
         (service, shard): (&PoolName, Shard),
         id: BookingId,
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
     ) -> Option<EndpointId> {
         self.sweep(now);
         self.end(id);
-        let here = |e: &&Endpoint| Shard::of(&e.entry().id, shard.count) == shard;
-        let all: Vec<&Endpoint> = directory.open_endpoints(service).filter(here).collect();
-        let fresh = |e: &&Endpoint| !wish.avoid.contains(&e.entry().id);
-        let mut pool: Vec<&Endpoint> = all.iter().copied().filter(fresh).collect();
+        let in_shard = |e: &&Endpoint| Shard::of(&e.entry().id, shard.count) == shard;
+        let all: Vec<&Endpoint> = directory.open_endpoints(service).filter(in_shard).collect();
+        let not_avoided = |e: &&Endpoint| !request.avoid.contains(&e.entry().id);
+        let mut pool: Vec<&Endpoint> = all.iter().copied().filter(not_avoided).collect();
         if pool.is_empty() {
             pool = all;
         }
-        let prefix = wish.prefix.unwrap_or_default();
+        let prefix = request.prefix.unwrap_or_default();
         let home = pool.iter().max_by_key(|e| rank(prefix, &e.entry().id))?;
         let home = home.entry().id.clone();
         let slowness = median(pool.iter().map(|e| e.health().slowness(now)).collect());
-        let unread = |e: &Endpoint| wish.own_tokens + self.missing_tokens(wish, e, &home);
-        let cost = |e: &Endpoint| self.cost(now, e, wish, (unread(e), slowness));
+        let unread_tokens =
+            |e: &Endpoint| request.own_tokens + self.missing_tokens(request, e, &home);
+        let cost = |e: &Endpoint| self.cost(now, e, request, (unread_tokens(e), slowness));
         let ordered = |a: &&&Endpoint, b: &&&Endpoint| {
             let by_rank = |e: &Endpoint| rank(prefix, &e.entry().id);
             let ranked = by_rank(b).cmp(&by_rank(a));
             cost(a).total_cmp(&cost(b)).then(ranked)
         };
         let best = pool.iter().min_by(ordered)?;
-        let pending = unread(best);
+        let pending_tokens = unread_tokens(best);
         let entry = best.entry();
-        let (endpoint, born) = (entry.id.clone(), entry.started_at);
-        self.note_warm(now, wish, &endpoint, born);
+        let (endpoint, started_at) = (entry.id.clone(), entry.started_at);
+        self.record_prefix(now, request, &endpoint, started_at);
         let load = self.loads.entry(endpoint.clone()).or_default();
         load.calls += 1;
-        load.pending += u64::from(pending);
-        let held = Held {
+        load.pending_tokens += u64::from(pending_tokens);
+        let booking = Booking {
             endpoint: endpoint.clone(),
-            pending,
+            pending_tokens,
             since: now,
         };
-        self.held.insert(id, held);
+        self.bookings.insert(id, booking);
         Some(endpoint)
     }
 
     /// Notes that a request's prompt has been read; tells where it was booked.
     pub fn on_prompt_read(&mut self, id: BookingId) -> Option<&EndpointId> {
-        let held = self.held.get_mut(&id)?;
-        let read = std::mem::take(&mut held.pending);
-        if let Some(load) = self.loads.get_mut(&held.endpoint) {
-            load.pending = load.pending.saturating_sub(u64::from(read));
+        let booking = self.bookings.get_mut(&id)?;
+        let read = std::mem::take(&mut booking.pending_tokens);
+        if let Some(load) = self.loads.get_mut(&booking.endpoint) {
+            load.pending_tokens = load.pending_tokens.saturating_sub(u64::from(read));
         }
-        Some(&held.endpoint)
+        Some(&booking.endpoint)
     }
 
     /// Notes that a request has ended; tells where it was booked.
     pub fn end(&mut self, id: BookingId) -> Option<EndpointId> {
         self.on_prompt_read(id)?;
-        let held = self.held.remove(&id)?;
-        if let Some(load) = self.loads.get_mut(&held.endpoint) {
+        let booking = self.bookings.remove(&id)?;
+        if let Some(load) = self.loads.get_mut(&booking.endpoint) {
             load.calls = load.calls.saturating_sub(1);
             if load.calls == 0 {
-                self.loads.remove(&held.endpoint);
+                self.loads.remove(&booking.endpoint);
             }
         }
-        Some(held.endpoint)
+        Some(booking.endpoint)
     }
 
     /// Forgets what came over a link that is gone.
@@ -222,7 +223,11 @@
             link,
             number: u64::MAX,
         };
-        let ids: Vec<BookingId> = self.held.range(first..=last).map(|(&id, _)| id).collect();
+        let ids: Vec<BookingId> = self
+            .bookings
+            .range(first..=last)
+            .map(|(&id, _)| id)
+            .collect();
         for id in ids {
             self.end(id);
         }
@@ -231,101 +236,118 @@
     /// Returns the number of requests under way.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.bookings.len()
     }
 
     /// Tells whether no request is under way.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.bookings.is_empty()
     }
 
     /// Returns the tokens that an endpoint still has to read.
     #[must_use]
     pub fn pending_tokens(&self, endpoint: &EndpointId) -> u64 {
-        self.loads.get(endpoint).map_or(0, |l| l.pending)
+        self.loads.get(endpoint).map_or(0, |l| l.pending_tokens)
     }
 
     fn cost(
         &self,
         now: Time,
         endpoint: &Endpoint,
-        wish: &PlacementRequest,
-        (unread, slowness): (u32, f32),
+        request: &PlacementRequest,
+        (unread_tokens, slowness): (u32, f32),
     ) -> f32 {
         let entry = endpoint.entry();
         let load = self.loads.get(&entry.id).copied().unwrap_or_default();
         let health = endpoint.health();
-        let times = health.slowness(now) / slowness.max(0.1);
-        let slow = if times > SLOW { times } else { 1.0 };
-        let failing = 1.0 + FAILURES * health.failures(now);
-        let away = wish
+        let ratio = health.slowness(now) / slowness.max(0.1);
+        let slow_factor = if ratio > SLOW_RATIO { ratio } else { 1.0 };
+        let failure_factor = 1.0 + FAILURE_WEIGHT * health.failures(now);
+        let is_remote = request
             .input_domain
             .as_ref()
             .is_some_and(|d| *d != entry.domain);
         let full = load.calls >= entry.slots;
-        let tokens = load.pending as f32 + READ * unread as f32 + CALL * load.calls as f32;
-        let worst = if health.is_paused(now) { PAUSED } else { 0.0 };
+        let tokens = load.pending_tokens as f32
+            + READ_WEIGHT * unread_tokens as f32
+            + CALL_TOKENS * load.calls as f32;
+        let paused_cost = if health.is_paused(now) {
+            PAUSED_COST
+        } else {
+            0.0
+        };
         let queued = if full {
-            READ * wish.shared_tokens as f32
+            READ_WEIGHT * request.shared_tokens as f32
+        } else {
+            0.0
+        };
+        let remote_cost = if is_remote {
+            request.remote_cost as f32
         } else {
             0.0
         };
-        let afar = if away { wish.remote_cost as f32 } else { 0.0 };
-        tokens * slow * failing + queued + afar + worst
+        tokens * slow_factor * failure_factor + queued + remote_cost + paused_cost
     }
 
     /// Returns the shared tokens that an endpoint would have to read.
     fn missing_tokens(
         &self,
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         endpoint: &Endpoint,
         home: &EndpointId,
     ) -> u32 {
-        let Some(prefix) = wish.prefix else {
-            return wish.shared_tokens;
+        let Some(prefix) = request.prefix else {
+            return request.shared_tokens;
         };
         let entry = endpoint.entry();
-        let known = self.warm.get(&prefix).filter(|all| !all.is_empty());
-        let warm = known.map_or(entry.id == *home, |all| {
+        let holders = self
+            .prefix_holders
+            .get(&prefix)
+            .filter(|all| !all.is_empty());
+        let holds_prefix = holders.map_or(entry.id == *home, |all| {
             all.iter()
-                .any(|w| w.endpoint == entry.id && w.born == entry.started_at)
+                .any(|w| w.endpoint == entry.id && w.started_at == entry.started_at)
         });
-        if warm { 0 } else { wish.shared_tokens }
+        if holds_prefix {
+            0
+        } else {
+            request.shared_tokens
+        }
     }
 
-    fn note_warm(
+    fn record_prefix(
         &mut self,
         now: Time,
-        wish: &PlacementRequest,
+        request: &PlacementRequest,
         endpoint: &EndpointId,
-        born: Option<u64>,
+        started_at: Option<u64>,
     ) {
-        let Some(prefix) = wish.prefix else {
+        let Some(prefix) = request.prefix else {
             return;
         };
-        let all = self.warm.entry(prefix).or_default();
+        let all = self.prefix_holders.entry(prefix).or_default();
         all.retain(|w| w.endpoint != *endpoint);
-        all.push(Warm {
+        all.push(PrefixHolder {
             endpoint: endpoint.clone(),
-            born,
-            used: now,
+            started_at,
+            last_used: now,
         });
     }
 
     fn sweep(&mut self, now: Time) {
-        if now.since(self.swept) < SWEEP_EVERY {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        self.warm.retain(|_, all| {
-            all.retain(|w| now.since(w.used) < WARM);
+        self.last_sweep = now;
+        self.prefix_holders.retain(|_, all| {
+            all.retain(|w| now.since(w.last_used) < PREFIX_RETENTION);
             !all.is_empty()
         });
         let old = self
-            .held
+            .bookings
             .iter()
-            .filter(|(_, h)| now.since(h.since) > HELD_MAX);
+            .filter(|(_, b)| now.since(b.since) > BOOKING_MAX);
         let ids: Vec<BookingId> = old.map(|(&id, _)| id).collect();
         for id in ids {
             self.end(id);
--- a/lib/src/serving/catch_up.rs
+++ b/lib/src/serving/catch_up.rs
@@ -54,9 +54,9 @@
 
 /// A copy on its way from a neighbour.
 #[derive(Debug, Clone, Copy)]
-struct Copy {
+struct Transfer {
     node: SocketAddr,
-    moved: Time,
+    last_progress: Time,
 }
 
 /// A neighbour that has more than this node.
@@ -64,24 +64,24 @@
 struct Holder {
     next: Offset,
     /// Whether what it has is small.
-    small: bool,
+    fits_in_slice: bool,
 }
 
 /// Decides whom to ask for the newest configuration, and when.
 #[derive(Debug, Clone)]
 pub struct CatchUp {
     own: SocketAddr,
-    have: Offset,
+    complete_to: Offset,
     /// Up to where each neighbour said that it is complete, if that is further.
     holders: BTreeMap<SocketAddr, Holder>,
-    behind: Option<Time>,
+    behind_since: Option<Time>,
     /// When more of an answer last came from the registry.
-    came: Option<Time>,
+    last_registry_data: Option<Time>,
     /// Whether the registry's last call failed.
-    failed: bool,
+    registry_failed: bool,
     /// Whether the registry was read since this node lacks something.
-    read: bool,
-    copy: Option<Copy>,
+    registry_read: bool,
+    transfer: Option<Transfer>,
 }
 
 impl CatchUp {
@@ -90,57 +90,63 @@
     pub const fn new(own: SocketAddr) -> Self {
         Self {
             own,
-            have: Offset(0),
+            complete_to: Offset(0),
             holders: BTreeMap::new(),
-            behind: None,
-            came: None,
-            failed: false,
-            read: false,
-            copy: None,
+            behind_since: None,
+            last_registry_data: None,
+            registry_failed: false,
+            registry_read: false,
+            transfer: None,
         }
     }
 
     /// Notes the offset up to which this node is complete.
-    pub fn advance_to(&mut self, have: Offset) {
-        self.have = self.have.max(have);
-        self.holders.retain(|_, h| h.next > self.have);
+    pub fn advance_to(&mut self, complete_to: Offset) {
+        self.complete_to = self.complete_to.max(complete_to);
+        self.holders.retain(|_, h| h.next > self.complete_to);
         if self.holders.is_empty() {
-            self.behind = None;
-            self.copy = None;
+            self.behind_since = None;
+            self.transfer = None;
         }
     }
 
     /// Notes up to where a neighbour is complete, and the bytes that it has;
     /// tells whether this node has just learned that it lacks something.
     pub fn on_peer_offset(&mut self, now: Time, node: SocketAddr, next: Offset, size: u64) -> bool {
-        if next <= self.have {
+        if next <= self.complete_to {
             self.forget_holder(node);
             return false;
         }
-        let small = (1..=SMALL_CONFIG_BYTES).contains(&size);
-        self.holders.insert(node, Holder { next, small });
-        if self.behind.is_some() {
+        let fits_in_slice = (1..=SMALL_CONFIG_BYTES).contains(&size);
+        self.holders.insert(
+            node,
+            Holder {
+                next,
+                fits_in_slice,
+            },
+        );
+        if self.behind_since.is_some() {
             return false;
         }
-        self.behind = Some(now);
-        self.read = false;
+        self.behind_since = Some(now);
+        self.registry_read = false;
         true
     }
 
     /// Notes that more of an answer came from the registry.
     pub const fn on_registry_data(&mut self, now: Time) {
-        self.came = Some(now);
-        self.failed = false;
+        self.last_registry_data = Some(now);
+        self.registry_failed = false;
     }
 
     /// Notes that the registry's answer has ended, or is given up.
     pub const fn on_registry_end(&mut self) {
-        self.came = None;
+        self.last_registry_data = None;
     }
 
     /// Notes that the registry is read for what this node may lack.
     pub const fn on_registry_read(&mut self) {
-        self.read = true;
+        self.registry_read = true;
     }
 
     /// Returns when the registry is to be read for what this node lacks.
@@ -148,56 +154,59 @@
     /// Once for each time that it falls behind; [`Self::coming_until`] bounds it.
     #[must_use]
     pub fn read_at(&self) -> Time {
-        let behind = self.behind.filter(|_| !self.read);
-        let grace = if self.is_small() {
+        let behind_since = self.behind_since.filter(|_| !self.registry_read);
+        let grace = if self.fits_in_slice() {
             REGISTRY_PATIENCE
         } else {
             REGISTRY_GRACE
         };
-        behind.map_or(Time::NEVER, |at| at + grace)
+        behind_since.map_or(Time::NEVER, |at| at + grace)
     }
 
     /// Notes whether a call to the registry failed.
-    pub const fn set_registry_failed(&mut self, fails: bool) {
-        self.failed = fails;
+    pub const fn set_registry_failed(&mut self, failed: bool) {
+        self.registry_failed = failed;
     }
 
     /// Notes that a neighbour is lost or holds nothing newer.
     pub fn forget_holder(&mut self, node: SocketAddr) {
         self.holders.remove(&node);
-        if self.copy.is_some_and(|c| c.node == node) {
-            self.copy = None;
+        if self.transfer.is_some_and(|t| t.node == node) {
+            self.transfer = None;
         }
         if self.holders.is_empty() {
-            self.behind = None;
+            self.behind_since = None;
         }
     }
 
     /// Notes that a slice came from a neighbour; tells whether it was asked.
     pub fn on_slice(&mut self, now: Time, node: SocketAddr) -> bool {
-        let Some(copy) = self.copy.as_mut().filter(|c| c.node == node) else {
+        let Some(transfer) = self.transfer.as_mut().filter(|t| t.node == node) else {
             return false;
         };
-        copy.moved = now;
+        transfer.last_progress = now;
         true
     }
 
     /// Returns until when an answer of the registry counts as on its way.
     #[must_use]
     pub fn registry_active_until(&self) -> Time {
-        self.came.map_or(Time::ZERO, |at| at + STALL_TIMEOUT)
+        self.last_registry_data
+            .map_or(Time::ZERO, |at| at + STALL_TIMEOUT)
     }
 
     /// Returns when to ask for the next decision; never, if nothing is missing.
     #[must_use]
     pub fn wake(&self) -> Time {
-        let Some(behind) = self.behind else {
+        let Some(behind_since) = self.behind_since else {
             return Time::NEVER;
         };
-        let patience = behind + self.registry_patience();
-        let came = self.registry_active_until();
-        let moved = self.copy.map_or(Time::ZERO, |c| c.moved + STALL_TIMEOUT);
-        patience.max(came).max(moved)
+        let patience = behind_since + self.registry_patience();
+        let registry = self.registry_active_until();
+        let transfer = self
+            .transfer
+            .map_or(Time::ZERO, |t| t.last_progress + STALL_TIMEOUT);
+        patience.max(registry).max(transfer)
     }
 
     /// Returns the neighbour to ask for a copy now, if one is to be asked.
@@ -211,29 +220,32 @@
         if self.wake() > now {
             return None;
         }
-        let stalled = self.copy.take().map(|c| c.node);
+        let stalled = self.transfer.take().map(|t| t.node);
         let Some(node) = self.best_holder(live, stalled) else {
             // None of them answers. They say anew what they have once they do.
             self.holders.clear();
-            self.behind = None;
+            self.behind_since = None;
             return None;
         };
-        self.copy = Some(Copy { node, moved: now });
+        self.transfer = Some(Transfer {
+            node,
+            last_progress: now,
+        });
         Some(node)
     }
 
     fn registry_patience(&self) -> Duration {
-        match (self.failed, self.have.0) {
+        match (self.registry_failed, self.complete_to.0) {
             (true, _) => Duration::ZERO,
             (false, 0) => EMPTY_REGISTRY_PATIENCE,
-            (false, _) if self.is_small() => Duration::ZERO,
+            (false, _) if self.fits_in_slice() => Duration::ZERO,
             (false, _) => REGISTRY_PATIENCE,
         }
     }
 
     /// Tells whether what is missing comes from a neighbour in one slice.
-    fn is_small(&self) -> bool {
-        self.holders.values().any(|h| h.small)
+    fn fits_in_slice(&self) -> bool {
+        self.holders.values().any(|h| h.fits_in_slice)
     }
 
     /// Returns the strongest holder, the one that stalled last of all.
--- a/lib/src/serving/crashes.rs
+++ b/lib/src/serving/crashes.rs
@@ -18,21 +18,21 @@
 /// The ends after which a request is quarantined.
 ///
 /// A host or a rack that fails takes one or two endpoints of a request with it.
-const ENDS: usize = 3;
+const END_THRESHOLD: usize = 3;
 
 /// How long an end counts, and a quarantine that is over is remembered.
 ///
 /// Long against the pace at which callers come back.
-const REMEMBERED: Duration = Duration::from_mins(10);
+const RETENTION: Duration = Duration::from_mins(10);
 
 /// The shortest and the longest quarantine.
 ///
 /// It lasts three times as long as the request has ended endpoints for: a
 /// request that is not the cause is soon tried again, one that is rarely.
-const LASTS: [Duration; 2] = [Duration::from_mins(1), Duration::from_hours(1)];
+const QUARANTINE_RANGE: [Duration; 2] = [Duration::from_mins(1), Duration::from_hours(1)];
 
 /// How long a trial after a quarantine may take before there is another.
-const TRIAL: Duration = Duration::from_secs(10);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The most trials of a request until it is answered or forgotten.
 const TRIALS_MAX: u32 = 3;
@@ -41,17 +41,17 @@
 const TRIAL_GROWTH: u32 = 4;
 
 /// What is told to be left of a quarantine that is over.
-const LEAST: Duration = Duration::from_millis(1);
+const EXPIRED_REMAINING: Duration = Duration::from_millis(1);
 
 /// The difference that one more end makes to how long a quarantine lasts.
 ///
 /// Each node that passes a verdict on adds the time of its way.
-const LONGER: Duration = Duration::from_secs(5);
+const EXTENSION_MIN: Duration = Duration::from_secs(5);
 
 /// How much too late the first end of a verdict may seem to be.
 ///
 /// Its age is told, and each way from node to node makes it younger.
-const WAYS: Duration = Duration::from_millis(500);
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(500);
 
 /// The most requests whose ends are counted.
 const SUSPECTS_MAX: usize = 2_048;
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone)]
 struct End {
     at: Time,
-    run: Incarnation,
+    incarnation: Incarnation,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -111,12 +111,12 @@
     version: u32,
     /// `None` if the quarantine was lifted.
     until: Option<Time>,
-    first: Time,
+    first_end: Time,
     /// When it was last changed, and the number of that change.
     at: Time,
-    news: u64,
+    last_change: u64,
     /// When this node may try the request again, once it is over.
-    trial: Time,
+    next_trial: Time,
     /// The trials that this node knows of.
     trials: u32,
 }
@@ -127,8 +127,8 @@
     suspects: BTreeMap<Fingerprint, Vec<End>>,
     records: BTreeMap<Fingerprint, Record>,
     answered: BTreeMap<Fingerprint, Time>,
-    order: VecDeque<(Time, Fingerprint)>,
-    news: u64,
+    answer_order: VecDeque<(Time, Fingerprint)>,
+    last_change: u64,
 }
 
 impl CrashTracker {
@@ -139,9 +139,9 @@
         &mut self,
         now: Time,
         request: Fingerprint,
-        run: &Incarnation,
+        incarnation: &Incarnation,
     ) -> Option<Verdict> {
-        self.on_reported_end(now, now, request, run)
+        self.on_reported_end(now, now, request, incarnation)
     }
 
     /// Notes that an endpoint ended under a request at `at`, as it is told now.
@@ -152,39 +152,39 @@
         now: Time,
         at: Time,
         request: Fingerprint,
-        run: &Incarnation,
+        incarnation: &Incarnation,
     ) -> Option<Verdict> {
         self.sweep(now);
-        if now.since(at) >= REMEMBERED || self.is_cleared(at, request) {
+        if now.since(at) >= RETENTION || self.is_cleared(at, request) {
             return None;
         }
         if let Some(record) = self.records.get(&request).copied()
             && let Some(until) = record.until
         {
             // It was under way when it was quarantined, or was tried after it.
-            let again = until <= at;
-            let longer = until.max(at + lasts(at, record.first));
-            if longer == until {
+            let is_retry = until <= at;
+            let extended = until.max(at + quarantine_duration(at, record.first_end));
+            if extended == until {
                 return None;
             }
-            let version = record.version + u32::from(again);
-            let verdict = self.set_record(now, request, version, Some(longer), record.first);
-            return again.then_some(verdict);
+            let version = record.version + u32::from(is_retry);
+            let verdict = self.set_record(now, request, version, Some(extended), record.first_end);
+            return is_retry.then_some(verdict);
         }
         let ends = self.suspects.entry(request).or_default();
-        ends.retain(|e| now.since(e.at) < REMEMBERED);
-        if ends.iter().all(|e| e.run != *run) {
-            let run = run.clone();
-            ends.push(End { at, run });
+        ends.retain(|e| now.since(e.at) < RETENTION);
+        if ends.iter().all(|e| e.incarnation != *incarnation) {
+            let incarnation = incarnation.clone();
+            ends.push(End { at, incarnation });
         }
-        if ends.len() < ENDS {
+        if ends.len() < END_THRESHOLD {
             self.bound_suspects();
             return None;
         }
-        let first = ends.iter().map(|e| e.at).min().unwrap_or(at);
+        let first_end = ends.iter().map(|e| e.at).min().unwrap_or(at);
         let version = self.records.get(&request).map_or(1, |r| r.version + 1);
-        let until = now + lasts(now, first);
-        Some(self.set_record(now, request, version, Some(until), first))
+        let until = now + quarantine_duration(now, first_end);
+        Some(self.set_record(now, request, version, Some(until), first_end))
     }
 
     /// Tells whether a request was answered whole, here or as others told,
@@ -201,9 +201,9 @@
     pub fn on_answered(&mut self, now: Time, request: Fingerprint) -> Option<Verdict> {
         self.suspects.remove(&request);
         self.answered.insert(request, now);
-        self.order.push_back((now, request));
-        if self.order.len() > ANSWERED_MAX
-            && let Some((at, oldest)) = self.order.pop_front()
+        self.answer_order.push_back((now, request));
+        if self.answer_order.len() > ANSWERED_MAX
+            && let Some((at, oldest)) = self.answer_order.pop_front()
             && self.answered.get(&oldest) == Some(&at)
         {
             self.answered.remove(&oldest);
@@ -214,29 +214,29 @@
     }
 
     /// Takes in a verdict that another node told.
-    pub fn apply_verdict(&mut self, now: Time, told: Verdict) -> VerdictOutcome {
+    pub fn apply_verdict(&mut self, now: Time, received: Verdict) -> VerdictOutcome {
         self.sweep(now);
-        let request = told.request;
-        let left = told.remaining.min(LASTS[1]);
-        let until = (!left.is_zero()).then(|| now + left);
+        let request = received.request;
+        let remaining = received.remaining.min(QUARANTINE_RANGE[1]);
+        let until = (!remaining.is_zero()).then(|| now + remaining);
         let held = self.records.get(&request);
         let (version, held_until) = held.map_or((0, None), |r| (r.version, r.until));
         // Nodes whose verdicts have the same number found it at the same time.
-        let least = held_until.map(|u| u + LONGER);
-        if (told.version, until) <= (version, least) {
+        let threshold = held_until.map(|u| u + EXTENSION_MIN);
+        if (received.version, until) <= (version, threshold) {
             return VerdictOutcome::Known;
         }
-        let known = told.version == version && held_until.is_some();
-        let first = now - told.first_end_age;
+        let known = received.version == version && held_until.is_some();
+        let first_end = now - received.first_end_age;
         let answered = self.answered.get(&request);
-        let answered = answered.is_some_and(|&at| at + WAYS > first);
+        let answered = answered.is_some_and(|&at| at + TRANSIT_ALLOWANCE > first_end);
         if until.is_some() && answered {
-            let lifted = self.set_record(now, request, told.version + 1, None, now);
+            let lifted = self.set_record(now, request, received.version + 1, None, now);
             return VerdictOutcome::Overruled(lifted);
         }
-        let tried = held_until.is_some() && !known;
-        self.set_record(now, request, told.version, until, first);
-        if tried && let Some(record) = self.records.get_mut(&request) {
+        let was_trial = held_until.is_some() && !known;
+        self.set_record(now, request, received.version, until, first_end);
+        if was_trial && let Some(record) = self.records.get_mut(&request) {
             // The other node's trial ended an endpoint.
             record.trials += 1;
         }
@@ -254,14 +254,14 @@
     pub fn quarantine_remaining(&self, now: Time, request: Fingerprint) -> Option<Duration> {
         let record = self.records.get(&request)?;
         let until = record.until?;
-        if now.since(until) >= REMEMBERED {
+        if now.since(until) >= RETENTION {
             return None;
         }
-        let left = until.since(now);
-        Some(match left {
-            Duration::ZERO if record.trials < TRIALS_MAX => TRIAL,
-            Duration::ZERO => (until + REMEMBERED).since(now),
-            _ => left,
+        let remaining = until.since(now);
+        Some(match remaining {
+            Duration::ZERO if record.trials < TRIALS_MAX => TRIAL_TIMEOUT,
+            Duration::ZERO => (until + RETENTION).since(now),
+            _ => remaining,
         })
     }
 
@@ -272,13 +272,13 @@
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        let over = record.until.is_some_and(|u| u <= now);
-        let free = over && record.trial <= now && record.trials < TRIALS_MAX;
-        if free {
-            record.trial = now + TRIAL * TRIAL_GROWTH.pow(record.trials);
+        let expired = record.until.is_some_and(|u| u <= now);
+        let allowed = expired && record.next_trial <= now && record.trials < TRIALS_MAX;
+        if allowed {
+            record.next_trial = now + TRIAL_TIMEOUT * TRIAL_GROWTH.pow(record.trials);
             record.trials += 1;
         }
-        free
+        allowed
     }
 
     /// Tells whether a request that is under way may go on, a trial included.
@@ -294,32 +294,39 @@
             .get(&request)
             .into_iter()
             .flatten()
-            .map(|e| &e.run)
+            .map(|e| &e.incarnation)
     }
 
     /// Returns the verdicts since the one numbered `since`, oldest first, `most`
     /// of them at most, and the number to ask for the next ones.
     #[must_use]
     pub fn changes_since(&self, now: Time, since: u64, most: usize) -> (Vec<Verdict>, u64) {
-        if since >= self.news {
-            return (Vec::new(), self.news);
+        if since >= self.last_change {
+            return (Vec::new(), self.last_change);
         }
-        let newer = self.records.iter().filter(|(_, r)| r.news > since);
-        let mut newer: Vec<(&Fingerprint, &Record)> = newer.collect();
-        newer.sort_unstable_by_key(|(_, r)| r.news);
-        let more = newer.len() > most;
-        newer.truncate(most);
-        let last = newer.last().map_or(self.news, |(_, r)| r.news);
-        let verdicts = newer.iter().map(|(request, r)| verdict(now, **request, r));
-        (verdicts.collect(), if more { last } else { self.news })
+        let changed = self.records.iter().filter(|(_, r)| r.last_change > since);
+        let mut changed: Vec<(&Fingerprint, &Record)> = changed.collect();
+        changed.sort_unstable_by_key(|(_, r)| r.last_change);
+        let more = changed.len() > most;
+        changed.truncate(most);
+        let last = changed
+            .last()
+            .map_or(self.last_change, |(_, r)| r.last_change);
+        let verdicts = changed
+            .iter()
+            .map(|(request, r)| verdict(now, **request, r));
+        (
+            verdicts.collect(),
+            if more { last } else { self.last_change },
+        )
     }
 
     /// Returns the latest verdicts, `most` of them at most.
     #[must_use]
     pub fn latest(&self, now: Time, most: usize) -> Vec<Verdict> {
-        let mut news: Vec<u64> = self.records.values().map(|r| r.news).collect();
-        news.sort_unstable_by(|a, b| b.cmp(a));
-        let since = news.get(most).copied().unwrap_or_default();
+        let mut changes: Vec<u64> = self.records.values().map(|r| r.last_change).collect();
+        changes.sort_unstable_by(|a, b| b.cmp(a));
+        let since = changes.get(most).copied().unwrap_or_default();
         self.changes_since(now, since, most).0
     }
 
@@ -338,19 +345,19 @@
         request: Fingerprint,
         version: u32,
         until: Option<Time>,
-        first: Time,
+        first_end: Time,
     ) -> Verdict {
         self.suspects.remove(&request);
-        self.news += 1;
+        self.last_change += 1;
         let held = self.records.get(&request).filter(|r| r.until.is_some());
         let trials = held.map_or(0, |r| r.trials);
         let record = Record {
             version,
             until,
-            first,
+            first_end,
             at: now,
-            news: self.news,
-            trial: Time::ZERO,
+            last_change: self.last_change,
+            next_trial: Time::ZERO,
             trials,
         };
         self.records.insert(request, record);
@@ -366,7 +373,7 @@
     /// Forgets what has long been over. Until then one more end puts it back.
     fn sweep(&mut self, now: Time) {
         self.records
-            .retain(|_, r| now.since(r.until.unwrap_or(r.at)) < REMEMBERED);
+            .retain(|_, r| now.since(r.until.unwrap_or(r.at)) < RETENTION);
     }
 
     fn bound_suspects(&mut self) {
@@ -382,9 +389,11 @@
 }
 
 /// Returns how long a request is quarantined whose first end was at `first`.
-fn lasts(now: Time, first: Time) -> Duration {
-    let [least, most] = LASTS;
-    now.since(first).saturating_mul(3).clamp(least, most)
+fn quarantine_duration(now: Time, first_end: Time) -> Duration {
+    let [shortest, longest] = QUARANTINE_RANGE;
+    now.since(first_end)
+        .saturating_mul(3)
+        .clamp(shortest, longest)
 }
 
 fn verdict(now: Time, request: Fingerprint, record: &Record) -> Verdict {
@@ -394,7 +403,7 @@
         // One that is over is still refused, but for trials: it is not lifted.
         remaining: record
             .until
-            .map_or(Duration::ZERO, |u| u.since(now).max(LEAST)),
-        first_end_age: now.since(record.first),
+            .map_or(Duration::ZERO, |u| u.since(now).max(EXPIRED_REMAINING)),
+        first_end_age: now.since(record.first_end),
     }
 }
--- a/lib/src/serving/directory.rs
+++ b/lib/src/serving/directory.rs
@@ -18,7 +18,7 @@
 ///
 /// Calls last from 50 ms to a few seconds; after a second most of what was
 /// reported has ended.
-const REPORT_FRESH: Duration = Duration::from_secs(1);
+const REPORT_LIFETIME: Duration = Duration::from_secs(1);
 
 /// How far above the mean load an endpoint that holds a prefix may be.
 ///
@@ -32,7 +32,7 @@
 const BOUND_SLACK: f32 = 6.0;
 
 /// How many times slower than its peers an endpoint is left by its prefixes.
-const SLOW: f32 = 2.5;
+const SLOW_RATIO: f32 = 2.5;
 
 /// The weight of an endpoint's failures in its load.
 ///
@@ -44,7 +44,7 @@
 ///
 /// Half a call: an idle endpoint nearby is taken before an idle one afar, a
 /// busy one nearby is not.
-const AFAR: f32 = 0.5;
+const REMOTE_COST: f32 = 0.5;
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
@@ -94,9 +94,9 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     entry: Entry,
-    own: u32,
-    others: u32,
-    reported: Time,
+    own_calls: u32,
+    other_calls: u32,
+    reported_at: Time,
     health: Health,
     replaced: bool,
 }
@@ -105,9 +105,9 @@
     fn new(entry: Entry) -> Self {
         Self {
             entry,
-            own: 0,
-            others: 0,
-            reported: Time::ZERO,
+            own_calls: 0,
+            other_calls: 0,
+            reported_at: Time::ZERO,
             health: Health::default(),
             replaced: false,
         }
@@ -134,11 +134,11 @@
     /// Returns the calls that it is taken to have now.
     #[must_use]
     pub fn calls(&self, now: Time) -> f32 {
-        let age = now.since(self.reported).as_secs_f32() / REPORT_FRESH.as_secs_f32();
-        self.own as f32 + self.others as f32 * (1.0 - age).max(0.0)
+        let age = now.since(self.reported_at).as_secs_f32() / REPORT_LIFETIME.as_secs_f32();
+        self.own_calls as f32 + self.other_calls as f32 * (1.0 - age).max(0.0)
     }
 
-    fn burden(&self, now: Time) -> f32 {
+    fn weighted_load(&self, now: Time) -> f32 {
         let failures = 1.0 + FAILURE_WEIGHT * self.health.failures(now);
         let slowness = self.health.slowness(now).max(0.5);
         (self.calls(now) + 1.0) / self.entry.slots.max(1) as f32 * failures * slowness
@@ -198,7 +198,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    sum: u64,
+    checksum: u64,
 }
 
 impl Directory {
@@ -207,10 +207,10 @@
     /// One that started again under its name is a new one: what was learned of
     /// the life before says nothing about this one.
     pub fn set(&mut self, entry: Entry) -> bool {
-        self.sum = self.sum.wrapping_add(entry.hash());
+        self.checksum = self.checksum.wrapping_add(entry.hash());
         let held = self.endpoints.get_mut(&entry.id);
-        let before = held.as_ref().map_or(0, |e| e.entry.hash());
-        self.sum = self.sum.wrapping_sub(before);
+        let previous_hash = held.as_ref().map_or(0, |e| e.entry.hash());
+        self.checksum = self.checksum.wrapping_sub(previous_hash);
         let same = |e: &Endpoint| {
             e.entry.started_at == entry.started_at && e.entry.address == entry.address
         };
@@ -230,8 +230,8 @@
     /// Forgets an endpoint; tells whether it was known.
     pub fn remove(&mut self, id: &EndpointId) -> bool {
         let removed = self.endpoints.remove(id);
-        let before = removed.as_ref().map_or(0, |e| e.entry.hash());
-        self.sum = self.sum.wrapping_sub(before);
+        let previous_hash = removed.as_ref().map_or(0, |e| e.entry.hash());
+        self.checksum = self.checksum.wrapping_sub(previous_hash);
         removed.is_some()
     }
 
@@ -251,7 +251,7 @@
     /// Two nodes that know the same endpoints have the same sum.
     #[must_use]
     pub const fn checksum(&self) -> u64 {
-        self.sum
+        self.checksum
     }
 
     /// Tells whether a service has an endpoint that may get calls.
@@ -288,28 +288,28 @@
 
     /// Chooses the endpoint for a call.
     #[must_use]
-    pub fn choose(&self, now: Time, wanted: EndpointCriteria<'_>) -> Option<Choice> {
-        let all: Vec<&Endpoint> = self.open_endpoints(wanted.service).collect();
-        let fresh = |e: &&Endpoint| !wanted.avoid.contains(&e.entry.id);
-        let usable: Vec<&Endpoint> = all.iter().copied().filter(fresh).collect();
-        let well = |e: &&Endpoint| !e.health.is_paused(now);
-        let mut pool: Vec<&Endpoint> = usable.iter().copied().filter(well).collect();
+    pub fn choose(&self, now: Time, criteria: EndpointCriteria<'_>) -> Option<Choice> {
+        let all: Vec<&Endpoint> = self.open_endpoints(criteria.service).collect();
+        let not_avoided = |e: &&Endpoint| !criteria.avoid.contains(&e.entry.id);
+        let usable: Vec<&Endpoint> = all.iter().copied().filter(not_avoided).collect();
+        let healthy = |e: &&Endpoint| !e.health.is_paused(now);
+        let mut pool: Vec<&Endpoint> = usable.iter().copied().filter(healthy).collect();
         if pool.is_empty() {
-            let least = least(now, &usable, wanted)?;
-            return Some(choice(now, least, Reason::LastResort));
+            let endpoint = least_loaded(now, &usable, criteria)?;
+            return Some(choice(now, endpoint, Reason::LastResort));
         }
-        if let (true, Some(domain)) = (wanted.strict, wanted.domain) {
+        if let (true, Some(domain)) = (criteria.strict, criteria.domain) {
             let near = |e: &&Endpoint| e.entry.domain == *domain;
             let nearby: Vec<&Endpoint> = pool.iter().copied().filter(near).collect();
             if !nearby.is_empty() {
                 pool = nearby;
             }
         }
-        let Some(prefix) = wanted.prefix else {
-            let least = least(now, &pool, wanted)?;
-            return Some(choice(now, least, Reason::LeastLoad));
+        let Some(prefix) = criteria.prefix else {
+            let endpoint = least_loaded(now, &pool, criteria)?;
+            return Some(choice(now, endpoint, Reason::LeastLoad));
         };
-        let picked = bounded(now, &pool, prefix);
+        let picked = choose_bounded(now, &pool, prefix);
         let home = pool.iter().max_by_key(|e| rank(prefix, &e.entry.id))?;
         let at_home = home.entry.id == picked.entry.id;
         let reason = if at_home {
@@ -331,14 +331,14 @@
     /// Notes that a call was sent.
     pub fn call_started(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.own += 1;
+            endpoint.own_calls += 1;
         }
     }
 
     /// Notes that a call ended, in whatever way.
     pub fn call_ended(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.own = endpoint.own.saturating_sub(1);
+            endpoint.own_calls = endpoint.own_calls.saturating_sub(1);
         }
     }
 
@@ -346,8 +346,8 @@
     pub fn apply_load(&mut self, now: Time, id: &EndpointId, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             // The report counts this node's calls too, which it knows itself.
-            endpoint.others = load.calls.saturating_sub(endpoint.own);
-            endpoint.reported = now;
+            endpoint.other_calls = load.calls.saturating_sub(endpoint.own_calls);
+            endpoint.reported_at = now;
         }
     }
 
@@ -371,26 +371,26 @@
         entry: endpoint.entry.clone(),
         reason,
         calls: endpoint.calls(now),
-        report_age: now.since(endpoint.reported),
+        report_age: now.since(endpoint.reported_at),
     }
 }
 
-fn least<'a>(
+fn least_loaded<'a>(
     now: Time,
     pool: &[&'a Endpoint],
-    wanted: EndpointCriteria<'_>,
+    criteria: EndpointCriteria<'_>,
 ) -> Option<&'a Endpoint> {
-    let burden = |e: &Endpoint| {
-        let afar = wanted.domain.is_some_and(|d| e.entry.domain != *d);
+    let weighted_load = |e: &Endpoint| {
+        let is_remote = criteria.domain.is_some_and(|d| e.entry.domain != *d);
         let slots = e.entry.slots.max(1) as f32;
-        e.burden(now) + if afar { AFAR / slots } else { 0.0 }
+        e.weighted_load(now) + if is_remote { REMOTE_COST / slots } else { 0.0 }
     };
-    let ordered = |a: &&&Endpoint, b: &&&Endpoint| burden(a).total_cmp(&burden(b));
+    let ordered = |a: &&&Endpoint, b: &&&Endpoint| weighted_load(a).total_cmp(&weighted_load(b));
     pool.iter().min_by(ordered).copied()
 }
 
 /// Returns the first endpoint of a prefix that is neither full nor slow.
-fn bounded<'a>(now: Time, pool: &[&'a Endpoint], prefix: u64) -> &'a Endpoint {
+fn choose_bounded<'a>(now: Time, pool: &[&'a Endpoint], prefix: u64) -> &'a Endpoint {
     let mut ranked: Vec<&Endpoint> = pool.to_vec();
     ranked.sort_by_key(|e| std::cmp::Reverse(rank(prefix, &e.entry.id)));
     let count = ranked.len().max(1) as f32;
@@ -399,7 +399,7 @@
     let slowness = median(ranked.iter().map(|e| e.health.slowness(now)).collect());
     let failures = median(ranked.iter().map(|e| e.health.failures(now)).collect());
     let fits = |e: &&&Endpoint| {
-        let slow = e.health.slowness(now) > SLOW * slowness;
+        let slow = e.health.slowness(now) > SLOW_RATIO * slowness;
         let failing = e.health.failures(now) > failures + 0.3;
         e.calls(now) < bound && !slow && !failing
     };
--- a/lib/src/serving/endpoint_loss.rs
+++ b/lib/src/serving/endpoint_loss.rs
@@ -15,20 +15,20 @@
 use super::crashes::Fingerprint;
 
 /// How long it is known that an endpoint has ended.
-const ENDED: Duration = Duration::from_secs(3);
+const ENDED_RETENTION: Duration = Duration::from_secs(3);
 
 /// How long it is known that an endpoint lives.
 ///
 /// Its other connections were reset within milliseconds; it may end later.
-const LIVES: Duration = Duration::from_millis(300);
+const ALIVE_RETENTION: Duration = Duration::from_millis(300);
 
 /// How long a request may be the cause of an end after it was given up.
 ///
 /// An endpoint that a request ends does so soon after it has begun to run it.
-const GIVEN_UP: Duration = Duration::from_secs(1);
+const BLAME_WINDOW: Duration = Duration::from_secs(1);
 
 /// The most requests given up that are remembered.
-const GIVEN_UP_MAX: usize = 1_024;
+const ABANDONED_MAX: usize = 1_024;
 
 /// The most endpoints that are remembered.
 const ENDPOINTS_MAX: usize = 1_024;
@@ -58,19 +58,19 @@
 }
 
 #[derive(Debug, Clone)]
-enum Found {
+enum ProbeState {
     /// The requests that it had, and when their connections broke.
-    Looking(Vec<(Time, Fingerprint)>),
+    Probing(Vec<(Time, Fingerprint)>),
     Ended,
-    Lives,
+    Alive,
 }
 
 /// The endpoints whose connections broke of late.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLoss {
-    found: BTreeMap<Incarnation, (Time, Found)>,
+    probes: BTreeMap<Incarnation, (Time, ProbeState)>,
     /// Requests that were given up while their endpoints had them, oldest first.
-    given_up: VecDeque<(Time, Incarnation, Fingerprint)>,
+    abandoned: VecDeque<(Time, Incarnation, Fingerprint)>,
 }
 
 impl EndpointLoss {
@@ -78,25 +78,30 @@
     pub fn on_connection_lost(
         &mut self,
         now: Time,
-        run: &Incarnation,
+        incarnation: &Incarnation,
         request: Fingerprint,
     ) -> LossAction {
-        self.found.retain(|_, (at, found)| {
-            let known = matches!(found, Found::Lives);
-            now.since(*at) < if known { LIVES } else { ENDED }
+        self.probes.retain(|_, (at, state)| {
+            let is_alive = matches!(state, ProbeState::Alive);
+            now.since(*at)
+                < if is_alive {
+                    ALIVE_RETENTION
+                } else {
+                    ENDED_RETENTION
+                }
         });
-        let full = self.found.len() >= ENDPOINTS_MAX;
-        match self.found.get_mut(run) {
-            Some((_, Found::Looking(waiting))) => {
+        let full = self.probes.len() >= ENDPOINTS_MAX;
+        match self.probes.get_mut(incarnation) {
+            Some((_, ProbeState::Probing(waiting))) => {
                 waiting.push((now, request));
                 LossAction::AwaitProbe
             }
-            Some((_, Found::Ended)) => LossAction::Ended,
-            Some((_, Found::Lives)) => LossAction::Alive,
+            Some((_, ProbeState::Ended)) => LossAction::Ended,
+            Some((_, ProbeState::Alive)) => LossAction::Alive,
             None if full => LossAction::Alive,
             None => {
-                let looking = Found::Looking(vec![(now, request)]);
-                self.found.insert(run.clone(), (now, looking));
+                let probing = ProbeState::Probing(vec![(now, request)]);
+                self.probes.insert(incarnation.clone(), (now, probing));
                 LossAction::Probe
             }
         }
@@ -105,31 +110,37 @@
     /// Notes that a request was given up while an endpoint had it.
     ///
     /// Its connection is closed then, and won't tell that the endpoint ends.
-    pub fn on_request_abandoned(&mut self, now: Time, run: &Incarnation, request: Fingerprint) {
+    pub fn on_request_abandoned(
+        &mut self,
+        now: Time,
+        incarnation: &Incarnation,
+        request: Fingerprint,
+    ) {
         self.forget_abandoned(now);
-        if self.given_up.len() >= GIVEN_UP_MAX {
-            self.given_up.pop_front();
+        if self.abandoned.len() >= ABANDONED_MAX {
+            self.abandoned.pop_front();
         }
-        self.given_up.push_back((now, run.clone(), request));
+        self.abandoned
+            .push_back((now, incarnation.clone(), request));
     }
 
     /// Notes that an endpoint refused a connection; tells whether to look
     /// whether it has ended.
-    pub fn on_connection_refused(&mut self, now: Time, run: &Incarnation) -> bool {
+    pub fn on_connection_refused(&mut self, now: Time, incarnation: &Incarnation) -> bool {
         self.forget_abandoned(now);
-        let suspected = self.given_up.iter().any(|(_, r, _)| r == run);
-        let known = self.found.contains_key(run) || self.found.len() >= ENDPOINTS_MAX;
+        let suspected = self.abandoned.iter().any(|(_, r, _)| r == incarnation);
+        let known = self.probes.contains_key(incarnation) || self.probes.len() >= ENDPOINTS_MAX;
         if suspected && !known {
-            let looking = Found::Looking(Vec::new());
-            self.found.insert(run.clone(), (now, looking));
+            let probing = ProbeState::Probing(Vec::new());
+            self.probes.insert(incarnation.clone(), (now, probing));
         }
         suspected && !known
     }
 
     fn forget_abandoned(&mut self, now: Time) {
-        let old = |(at, _, _): &(Time, _, _)| now.since(*at) >= GIVEN_UP;
-        while self.given_up.front().is_some_and(old) {
-            self.given_up.pop_front();
+        let is_old = |(at, _, _): &(Time, _, _)| now.since(*at) >= BLAME_WINDOW;
+        while self.abandoned.front().is_some_and(is_old) {
+            self.abandoned.pop_front();
         }
     }
 
@@ -138,24 +149,28 @@
     pub fn on_probe_result(
         &mut self,
         now: Time,
-        run: &Incarnation,
+        incarnation: &Incarnation,
         ended: bool,
     ) -> Vec<(Time, Fingerprint)> {
-        let found = if ended { Found::Ended } else { Found::Lives };
-        let before = self.found.insert(run.clone(), (now, found));
-        let Some((broke, Found::Looking(mut requests))) = before else {
+        let state = if ended {
+            ProbeState::Ended
+        } else {
+            ProbeState::Alive
+        };
+        let previous = self.probes.insert(incarnation.clone(), (now, state));
+        let Some((lost_at, ProbeState::Probing(mut requests))) = previous else {
             return Vec::new();
         };
         if !ended {
             return Vec::new();
         }
         // The look takes a moment: what counts is when the endpoint was found.
-        let given_up = self.given_up.iter().filter(|(at, r, _)| {
-            let soon = broke.since(*at) < GIVEN_UP;
-            r == run && soon
+        let abandoned = self.abandoned.iter().filter(|(at, r, _)| {
+            let soon = lost_at.since(*at) < BLAME_WINDOW;
+            r == incarnation && soon
         });
-        requests.extend(given_up.map(|(_, _, request)| (broke, *request)));
-        self.given_up.retain(|(_, r, _)| r != run);
+        requests.extend(abandoned.map(|(_, _, request)| (lost_at, *request)));
+        self.abandoned.retain(|(_, r, _)| r != incarnation);
         requests
     }
 }
--- a/lib/src/serving/freshness.rs
+++ b/lib/src/serving/freshness.rs
@@ -18,31 +18,31 @@
 /// How often the first node reads, as a part of the bound.
 ///
 /// Two reads a second at a bound of 2 s, for all nodes together.
-const READ: f64 = 0.25;
+const READ_FRACTION: f64 = 0.25;
 
 /// How often the other nodes look at the first one, as a part of the bound.
-const LOOK: f64 = 0.2;
+const POLL_FRACTION: f64 = 0.2;
 
 /// The age from which something is wrong, as a part of the bound.
 ///
 /// Read, look and their answers take as much, and some milliseconds, where all
 /// is well.
-const LATE: f64 = 0.45;
+const LATE_FRACTION: f64 = 0.45;
 
 /// The age at which a node reads for itself, as a part of the bound.
 ///
 /// Between this and [`LATE`] another node takes over the reads for all. What is
 /// left of the bound is for the read itself and for a copy of a large
 /// configuration.
-const ALONE: f64 = 0.65;
+const STALE_FRACTION: f64 = 0.65;
 
 /// The age up to which a node looks more often, as a part of the bound.
 ///
 /// Beyond it nobody can read, and more looks find nothing.
-const HURRY: f64 = 0.75;
+const FAST_POLL_FRACTION: f64 = 0.75;
 
 /// How many times more often a node looks while it hurries.
-const HURRIED: u32 = 4;
+const FAST_POLL_FACTOR: u32 = 4;
 
 /// The moment up to which a copy is known to be complete.
 #[derive(Debug, Clone, Copy)]
@@ -84,43 +84,47 @@
     /// Tells whether a node of such an age can't read for others.
     #[must_use]
     pub fn cannot_read(&self, age: Option<Duration>) -> bool {
-        age.is_none_or(|age| age > self.bound.mul_f64(ALONE))
+        age.is_none_or(|age| age > self.bound.mul_f64(STALE_FRACTION))
     }
 
     /// Tells whether more time has passed than a reader needs.
     #[must_use]
     pub fn is_late(&self, now: Time) -> bool {
         self.age(now)
-            .is_none_or(|age| age > self.bound.mul_f64(LATE))
+            .is_none_or(|age| age > self.bound.mul_f64(LATE_FRACTION))
     }
 
     /// Returns when this node reads the registry; `first` if it does so for all.
     #[must_use]
-    pub fn read_at(&self, first: bool) -> Time {
-        let part = if first { READ } else { ALONE };
-        let at = |confirmed| confirmed + self.bound.mul_f64(part);
+    pub fn read_at(&self, is_reader: bool) -> Time {
+        let fraction = if is_reader {
+            READ_FRACTION
+        } else {
+            STALE_FRACTION
+        };
+        let at = |confirmed| confirmed + self.bound.mul_f64(fraction);
         self.confirmed.map_or(Time::ZERO, at)
     }
 
     /// Returns the pause between two looks at the node that reads for all.
     #[must_use]
     pub fn poll_interval(&self) -> Duration {
-        self.bound.mul_f64(LOOK)
+        self.bound.mul_f64(POLL_FRACTION)
     }
 
     /// Returns that pause as of now: shorter while another reader takes over.
     #[must_use]
     pub fn poll_interval_at(&self, now: Time) -> Duration {
         let age = self.age(now).unwrap_or(Duration::MAX);
-        let hurries = self.is_late(now) && age < self.bound.mul_f64(HURRY);
-        self.poll_interval() / if hurries { HURRIED } else { 1 }
+        let is_urgent = self.is_late(now) && age < self.bound.mul_f64(FAST_POLL_FRACTION);
+        self.poll_interval() / if is_urgent { FAST_POLL_FACTOR } else { 1 }
     }
 }
 
 /// The shortest and the longest wait of a read for the next change, in seconds.
 ///
 /// Each read has its price, and changes are minutes apart.
-const WAITS: std::ops::Range<f64> = 15.0..25.0;
+const LONG_POLL_SECONDS: std::ops::Range<f64> = 15.0..25.0;
 
 /// How long each read waits for the next change.
 ///
@@ -138,6 +142,6 @@
 
     /// Returns the wait of the next read.
     pub fn sample(&mut self) -> Duration {
-        Duration::from_secs_f64(self.0.random_range(WAITS))
+        Duration::from_secs_f64(self.0.random_range(LONG_POLL_SECONDS))
     }
 }
--- a/lib/src/serving/owners.rs
+++ b/lib/src/serving/owners.rs
@@ -22,36 +22,36 @@
 use crate::units::MilliCores;
 
 /// How long a silent node is passed over before it is tried again.
-const SILENT: Duration = Duration::from_millis(1_500);
+const SILENCE_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// How long a node that can't read the registry is passed over as a reader.
 ///
 /// Without this all nodes read for themselves while the first one is cut off:
 /// 18 reads a second at 22 nodes, and 280 at 340.
-const UNREAD: Duration = Duration::from_secs(5);
+const READER_PAUSE: Duration = Duration::from_secs(5);
 
 /// The nodes that may read the registry for all.
 ///
 /// While the registry is away for everyone nobody can, and each node that asks
 /// them all in turn would ask hundreds. Three are away together rarely enough.
-const READERS: usize = 3;
+const READERS_MAX: usize = 3;
 
 /// The nodes that count the ends of endpoints under one request.
 ///
 /// Two: what one of them counted is not lost with it.
-const COUNTERS: usize = 2;
+const CRASH_COUNTERS: usize = 2;
 
 /// How long a node that was not heard of is remembered.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+const PEER_RETENTION: Duration = Duration::from_mins(1);
 
 /// The part of the strongest node's power from which a node may own services.
 ///
 /// Half: hosts of one kind, said a little differently, stay together, and a
 /// host of a fifth of the others' power stays out.
-const STRONG: f64 = 0.5;
+const STRONG_FRACTION: f64 = 0.5;
 
 /// What nodes are ranked by to read for all; no service has such a name.
-const READER: &str = "configuration, of all nodes";
+const READER_SUBJECT: &str = "configuration, of all nodes";
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
@@ -59,11 +59,11 @@
 struct Peer {
     /// The power of its host, once it is known.
     power: Option<MilliCores>,
-    heard: Time,
+    last_heard: Time,
     answered: bool,
-    silent: Time,
+    silent_until: Time,
     /// Until when it is not asked to read the registry for others.
-    unread: Time,
+    cannot_read_until: Time,
     leaving: bool,
     /// When this was last news, as a number of [`Owners::news`].
     changed: u64,
@@ -78,12 +78,12 @@
     power: MilliCores,
     leaving: bool,
     /// Whether this node can't read the registry itself.
-    unread: bool,
+    cannot_read: bool,
     /// This node's rank among those that may read the registry for all.
     rank: u64,
     peers: BTreeMap<SocketAddr, Peer>,
     /// Counts the news about other nodes.
-    news: u64,
+    last_change: u64,
 }
 
 impl Owners {
@@ -91,13 +91,13 @@
     #[must_use]
     pub fn new(own: SocketAddr, power: MilliCores) -> Self {
         Self {
-            rank: rank(READER, &own),
+            rank: rank(READER_SUBJECT, &own),
             own,
             power,
             leaving: false,
-            unread: false,
+            cannot_read: false,
             peers: BTreeMap::new(),
-            news: 0,
+            last_change: 0,
         }
     }
 
@@ -112,16 +112,16 @@
         if peer == self.own || self.peers.contains_key(&peer) {
             return false;
         }
-        self.news += 1;
+        self.last_change += 1;
         let known = Peer {
             power: None,
-            heard: now,
+            last_heard: now,
             answered: false,
-            silent: Time::ZERO,
-            unread: Time::ZERO,
+            silent_until: Time::ZERO,
+            cannot_read_until: Time::ZERO,
             leaving: false,
-            changed: self.news,
-            rank: rank(READER, &peer),
+            changed: self.last_change,
+            rank: rank(READER_SUBJECT, &peer),
         };
         self.peers.insert(peer, known);
         true
@@ -132,9 +132,9 @@
         if let Some(known) = self.peers.get_mut(&peer)
             && known.power != Some(power)
         {
-            self.news += 1;
+            self.last_change += 1;
             known.power = Some(power);
-            known.changed = self.news;
+            known.changed = self.last_change;
         }
     }
 
@@ -142,14 +142,14 @@
     pub fn mark_heard(&mut self, now: Time, peer: SocketAddr) {
         self.discover(now, peer);
         if let Some(known) = self.peers.get_mut(&peer) {
-            known.heard = now;
+            known.last_heard = now;
             known.answered = true;
             // It was left out of what others were told meanwhile.
-            if known.silent > Time::ZERO {
-                self.news += 1;
-                known.changed = self.news;
+            if known.silent_until > Time::ZERO {
+                self.last_change += 1;
+                known.changed = self.last_change;
             }
-            known.silent = Time::ZERO;
+            known.silent_until = Time::ZERO;
         }
     }
 
@@ -168,28 +168,33 @@
     /// Notes that a node did not answer in time.
     pub fn mark_silent(&mut self, now: Time, peer: SocketAddr) {
         if let Some(known) = self.peers.get_mut(&peer) {
-            known.silent = now + SILENT;
+            known.silent_until = now + SILENCE_PAUSE;
         }
-        self.peers.retain(|_, p| now.since(p.heard) < FORGOTTEN);
+        self.peers
+            .retain(|_, p| now.since(p.last_heard) < PEER_RETENTION);
     }
 
     /// Notes whether a node can't read the registry itself.
-    pub fn set_cannot_read(&mut self, now: Time, peer: SocketAddr, unread: bool) {
+    pub fn set_cannot_read(&mut self, now: Time, peer: SocketAddr, cannot_read: bool) {
         if let Some(known) = self.peers.get_mut(&peer) {
-            known.unread = if unread { now + UNREAD } else { Time::ZERO };
+            known.cannot_read_until = if cannot_read {
+                now + READER_PAUSE
+            } else {
+                Time::ZERO
+            };
         }
     }
 
     /// Notes whether this node can't read the registry itself.
-    pub const fn set_own_cannot_read(&mut self, unread: bool) {
-        self.unread = unread;
+    pub const fn set_own_cannot_read(&mut self, cannot_read: bool) {
+        self.cannot_read = cannot_read;
     }
 
     /// Returns when a node last answered; the start of time if it never did.
     #[must_use]
     pub fn last_heard(&self, peer: SocketAddr) -> Time {
         let answered = self.peers.get(&peer).filter(|p| p.answered);
-        answered.map_or(Time::ZERO, |p| p.heard)
+        answered.map_or(Time::ZERO, |p| p.last_heard)
     }
 
     /// Tells whether any other node has answered.
@@ -200,7 +205,7 @@
 
     /// Returns the other nodes that are not silent, and their hosts' power.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (SocketAddr, Option<MilliCores>)> {
-        let live = move |p: &Peer| p.silent <= now;
+        let live = move |p: &Peer| p.silent_until <= now;
         self.peers
             .iter()
             .filter(move |(_, p)| live(p))
@@ -210,7 +215,7 @@
     /// Returns the number of the last news about other nodes.
     #[must_use]
     pub const fn last_change(&self) -> u64 {
-        self.news
+        self.last_change
     }
 
     /// Returns the nodes that are not silent and of which there was news since
@@ -220,8 +225,8 @@
         now: Time,
         since: u64,
     ) -> impl Iterator<Item = (SocketAddr, Option<MilliCores>)> {
-        let news = move |p: &Peer| p.silent <= now && p.changed > since;
-        let found = self.peers.iter().filter(move |(_, p)| news(p));
+        let is_changed = move |p: &Peer| p.silent_until <= now && p.changed > since;
+        let found = self.peers.iter().filter(move |(_, p)| is_changed(p));
         found.map(|(&a, p)| (a, p.power))
     }
 
@@ -257,7 +262,7 @@
         let ranked = nodes.into_iter().map(|a| (rank(&subject, &a), a));
         let mut ranked: Vec<(u64, SocketAddr)> = ranked.collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let counters = ranked.into_iter().take(COUNTERS);
+        let counters = ranked.into_iter().take(CRASH_COUNTERS);
         counters.map(|(_, node)| node).collect()
     }
 
@@ -279,7 +284,7 @@
         };
         let mut ranked: Vec<(u64, SocketAddr)> = self.strong(now).map(|a| rank(&a)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let mut readers = ranked.iter().take(READERS).map(|&(_, node)| node);
+        let mut readers = ranked.iter().take(READERS_MAX).map(|&(_, node)| node);
         let first = readers.clone().next();
         let able = readers.find(|a| !self.cannot_read(now, a));
         able.or(first).unwrap_or(self.own)
@@ -287,20 +292,20 @@
 
     fn cannot_read(&self, now: Time, node: &SocketAddr) -> bool {
         let peer = self.peers.get(node);
-        peer.map_or(self.unread, |p| p.unread > now)
+        peer.map_or(self.cannot_read, |p| p.cannot_read_until > now)
     }
 
     /// Returns the nodes on strong hosts that neither leave nor are silent.
     fn strong(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let usable = self.peers.iter();
-        let usable = usable.filter(|(_, p)| p.silent <= now && !p.leaving);
+        let usable = usable.filter(|(_, p)| p.silent_until <= now && !p.leaving);
         // One of unknown power is taken for as strong as this node: a node that
         // has just been heard of says its power with its first answer.
         let others = usable.map(|(&address, p)| (address, p.power.unwrap_or(self.power)));
         let own = (!self.leaving).then_some((self.own, self.power));
         let all: Vec<(SocketAddr, MilliCores)> = others.chain(own).collect();
         let most = all.iter().map(|(_, power)| power.0).max();
-        let least = f64::from(most.unwrap_or_default()) * STRONG;
+        let least = f64::from(most.unwrap_or_default()) * STRONG_FRACTION;
         let strong = move |power: MilliCores| f64::from(power.0) >= least;
         all.into_iter()
             .filter_map(move |(a, power)| strong(power).then_some(a))
--- a/lib/src/serving/registry_polling.rs
+++ b/lib/src/serving/registry_polling.rs
@@ -17,21 +17,21 @@
 ///
 /// Choosing, connecting and sending take some ten milliseconds, and some hundred
 /// on a slow host.
-const SEND_TIME: Duration = Duration::from_millis(400);
+const DISPATCH_TIME: Duration = Duration::from_millis(400);
 
 /// The failed reads in a row after which a node does not read for others.
 ///
 /// A single answer is lost now and then.
-const FAILURES: u32 = 2;
+const FAILED_READS_MAX: u32 = 2;
 
 /// How long a node that fails to read leaves it to others before it tries again.
-const BARRED: Duration = Duration::from_secs(5);
+const READER_SUSPENSION: Duration = Duration::from_secs(5);
 
 /// The shortest time between two lists that are read because copies differ.
 ///
 /// A difference that a list does not mend must not make every node read it again
 /// with each look.
-const DIFFERS_PAUSE: Duration = Duration::from_secs(15);
+const MISMATCH_INTERVAL: Duration = Duration::from_secs(15);
 
 /// What nodes keep a copy of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -64,17 +64,17 @@
 pub struct RegistryPolling {
     config: Freshness,
     endpoints: Freshness,
-    looked: Time,
+    last_poll: Time,
     /// The first look that was not answered.
-    waits: Option<(SocketAddr, Time)>,
+    unanswered: Option<(SocketAddr, Time)>,
     /// When another node last took this one for the reader.
-    asked: Option<Time>,
+    last_polled: Option<Time>,
     /// Since when this node reads for others.
-    first_since: Option<Time>,
+    reader_since: Option<Time>,
     failures: u32,
-    barred: Time,
+    suspended_until: Time,
     /// When a list was last due because copies differed.
-    differed: Option<Time>,
+    last_mismatch: Option<Time>,
 }
 
 impl RegistryPolling {
@@ -86,55 +86,55 @@
     pub const fn new(change: Duration, notice: Duration) -> Self {
         Self {
             config: Freshness::new(change),
-            endpoints: Freshness::new(notice.saturating_sub(SEND_TIME)),
-            looked: Time::ZERO,
-            waits: None,
-            asked: None,
-            first_since: None,
+            endpoints: Freshness::new(notice.saturating_sub(DISPATCH_TIME)),
+            last_poll: Time::ZERO,
+            unanswered: None,
+            last_polled: None,
+            reader_since: None,
             failures: 0,
-            barred: Time::ZERO,
-            differed: None,
+            suspended_until: Time::ZERO,
+            last_mismatch: None,
         }
     }
 
     /// Notes that a copy differs from another node's; tells whether it is to be
     /// read anew.
     pub fn on_mismatch(&mut self, now: Time) -> bool {
-        let lately = |at| now.since(at) < DIFFERS_PAUSE;
-        if self.differed.is_some_and(lately) {
+        let recently = |at| now.since(at) < MISMATCH_INTERVAL;
+        if self.last_mismatch.is_some_and(recently) {
             return false;
         }
-        self.differed = Some(now);
+        self.last_mismatch = Some(now);
         true
     }
 
     /// Returns how recent a copy is.
     #[must_use]
-    pub const fn freshness(&self, kept: ReplicaKind) -> &Freshness {
-        match kept {
+    pub const fn freshness(&self, kind: ReplicaKind) -> &Freshness {
+        match kind {
             ReplicaKind::Config => &self.config,
             ReplicaKind::Endpoints => &self.endpoints,
         }
     }
 
     /// Notes that a copy held everything that was confirmed by `at`.
-    pub fn confirm(&mut self, kept: ReplicaKind, at: Time) {
-        match kept {
+    pub fn confirm(&mut self, kind: ReplicaKind, at: Time) {
+        match kind {
             ReplicaKind::Config => self.config.confirm(at),
             ReplicaKind::Endpoints => self.endpoints.confirm(at),
         }
     }
 
     /// Notes whether a read of the registry worked.
-    pub fn on_read(&mut self, now: Time, worked: bool) {
-        if worked {
+    pub fn on_read(&mut self, now: Time, succeeded: bool) {
+        if succeeded {
             self.failures = 0;
-            self.barred = Time::ZERO;
+            self.suspended_until = Time::ZERO;
             return;
         }
         self.failures += 1;
-        if self.failures >= FAILURES {
-            self.barred = now + BARRED;
+        if self.failures >= FAILED_READS_MAX {
+            self.suspended_until = now + READER_SUSPENSION;
         }
     }
 
@@ -143,30 +143,30 @@
     /// Nodes that start together all lack their copies, and the registry has them
     /// on its way. Asked of each other, lists of thousands would fill their links.
     #[must_use]
-    pub fn is_registry_unreachable(&self, now: Time, kept: ReplicaKind) -> bool {
-        self.failures > 0 && self.is_stale(now, kept)
+    pub fn is_registry_unreachable(&self, now: Time, kind: ReplicaKind) -> bool {
+        self.failures > 0 && self.is_stale(now, kind)
     }
 
     /// Tells whether a copy is so old that this node reads for itself.
     #[must_use]
-    pub fn is_stale(&self, now: Time, kept: ReplicaKind) -> bool {
-        let freshness = self.freshness(kept);
+    pub fn is_stale(&self, now: Time, kind: ReplicaKind) -> bool {
+        let freshness = self.freshness(kind);
         freshness.cannot_read(freshness.age(now))
     }
 
     /// Tells whether this node can't read the registry for others.
     #[must_use]
     pub fn cannot_read(&self, now: Time) -> bool {
-        let stale = REPLICA_KINDS.iter().any(|&kept| self.is_stale(now, kept));
+        let stale = REPLICA_KINDS.iter().any(|&kind| self.is_stale(now, kind));
         let settled = |since| now.since(since) > self.poll_interval();
-        let late = self.first_since.is_some_and(settled) && self.is_late(now);
-        stale || late || self.barred > now
+        let late = self.reader_since.is_some_and(settled) && self.is_late(now);
+        stale || late || self.suspended_until > now
     }
 
     fn is_late(&self, now: Time) -> bool {
         REPLICA_KINDS
             .iter()
-            .any(|&kept| self.freshness(kept).is_late(now))
+            .any(|&kind| self.freshness(kind).is_late(now))
     }
 
     /// Tells whether this node reads the registry for others.
@@ -174,23 +174,23 @@
     /// One whose own reads fail looks at the next one, as all others do.
     pub fn is_reader(&mut self, now: Time, owners: &mut Owners) -> bool {
         owners.set_own_cannot_read(self.cannot_read(now));
-        let asked = self
-            .asked
+        let polled_recently = self
+            .last_polled
             .is_some_and(|at| now.since(at) < 2 * self.poll_interval());
-        let first = asked || owners.reader(now) == owners.own();
-        self.first_since = first.then(|| self.first_since.unwrap_or(now));
-        first
+        let is_reader = polled_recently || owners.reader(now) == owners.own();
+        self.reader_since = is_reader.then(|| self.reader_since.unwrap_or(now));
+        is_reader
     }
 
     /// Notes that another node took this one for the reader.
     pub const fn on_polled(&mut self, now: Time) {
-        self.asked = Some(now);
+        self.last_polled = Some(now);
     }
 
     /// Returns when this node reads a topic; `first` if it does so for others.
     #[must_use]
-    pub fn read_at(&self, kept: ReplicaKind, first: bool) -> Time {
-        self.freshness(kept).read_at(first)
+    pub fn read_at(&self, kind: ReplicaKind, is_reader: bool) -> Time {
+        self.freshness(kind).read_at(is_reader)
     }
 
     /// Returns the pause between two looks at the node that reads for all.
@@ -203,14 +203,14 @@
 
     /// Returns that pause as of now: shorter while another reader takes over.
     fn poll_interval_at(&self, now: Time) -> Duration {
-        let pauses = REPLICA_KINDS.map(|kept| self.freshness(kept).poll_interval_at(now));
+        let pauses = REPLICA_KINDS.map(|kind| self.freshness(kind).poll_interval_at(now));
         pauses.into_iter().min().unwrap_or_default()
     }
 
     /// Returns when to look at the node that reads for all.
     #[must_use]
     pub fn next_poll(&self, now: Time) -> Time {
-        self.looked + self.poll_interval_at(now)
+        self.last_poll + self.poll_interval_at(now)
     }
 
     /// Returns the node to look at now, if it is time and not this one's turn
@@ -219,35 +219,35 @@
         if now < self.next_poll(now) {
             return None;
         }
-        self.looked = now;
+        self.last_poll = now;
         self.skip_silent_reader(now, owners);
         owners.set_own_cannot_read(self.cannot_read(now));
         let reader = owners.reader(now);
         if reader == owners.own() {
-            self.waits = None;
+            self.unanswered = None;
             return None;
         }
-        if self.waits.is_none_or(|(node, _)| node != reader) {
-            self.waits = Some((reader, now));
+        if self.unanswered.is_none_or(|(node, _)| node != reader) {
+            self.unanswered = Some((reader, now));
         }
         Some(reader)
     }
 
     /// Leaves a reader that has not answered while its answer grows urgent.
     fn skip_silent_reader(&mut self, now: Time, owners: &mut Owners) {
-        let Some((node, since)) = self.waits else {
+        let Some((node, since)) = self.unanswered else {
             return;
         };
         if self.is_late(now) && now.since(since) > 2 * self.poll_interval_at(now) {
             owners.set_cannot_read(now, node, true);
-            self.waits = None;
+            self.unanswered = None;
         }
     }
 
     /// Notes that a node is lost: it may have been the one that reads.
     pub fn on_peer_lost(&mut self, node: SocketAddr) {
-        self.looked = Time::ZERO;
-        self.waits = self.waits.filter(|(waits, _)| *waits != node);
+        self.last_poll = Time::ZERO;
+        self.unanswered = self.unanswered.filter(|(peer, _)| *peer != node);
     }
 
     /// Takes in what a node said of itself when it was looked at.
@@ -259,20 +259,20 @@
         now: Time,
         owners: &mut Owners,
         (peer, sent): (SocketAddr, Time),
-        told: ReplicaStatus,
+        status: ReplicaStatus,
     ) {
         let sent = sent.min(now);
-        self.waits = self.waits.filter(|(waits, _)| *waits != peer);
-        if let Some(age) = told.config_age {
+        self.unanswered = self.unanswered.filter(|(node, _)| *node != peer);
+        if let Some(age) = status.config_age {
             self.config.confirm(sent - age);
         }
-        if let Some(age) = told.endpoints_age {
+        if let Some(age) = status.endpoints_age {
             self.endpoints.confirm(sent - age);
         }
-        let asked = owners.reader(now) == peer;
-        owners.set_cannot_read(now, peer, told.cannot_read);
-        if asked && owners.reader(now) != peer {
-            self.looked = Time::ZERO;
+        let was_reader = owners.reader(now) == peer;
+        owners.set_cannot_read(now, peer, status.cannot_read);
+        if was_reader && owners.reader(now) != peer {
+            self.last_poll = Time::ZERO;
         }
     }
 }
--- a/lib/src/serving/releases.rs
+++ b/lib/src/serving/releases.rs
@@ -18,19 +18,19 @@
 ///
 /// Its last frame may have left before it read ours, and it tells endpoints of
 /// several results at once, after up to a quarter of a second.
-const UNSURE: Duration = Duration::from_millis(500);
+const UNCERTAINTY: Duration = Duration::from_millis(500);
 
 /// How long a result is remembered.
 ///
 /// Endpoints drop results by themselves after a few seconds; an owner that was
 /// silent for longer than this has nothing left to be told.
-const REMEMBERED: Duration = Duration::from_secs(5);
+const RETENTION: Duration = Duration::from_secs(5);
 
 /// Results of one service and the endpoints that hold them.
 pub type HeldResults = Vec<(EndpointId, String)>;
 
 #[derive(Debug, Clone)]
-struct Told {
+struct Release {
     at: Time,
     owner: SocketAddr,
     service: PoolName,
@@ -40,7 +40,7 @@
 /// What this node gave back lately.
 #[derive(Debug, Clone, Default)]
 pub struct RecentReleases {
-    told: VecDeque<Told>,
+    releases: VecDeque<Release>,
 }
 
 impl RecentReleases {
@@ -52,11 +52,11 @@
         service: &PoolName,
         results: &HeldResults,
     ) {
-        let old = |t: &Told| now.since(t.at) > REMEMBERED;
-        while self.told.front().is_some_and(old) {
-            self.told.pop_front();
+        let is_old = |r: &Release| now.since(r.at) > RETENTION;
+        while self.releases.front().is_some_and(is_old) {
+            self.releases.pop_front();
         }
-        self.told.push_back(Told {
+        self.releases.push_back(Release {
             at: now,
             owner,
             service: service.clone(),
@@ -69,19 +69,22 @@
         &mut self,
         now: Time,
         owner: SocketAddr,
-        heard: Time,
+        last_heard: Time,
     ) -> BTreeMap<PoolName, HeldResults> {
-        let since = heard - UNSURE;
+        let since = last_heard - UNCERTAINTY;
         let mut missed: BTreeMap<PoolName, HeldResults> = BTreeMap::new();
-        let held = std::mem::take(&mut self.told);
-        for told in held {
-            if now.since(told.at) > REMEMBERED {
+        let releases = std::mem::take(&mut self.releases);
+        for release in releases {
+            if now.since(release.at) > RETENTION {
                 continue;
             }
-            if told.owner == owner && told.at >= since {
-                missed.entry(told.service).or_default().extend(told.results);
+            if release.owner == owner && release.at >= since {
+                missed
+                    .entry(release.service)
+                    .or_default()
+                    .extend(release.results);
             } else {
-                self.told.push_back(told);
+                self.releases.push_back(release);
             }
         }
         missed
--- a/lib/src/serving/replica.rs
+++ b/lib/src/serving/replica.rs
@@ -30,13 +30,13 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredRecord {
     record: Record,
     /// The offset of the record that last brought something new.
     changed: Offset,
 }
 
-impl Held {
+impl StoredRecord {
     fn at_change(&self) -> Record {
         Record {
             offset: self.changed,
@@ -48,10 +48,10 @@
 /// A copy of the newest record of each key.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
-    records: BTreeMap<String, Held>,
+    records: BTreeMap<String, StoredRecord>,
     next: Offset,
     /// Dropped keys below this offset may be forgotten.
-    forgotten: Offset,
+    forgotten_below: Offset,
 }
 
 impl Replica {
@@ -91,26 +91,26 @@
         next: Offset,
         mut is_change: impl FnMut(&Record) -> bool,
     ) -> Vec<Record> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for record in records {
             if !self.is_newer(&record) {
                 continue;
             }
-            let held = self.records.get(&record.key);
-            let before = held.map_or(record.offset, |h| h.changed);
+            let stored = self.records.get(&record.key);
+            let before = stored.map_or(record.offset, |h| h.changed);
             let changed = is_change(&record);
-            let held = Held {
+            let stored = StoredRecord {
                 changed: if changed { record.offset } else { before },
                 record: record.clone(),
             };
-            self.records.insert(record.key.clone(), held);
+            self.records.insert(record.key.clone(), stored);
             if changed {
-                news.push(record);
+                changes.push(record);
             }
         }
         self.next = self.next.max(next);
         self.forget_dropped_keys();
-        news
+        changes
     }
 
     /// Takes in a list of all keys as of `end` and returns what is newer.
@@ -130,20 +130,20 @@
     ) -> Vec<Record> {
         let listed: BTreeMap<String, Record> =
             records.into_iter().map(|r| (r.key.clone(), r)).collect();
-        let dropped = |held: &&Record| {
-            held.value.is_some() && held.offset < end && !listed.contains_key(&held.key)
+        let dropped = |stored: &&Record| {
+            stored.value.is_some() && stored.offset < end && !listed.contains_key(&stored.key)
         };
         let last = Offset(end.0.saturating_sub(1));
-        let held = self.records.values().map(|h| &h.record);
-        let gone: Vec<Record> = held.filter(dropped).cloned().collect();
-        let gone = gone.into_iter().map(|held| Record {
+        let stored = self.records.values().map(|h| &h.record);
+        let dropped: Vec<Record> = stored.filter(dropped).cloned().collect();
+        let dropped = dropped.into_iter().map(|stored| Record {
             value: None,
             // A list that ends right behind the held record still says that
             // the key is gone; the record must pass for newer.
-            offset: last.max(held.offset.next()),
-            key: held.key,
+            offset: last.max(stored.offset.next()),
+            key: stored.key,
         });
-        let mut all: Vec<Record> = gone.collect();
+        let mut all: Vec<Record> = dropped.collect();
         all.extend(listed.into_values());
         self.extend_with(all, end, is_change)
     }
@@ -161,22 +161,22 @@
     /// `None` if keys that were dropped since then are forgotten.
     #[must_use]
     pub fn changes_since(&self, from: Offset) -> Option<Vec<Record>> {
-        if from.0 > 0 && from < self.forgotten {
+        if from.0 > 0 && from < self.forgotten_below {
             return None;
         }
         let newer = self.records.values().filter(|h| h.changed >= from);
         // Someone who has nothing yet knows no dropped key either.
         let newer = newer.filter(|h| from.0 > 0 || h.record.value.is_some());
-        Some(newer.map(Held::at_change).collect())
+        Some(newer.map(StoredRecord::at_change).collect())
     }
 
     fn is_newer(&self, record: &Record) -> bool {
-        let held = self.records.get(&record.key);
-        held.is_none_or(|h| h.record.offset < record.offset)
+        let stored = self.records.get(&record.key);
+        stored.is_none_or(|h| h.record.offset < record.offset)
     }
 
     fn forget_dropped_keys(&mut self) {
-        let dropped = |h: &&Held| h.record.value.is_none();
+        let dropped = |h: &&StoredRecord| h.record.value.is_none();
         let mut all: Vec<Offset> = self
             .records
             .values()
@@ -188,9 +188,9 @@
         }
         // Half at once, so that this is not done for each key.
         all.sort();
-        self.forgotten = all[all.len() / 2];
-        let forgotten = self.forgotten;
+        self.forgotten_below = all[all.len() / 2];
+        let forgotten_below = self.forgotten_below;
         self.records
-            .retain(|_, h| h.record.value.is_some() || h.changed >= forgotten);
+            .retain(|_, h| h.record.value.is_some() || h.changed >= forgotten_below);
     }
 }
--- a/lib/src/serving/slices.rs
+++ b/lib/src/serving/slices.rs
@@ -55,20 +55,20 @@
     /// It belongs to the oldest record that the reader lacks: records that come
     /// in the order of their offsets leave no gap, wherever the reader stops.
     #[must_use]
-    pub fn slice(&self, ask: SliceRequest) -> Option<Slice> {
-        let first = self.first_change_from(ask.from)?;
-        let value = first.value.as_deref();
-        let begun = if first.offset == ask.offset {
-            ask.at
+    pub fn slice(&self, request: SliceRequest) -> Option<Slice> {
+        let oldest = self.first_change_from(request.from)?;
+        let value = oldest.value.as_deref();
+        let start = if oldest.offset == request.offset {
+            request.at
         } else {
             0
         };
-        let rest = value.and_then(|v| v.get(usize::try_from(begun).ok()?..));
+        let rest = value.and_then(|v| v.get(usize::try_from(start).ok()?..));
         let rest = rest.unwrap_or_default();
         Some(Slice {
-            key: first.key.clone(),
-            offset: first.offset,
-            at: begun,
+            key: oldest.key.clone(),
+            offset: oldest.offset,
+            at: start,
             total: value.map(|v| v.len() as u64),
             data: rest[..rest.len().min(SLICE_MAX_BYTES)].to_vec(),
         })
