--- a/lib/src/serving/bookings.rs
+++ b/lib/src/serving/bookings.rs
@@ -1,13 +1,14 @@
-//! Which endpoint of a model reads a prompt, decided where all prompts are known.
+//! Placement of prompts on a model's endpoints, at the node that books them.
 //!
-//! A node among a hundred sees one request in a hundred. What an endpoint reported
-//! with an answer is seconds old when the node next chooses, so that each node
-//! chooses as if all endpoints were idle: a few have several prompts before them
-//! while most have none. Here the prompts of a part of a model's endpoints are
-//! booked at one node, which knows what each endpoint still has to read.
+//! A node among a hundred sees one request in a hundred. The load that an
+//! endpoint reported with a response is seconds old when the node next chooses,
+//! so each node chooses as if all endpoints were idle: a few get several
+//! prompts queued while most have none. The prompts of one shard of a model's
+//! endpoints are therefore booked at one node, which knows what each endpoint
+//! still has to read.
 //!
-//! All costs are in prompt tokens: what is before a request, what it has to read
-//! itself, and what it costs to read its inputs in another failure domain.
+//! All costs are in prompt tokens: the backlog of the endpoint, the request's
+//! own tokens, and the cost of reading its inputs from another failure domain.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,64 +22,68 @@
 use crate::ids::PoolName;
 use crate::time::Time;
 
-/// The endpoints of a service from which on their bookings are split.
+/// The minimum number of endpoints per shard when the bookings of a service are
+/// split.
 ///
-/// Among 32 some are idle at any load that the service can bear. One node would
-/// otherwise place all requests of the largest service.
+/// Among 32 endpoints some are idle at any load that the service can sustain.
+/// Without the split one node would place all requests of the largest service.
 const SHARD_ENDPOINTS: usize = 32;
 
-/// How long an endpoint is taken to keep a prompt's shared part.
+/// How long an endpoint is assumed to cache the shared prefix of a prompt.
 ///
-/// An engine at work has read its whole memory anew in about half a minute.
+/// A busy engine overwrites its whole cache in about half a minute.
 const PREFIX_RETENTION: Duration = Duration::from_secs(30);
 
-/// How long a booking lasts whose end nobody told.
+/// The maximum lifetime of a booking whose end was not reported.
 ///
-/// Answers take seconds. A lost word must not make an endpoint look busy for good.
+/// Responses take seconds. A lost message must not make an endpoint look busy
+/// forever.
 const BOOKING_MAX: Duration = Duration::from_secs(30);
 
-/// The time between two looks for what has run out.
+/// The interval between two sweeps of expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The tokens that a running answer is taken for.
+/// The cost of a running call in tokens.
 ///
-/// Each makes the others' steps half a hundredth longer.
+/// Each call makes the steps of the others half a hundredth longer.
 const CALL_TOKENS: f32 = 64.0;
 
-/// How much a token that has to be read counts, against one that waits.
+/// The cost of a token that the request itself has to read, relative to one in
+/// the backlog.
 ///
-/// What is read again keeps later prompts waiting, too.
+/// Reading the prefix again delays later prompts, too.
 const READ_WEIGHT: f32 = 1.5;
 
-/// How many times slower than its peers an endpoint counts as slow.
+/// The ratio to the typical slowness of its peers above which an endpoint
+/// counts as slow.
 const SLOW_RATIO: f32 = 2.5;
 
 /// The weight of an endpoint's failures in its cost.
 const FAILURE_WEIGHT: f32 = 8.0;
 
-/// What the worst of all endpoints costs more than any other: it is paused.
+/// The additional cost of a paused endpoint, so that it is chosen last.
 const PAUSED_COST: f32 = 1e9;
 
-/// A part of a service's endpoints, whose bookings meet at one node.
+/// A subset of a service's endpoints that is booked at one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Shard {
-    /// Its number, from 0.
+    /// The index of the shard, from 0.
     pub index: u32,
-    /// How many there are.
+    /// The number of shards.
     pub count: u32,
 }
 
 impl Shard {
-    /// Returns the number of parts for so many endpoints.
+    /// Returns the number of shards for a number of endpoints.
     ///
-    /// A power of two, so that few numbers of endpoints lie at a change.
+    /// It is a power of two, so that it changes at few numbers of endpoints.
     #[must_use]
     pub fn count(endpoints: usize) -> u32 {
         let shards = (endpoints / SHARD_ENDPOINTS).max(1);
         1 << shards.ilog2()
     }
 
-    /// Returns the part that an endpoint belongs to.
+    /// Returns the shard of an endpoint.
     #[must_use]
     pub fn of(id: &EndpointId, count: u32) -> Self {
         let index = rank(0, id) % u64::from(count.max(1));
@@ -89,7 +94,7 @@
     }
 }
 
-/// Numbers a booking by the link that it came over, 0 for this node's own.
+/// Identifies a booking by the link that it arrived on, 0 for this node's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BookingId {
     /// The link.
@@ -98,27 +103,27 @@
     pub number: u64,
 }
 
-/// What a request asks of its endpoint.
+/// The properties of a request that determine its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PlacementRequest {
-    /// The hash of its shared part; `None` if that is not worth keeping to.
+    /// The hash of its shared prefix; `None` if reuse is not worthwhile.
     pub prefix: Option<u64>,
-    /// The tokens of its shared part.
+    /// The tokens of its shared prefix.
     pub shared_tokens: u32,
-    /// The tokens of its own.
+    /// The tokens of its own part.
     pub own_tokens: u32,
-    /// Where its inputs lie.
+    /// The failure domain of its inputs.
     pub input_domain: Option<FailureDomain>,
-    /// What it costs to read them in another failure domain, in tokens.
+    /// The cost of reading them from another failure domain, in tokens.
     pub remote_cost: u32,
-    /// Endpoints that are not to be taken, unless there is no other.
+    /// Endpoints to avoid unless there is no other.
     pub avoid: Vec<EndpointId>,
 }
 
 #[derive(Debug, Clone)]
 struct Booking {
     endpoint: EndpointId,
-    /// What it has not read yet.
+    /// The tokens that the endpoint has not read yet.
     pending_tokens: u32,
     since: Time,
 }
@@ -136,7 +141,7 @@
     last_used: Time,
 }
 
-/// The requests that are under way at a part of a service's endpoints.
+/// The requests in flight at one shard of a service's endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Bookings {
     bookings: BTreeMap<BookingId, Booking>,
@@ -193,7 +198,8 @@
         Some(endpoint)
     }
 
-    /// Notes that a request's prompt has been read; tells where it was booked.
+    /// Records that a request's prompt was read. Returns the endpoint where it
+    /// was booked.
     pub fn on_prompt_read(&mut self, id: BookingId) -> Option<&EndpointId> {
         let booking = self.bookings.get_mut(&id)?;
         let read = std::mem::take(&mut booking.pending_tokens);
@@ -203,7 +209,8 @@
         Some(&booking.endpoint)
     }
 
-    /// Notes that a request has ended; tells where it was booked.
+    /// Records that a request has ended. Returns the endpoint where it was
+    /// booked.
     pub fn end(&mut self, id: BookingId) -> Option<EndpointId> {
         self.on_prompt_read(id)?;
         let booking = self.bookings.remove(&id)?;
@@ -216,7 +223,7 @@
         Some(booking.endpoint)
     }
 
-    /// Forgets what came over a link that is gone.
+    /// Ends all bookings that arrived on a closed link.
     pub fn end_link(&mut self, link: u64) {
         let first = BookingId { link, number: 0 };
         let last = BookingId {
@@ -233,13 +240,13 @@
         }
     }
 
-    /// Returns the number of requests under way.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn len(&self) -> usize {
         self.bookings.len()
     }
 
-    /// Tells whether no request is under way.
+    /// Returns whether no request is in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bookings.is_empty()
@@ -290,7 +297,7 @@
         tokens * slow_factor * failure_factor + queued + remote_cost + paused_cost
     }
 
-    /// Returns the shared tokens that an endpoint would have to read.
+    /// Returns the shared tokens that an endpoint does not have cached.
     fn missing_tokens(
         &self,
         request: &PlacementRequest,
--- a/lib/src/serving/catch_up.rs
+++ b/lib/src/serving/catch_up.rs
@@ -1,10 +1,11 @@
-//! Where a node that lacks the newest configuration gets it from.
+//! Selection of the source from which a node gets a configuration that it
+//! lacks.
 //!
-//! Every node reads the registry, and is told by its neighbours up to which
-//! offset they are complete. A configuration may have a megabyte: over a link of
-//! 10 Mbit/s one copy takes a second, and several at once come late together.
-//! So a copy is asked of a neighbour only if the registry's answer is not on its
-//! way, and of one neighbour at a time.
+//! Every node reads the registry, and its peers report up to which offset they
+//! are complete. A configuration may have a megabyte: over a link of 10 Mbit/s
+//! one copy takes a second, and several concurrent copies all arrive late. A
+//! copy is therefore requested from a peer only if no response of the registry
+//! is in transit, and from one peer at a time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,74 +19,74 @@
 use crate::time::Time;
 use crate::units::MilliCores;
 
-/// How long a node that lacks something waits for the answer of the read that
-/// waits for changes, before it reads anew.
+/// How long a node that is behind waits for the response to its long poll
+/// before it sends a new read.
 ///
-/// All nodes' waiting reads are answered together; the word of a neighbour may
-/// come before this node's own answer.
+/// The long polls of all nodes are answered together, and the report of a peer
+/// may arrive before this node's own response.
 pub const REGISTRY_GRACE: Duration = Duration::from_millis(200);
 
-/// How long the registry may take to begin its answer before a neighbour is
-/// asked.
+/// How long the registry may take to start its response before a peer is used.
 ///
-/// Neighbours tell of a change within some hundred milliseconds of it. The
-/// registry's own answer begins within milliseconds, and within some hundred
-/// when it is slow.
+/// Peers report a change within several hundred milliseconds. The registry's
+/// own response starts within milliseconds, and within several hundred when it
+/// is slow.
 pub const REGISTRY_PATIENCE: Duration = Duration::from_millis(600);
 
-/// The same for a node that has no configuration at all.
+/// The same limit for a node that has no configuration at all.
 ///
-/// It refuses every caller until it has one, and its first read went out before
-/// it heard of any neighbour.
+/// Such a node refuses every caller, and it sent its first read before it
+/// discovered any peer.
 pub const EMPTY_REGISTRY_PATIENCE: Duration = Duration::from_millis(100);
 
-/// How long a copy may come no further before another source is tried.
+/// How long a copy may make no progress before another source is used.
 ///
-/// As long as a neighbour may be silent: a slice takes 52 ms over an idle link
-/// of 10 Mbit/s.
+/// This equals the silence limit of a peer: a slice takes 52 ms over an idle
+/// link of 10 Mbit/s.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// The largest configuration that is asked of a neighbour at once, in bytes.
+/// The largest configuration that is requested from a peer without delay, in
+/// bytes.
 ///
-/// One slice: it takes a round trip, and no call to the registry.
+/// This is one slice: it takes one round trip, and no call to the registry.
 pub const SMALL_CONFIG_BYTES: u64 = SLICE_MAX_BYTES as u64;
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
-/// A copy on its way from a neighbour.
+/// A copy that is being received from a peer.
 #[derive(Debug, Clone, Copy)]
 struct Transfer {
     node: SocketAddr,
     last_progress: Time,
 }
 
-/// A neighbour that has more than this node.
+/// A peer that is complete up to a later offset than this node.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     next: Offset,
-    /// Whether what it has is small.
+    /// Whether its configuration fits into one slice.
     fits_in_slice: bool,
 }
 
-/// Decides whom to ask for the newest configuration, and when.
+/// Decides when to request the newest configuration, and from which peer.
 #[derive(Debug, Clone)]
 pub struct CatchUp {
     own: SocketAddr,
     complete_to: Offset,
-    /// Up to where each neighbour said that it is complete, if that is further.
+    /// The peers that reported a later offset than this node has.
     holders: BTreeMap<SocketAddr, Holder>,
     behind_since: Option<Time>,
-    /// When more of an answer last came from the registry.
+    /// When a part of the registry's response last arrived.
     last_registry_data: Option<Time>,
     /// Whether the registry's last call failed.
     registry_failed: bool,
-    /// Whether the registry was read since this node lacks something.
+    /// Whether the registry was read since this node fell behind.
     registry_read: bool,
     transfer: Option<Transfer>,
 }
 
 impl CatchUp {
-    /// Starts without a configuration.
+    /// Creates the state of a node without a configuration.
     #[must_use]
     pub const fn new(own: SocketAddr) -> Self {
         Self {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Notes the offset up to which this node is complete.
+    /// Records the offset up to which this node is complete.
     pub fn advance_to(&mut self, complete_to: Offset) {
         self.complete_to = self.complete_to.max(complete_to);
         self.holders.retain(|_, h| h.next > self.complete_to);
@@ -110,8 +111,9 @@
         }
     }
 
-    /// Notes up to where a neighbour is complete, and the bytes that it has;
-    /// tells whether this node has just learned that it lacks something.
+    /// Records the offset up to which a peer is complete, and the size of its
+    /// configuration in bytes. Returns whether this node has just learned that
+    /// it is behind.
     pub fn on_peer_offset(&mut self, now: Time, node: SocketAddr, next: Offset, size: u64) -> bool {
         if next <= self.complete_to {
             self.forget_holder(node);
@@ -133,25 +135,27 @@
         true
     }
 
-    /// Notes that more of an answer came from the registry.
+    /// Records that a part of the registry's response arrived.
     pub const fn on_registry_data(&mut self, now: Time) {
         self.last_registry_data = Some(now);
         self.registry_failed = false;
     }
 
-    /// Notes that the registry's answer has ended, or is given up.
+    /// Records that the registry's response has ended or was abandoned.
     pub const fn on_registry_end(&mut self) {
         self.last_registry_data = None;
     }
 
-    /// Notes that the registry is read for what this node may lack.
+    /// Records that a read was sent to the registry for what this node may
+    /// lack.
     pub const fn on_registry_read(&mut self) {
         self.registry_read = true;
     }
 
-    /// Returns when the registry is to be read for what this node lacks.
+    /// Returns when to read the registry for what this node lacks.
     ///
-    /// Once for each time that it falls behind; [`Self::coming_until`] bounds it.
+    /// It does so once each time that it falls behind;
+    /// [`Self::registry_active_until`] is a lower bound.
     #[must_use]
     pub fn read_at(&self) -> Time {
         let behind_since = self.behind_since.filter(|_| !self.registry_read);
@@ -163,12 +167,12 @@
         behind_since.map_or(Time::NEVER, |at| at + grace)
     }
 
-    /// Notes whether a call to the registry failed.
+    /// Records whether a call to the registry failed.
     pub const fn set_registry_failed(&mut self, failed: bool) {
         self.registry_failed = failed;
     }
 
-    /// Notes that a neighbour is lost or holds nothing newer.
+    /// Records that a peer is lost or holds nothing newer.
     pub fn forget_holder(&mut self, node: SocketAddr) {
         self.holders.remove(&node);
         if self.transfer.is_some_and(|t| t.node == node) {
@@ -179,7 +183,8 @@
         }
     }
 
-    /// Notes that a slice came from a neighbour; tells whether it was asked.
+    /// Records a slice from a peer. Returns whether the peer is the current
+    /// source.
     pub fn on_slice(&mut self, now: Time, node: SocketAddr) -> bool {
         let Some(transfer) = self.transfer.as_mut().filter(|t| t.node == node) else {
             return false;
@@ -188,14 +193,16 @@
         true
     }
 
-    /// Returns until when an answer of the registry counts as on its way.
+    /// Returns the time until which a response of the registry counts as in
+    /// transit.
     #[must_use]
     pub fn registry_active_until(&self) -> Time {
         self.last_registry_data
             .map_or(Time::ZERO, |at| at + STALL_TIMEOUT)
     }
 
-    /// Returns when to ask for the next decision; never, if nothing is missing.
+    /// Returns when the next decision is due; [`Time::NEVER`] if nothing is
+    /// missing.
     #[must_use]
     pub fn wake(&self) -> Time {
         let Some(behind_since) = self.behind_since else {
@@ -209,9 +216,9 @@
         patience.max(registry).max(transfer)
     }
 
-    /// Returns the neighbour to ask for a copy now, if one is to be asked.
+    /// Returns the peer from which to request a copy now, if any.
     ///
-    /// `live` are the nodes that answer and their hosts' power.
+    /// `live` yields the nodes that respond, with the power of their hosts.
     pub fn choose_source(
         &mut self,
         now: Time,
@@ -222,7 +229,7 @@
         }
         let stalled = self.transfer.take().map(|t| t.node);
         let Some(node) = self.best_holder(live, stalled) else {
-            // None of them answers. They say anew what they have once they do.
+            // No holder responds. They report their offsets again once they do.
             self.holders.clear();
             self.behind_since = None;
             return None;
@@ -243,15 +250,15 @@
         }
     }
 
-    /// Tells whether what is missing comes from a neighbour in one slice.
+    /// Returns whether a peer can send what is missing in one slice.
     fn fits_in_slice(&self) -> bool {
         self.holders.values().any(|h| h.fits_in_slice)
     }
 
-    /// Returns the strongest holder, the one that stalled last of all.
+    /// Returns the strongest holder; one that has just stalled ranks last.
     ///
-    /// Among equals each node has an order of its own, so that nodes that lag
-    /// together don't all ask the same one.
+    /// Among equals each node has its own order, so that nodes that are behind
+    /// together don't all use the same source.
     fn best_holder(
         &self,
         live: impl Iterator<Item = (SocketAddr, Option<MilliCores>)>,
--- a/lib/src/serving/crashes.rs
+++ b/lib/src/serving/crashes.rs
@@ -1,8 +1,9 @@
-//! Requests under which endpoints end, and which therefore are refused.
+//! Quarantine of requests that crash endpoints.
 //!
-//! Each node tells the end of an endpoint under a request to the nodes that count
-//! for this request. After the third end the request is quarantined: the node
-//! that finds this tells all others. See `docs/design/crashing-requests.md`.
+//! Each node reports the loss of an endpoint under a request to the nodes that
+//! count for this request. After the third loss the request is quarantined: the
+//! node that detects this notifies all others. See
+//! `docs/design/crashing-requests.md`.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,54 +16,57 @@
 use super::endpoint_loss::Incarnation;
 use crate::time::Time;
 
-/// The ends after which a request is quarantined.
+/// The number of lost endpoints after which a request is quarantined.
 ///
-/// A host or a rack that fails takes one or two endpoints of a request with it.
+/// A failing host or rack takes down one or two endpoints of a request.
 const END_THRESHOLD: usize = 3;
 
-/// How long an end counts, and a quarantine that is over is remembered.
+/// How long a lost endpoint counts, and how long an expired quarantine is
+/// remembered.
 ///
-/// Long against the pace at which callers come back.
+/// This is long compared to the retry interval of callers.
 const RETENTION: Duration = Duration::from_mins(10);
 
 /// The shortest and the longest quarantine.
 ///
-/// It lasts three times as long as the request has ended endpoints for: a
-/// request that is not the cause is soon tried again, one that is rarely.
+/// A quarantine lasts three times as long as the request has been losing
+/// endpoints: a harmless request is soon retried, a harmful one rarely.
 const QUARANTINE_RANGE: [Duration; 2] = [Duration::from_mins(1), Duration::from_hours(1)];
 
-/// How long a trial after a quarantine may take before there is another.
+/// How long a trial after a quarantine may take before the next one may start.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The most trials of a request until it is answered or forgotten.
+/// The maximum number of trials of a request until it is answered or forgotten.
 const TRIALS_MAX: u32 = 3;
 
-/// How much longer the next trial waits than the last one that had no verdict.
+/// The factor by which the wait grows after each trial without a verdict.
 const TRIAL_GROWTH: u32 = 4;
 
-/// What is told to be left of a quarantine that is over.
+/// The remaining time that is reported for an expired quarantine.
 const EXPIRED_REMAINING: Duration = Duration::from_millis(1);
 
-/// The difference that one more end makes to how long a quarantine lasts.
+/// The smallest extension of a quarantine that counts as a change.
 ///
-/// Each node that passes a verdict on adds the time of its way.
+/// Each node that forwards a verdict adds the transit time.
 const EXTENSION_MIN: Duration = Duration::from_secs(5);
 
-/// How much too late the first end of a verdict may seem to be.
+/// The tolerance for the first loss of a verdict appearing too late.
 ///
-/// Its age is told, and each way from node to node makes it younger.
+/// Its age is what is sent, and each hop between nodes makes the loss appear
+/// more recent.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// The most requests whose ends are counted.
+/// The maximum number of requests whose lost endpoints are counted.
 const SUSPECTS_MAX: usize = 2_048;
 
-/// The most requests of which it is known that they are, or were, quarantined.
+/// The maximum number of requests with a current or past quarantine that are
+/// remembered.
 const RECORDS_MAX: usize = 1_024;
 
-/// The most answered requests that are remembered.
+/// The maximum number of answered requests that are remembered.
 const ANSWERED_MAX: usize = 4_096;
 
-/// The hash of what makes two attempts the same request.
+/// The hash that identifies a request across attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Display)]
 #[display("{_0:032x}")]
@@ -76,27 +80,28 @@
     }
 }
 
-/// What a node tells others of a request.
+/// The quarantine state of a request, as nodes send it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Verdict {
     /// The request.
     pub request: Fingerprint,
-    /// Counts the verdicts on this request; the highest is in force.
+    /// The version of the verdict on this request; the highest takes effect.
     pub version: u32,
-    /// How long it is quarantined from now on; zero if that is lifted.
+    /// The remaining time of the quarantine; zero if it was lifted.
     pub remaining: Duration,
-    /// How long ago the first end was that led to it.
+    /// The time since the first loss that led to the verdict.
     pub first_end_age: Duration,
 }
 
-/// What became of a verdict that another node told.
+/// The effect of a verdict received from another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VerdictOutcome {
-    /// It was known.
+    /// The verdict was already known.
     Known,
-    /// It is in force now.
+    /// The verdict is new and now in effect.
     New,
-    /// The request was answered since its first end: all are to be told this.
+    /// The request was answered after its first loss: the lifting verdict has
+    /// to be sent to all nodes.
     Overruled(Verdict),
 }
 
@@ -112,16 +117,17 @@
     /// `None` if the quarantine was lifted.
     until: Option<Time>,
     first_end: Time,
-    /// When it was last changed, and the number of that change.
+    /// When the record last changed, and the number of that change.
     at: Time,
     last_change: u64,
-    /// When this node may try the request again, once it is over.
+    /// When this node may start the next trial after the quarantine has
+    /// expired.
     next_trial: Time,
-    /// The trials that this node knows of.
+    /// The trials known to this node.
     trials: u32,
 }
 
-/// What one node knows of requests under which endpoints end.
+/// Tracks the requests under which endpoints are lost, as known to one node.
 #[derive(Debug, Clone, Default)]
 pub struct CrashTracker {
     suspects: BTreeMap<Fingerprint, Vec<End>>,
@@ -132,9 +138,9 @@
 }
 
 impl CrashTracker {
-    /// Notes that an endpoint has just ended under a request.
+    /// Records that an endpoint has just ended under a request.
     ///
-    /// Returns a verdict that all other nodes are to be told.
+    /// Returns a verdict to be sent to all other nodes.
     pub fn on_end(
         &mut self,
         now: Time,
@@ -144,9 +150,9 @@
         self.on_reported_end(now, now, request, incarnation)
     }
 
-    /// Notes that an endpoint ended under a request at `at`, as it is told now.
+    /// Records a reported loss of an endpoint under a request at `at`.
     ///
-    /// Returns a verdict that all other nodes are to be told.
+    /// Returns a verdict to be sent to all other nodes.
     pub fn on_reported_end(
         &mut self,
         now: Time,
@@ -161,7 +167,8 @@
         if let Some(record) = self.records.get(&request).copied()
             && let Some(until) = record.until
         {
-            // It was under way when it was quarantined, or was tried after it.
+            // The request was in flight when it was quarantined, or was retried
+            // later.
             let is_retry = until <= at;
             let extended = until.max(at + quarantine_duration(at, record.first_end));
             if extended == until {
@@ -187,17 +194,17 @@
         Some(self.set_record(now, request, version, Some(until), first_end))
     }
 
-    /// Tells whether a request was answered whole, here or as others told,
-    /// after an end at `at`.
+    /// Returns whether a request got a complete response after a loss at `at`,
+    /// here or as reported by other nodes.
     fn is_cleared(&self, at: Time, request: Fingerprint) -> bool {
         let answered = self.answered.get(&request).copied();
         let lifted = self.records.get(&request).filter(|r| r.until.is_none());
         answered.max(lifted.map(|r| r.at)).is_some_and(|a| a > at)
     }
 
-    /// Notes that a request was answered whole.
+    /// Records that a request got a complete response.
     ///
-    /// Returns a verdict that all other nodes are to be told.
+    /// Returns a verdict to be sent to all other nodes.
     pub fn on_answered(&mut self, now: Time, request: Fingerprint) -> Option<Verdict> {
         self.suspects.remove(&request);
         self.answered.insert(request, now);
@@ -213,7 +220,7 @@
         Some(self.set_record(now, request, version, None, now))
     }
 
-    /// Takes in a verdict that another node told.
+    /// Applies a verdict that was received from another node.
     pub fn apply_verdict(&mut self, now: Time, received: Verdict) -> VerdictOutcome {
         self.sweep(now);
         let request = received.request;
@@ -221,7 +228,8 @@
         let until = (!remaining.is_zero()).then(|| now + remaining);
         let held = self.records.get(&request);
         let (version, held_until) = held.map_or((0, None), |r| (r.version, r.until));
-        // Nodes whose verdicts have the same number found it at the same time.
+        // Verdicts with the same version were reached by several nodes at the
+        // same time.
         let threshold = held_until.map(|u| u + EXTENSION_MIN);
         if (received.version, until) <= (version, threshold) {
             return VerdictOutcome::Known;
@@ -237,7 +245,7 @@
         let was_trial = held_until.is_some() && !known;
         self.set_record(now, request, received.version, until, first_end);
         if was_trial && let Some(record) = self.records.get_mut(&request) {
-            // The other node's trial ended an endpoint.
+            // A trial on the other node ended an endpoint.
             record.trials += 1;
         }
         if known {
@@ -249,7 +257,8 @@
 
     /// Returns for how much longer a request is refused.
     ///
-    /// Once the quarantine is over it is refused until a trial was answered.
+    /// After the quarantine has expired, the request is refused until a trial
+    /// was answered.
     #[must_use]
     pub fn quarantine_remaining(&self, now: Time, request: Fingerprint) -> Option<Duration> {
         let record = self.records.get(&request)?;
@@ -265,9 +274,10 @@
         })
     }
 
-    /// Tells whether a request whose quarantine is over may be tried now.
+    /// Starts a trial of a request whose quarantine has expired; returns
+    /// whether it may be sent.
     ///
-    /// To be asked at one node alone, once for each request that comes.
+    /// Call this on one node only, once for each request that arrives.
     pub fn try_start_trial(&mut self, now: Time, request: Fingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
@@ -281,14 +291,14 @@
         allowed
     }
 
-    /// Tells whether a request that is under way may go on, a trial included.
+    /// Returns whether a request in flight may continue, including a trial.
     #[must_use]
     pub fn may_continue(&self, now: Time, request: Fingerprint) -> bool {
         let until = self.records.get(&request).and_then(|r| r.until);
         until.is_none_or(|u| u <= now)
     }
 
-    /// Returns the endpoints that ended under a request that is not quarantined.
+    /// Returns the endpoints lost under a request that is not quarantined.
     pub fn lost_endpoints(&self, request: Fingerprint) -> impl Iterator<Item = &Incarnation> {
         self.suspects
             .get(&request)
@@ -297,8 +307,8 @@
             .map(|e| &e.incarnation)
     }
 
-    /// Returns the verdicts since the one numbered `since`, oldest first, `most`
-    /// of them at most, and the number to ask for the next ones.
+    /// Returns the verdicts since the change numbered `since`, oldest first and
+    /// at most `most`, and the number from which to continue.
     #[must_use]
     pub fn changes_since(&self, now: Time, since: u64, most: usize) -> (Vec<Verdict>, u64) {
         if since >= self.last_change {
@@ -321,7 +331,7 @@
         )
     }
 
-    /// Returns the latest verdicts, `most` of them at most.
+    /// Returns the latest verdicts, at most `most`.
     #[must_use]
     pub fn latest(&self, now: Time, most: usize) -> Vec<Verdict> {
         let mut changes: Vec<u64> = self.records.values().map(|r| r.last_change).collect();
@@ -330,8 +340,8 @@
         self.changes_since(now, since, most).0
     }
 
-    /// Returns the number of requests that are quarantined, and of those whose
-    /// ends are counted.
+    /// Returns the number of quarantined requests, and of requests whose lost
+    /// endpoints are counted.
     #[must_use]
     pub fn counts(&self, now: Time) -> (usize, usize) {
         let active = |r: &&Record| r.until.is_some_and(|u| u > now);
@@ -370,7 +380,8 @@
         verdict(now, request, &record)
     }
 
-    /// Forgets what has long been over. Until then one more end puts it back.
+    /// Removes records that expired long ago. Until then one more loss restores
+    /// the quarantine.
     fn sweep(&mut self, now: Time) {
         self.records
             .retain(|_, r| now.since(r.until.unwrap_or(r.at)) < RETENTION);
@@ -388,7 +399,7 @@
     }
 }
 
-/// Returns how long a request is quarantined whose first end was at `first`.
+/// Returns the duration of a quarantine whose first loss was at `first_end`.
 fn quarantine_duration(now: Time, first_end: Time) -> Duration {
     let [shortest, longest] = QUARANTINE_RANGE;
     now.since(first_end)
@@ -400,7 +411,7 @@
     Verdict {
         request,
         version: record.version,
-        // One that is over is still refused, but for trials: it is not lifted.
+        // An expired quarantine still refuses all but trials: it is not lifted.
         remaining: record
             .until
             .map_or(Duration::ZERO, |u| u.since(now).max(EXPIRED_REMAINING)),
--- a/lib/src/serving/directory.rs
+++ b/lib/src/serving/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints of all services, and the choice among them.
+//! Directory of the endpoints of all services, and the choice among them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,16 +14,17 @@
 use crate::ids::PoolName;
 use crate::time::Time;
 
-/// How long a report of load says something.
+/// How long a load report is used, with a weight that falls to zero.
 ///
-/// Calls last from 50 ms to a few seconds; after a second most of what was
-/// reported has ended.
+/// Calls last from 50 ms to a few seconds; after a second most of the reported
+/// calls have ended.
 const REPORT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// How far above the mean load an endpoint that holds a prefix may be.
+/// The bound on the load of an endpoint that holds a prefix, relative to the
+/// mean.
 ///
 /// Bounded-load hashing: at a quarter above the mean a hot key spills to its
-/// next endpoint, while keys of usual heat stay together.
+/// next endpoint, while keys of usual load stay together.
 const BOUND_RATIO: f32 = 1.25;
 
 /// The calls above the mean at which spilling begins.
@@ -31,39 +32,40 @@
 /// A handful of running calls costs less than reading a shared prefix again.
 const BOUND_SLACK: f32 = 6.0;
 
-/// How many times slower than its peers an endpoint is left by its prefixes.
+/// The ratio to the slowness of its peers above which an endpoint loses its
+/// prefixes.
 const SLOW_RATIO: f32 = 2.5;
 
 /// The weight of an endpoint's failures in its load.
 ///
-/// An endpoint that fails four in ten of its calls then counts as four times
-/// as loaded as its peers.
+/// An endpoint that fails four in ten of its calls then counts as four times as
+/// loaded as its peers.
 const FAILURE_WEIGHT: f32 = 8.0;
 
-/// What another failure domain costs, in calls.
+/// The cost of another failure domain, in calls.
 ///
-/// Half a call: an idle endpoint nearby is taken before an idle one afar, a
-/// busy one nearby is not.
+/// At half a call an idle local endpoint is preferred to an idle remote one,
+/// but a busy local one is not.
 const REMOTE_COST: f32 = 0.5;
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
-/// What an endpoint says of itself.
+/// The registration of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// Its name.
     pub id: EndpointId,
-    /// The moment of its start, as it tells it; a name may be used again.
+    /// The start time reported by the endpoint, since names are reused.
     pub started_at: Option<u64>,
     /// Its service.
     pub service: PoolName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// The calls that it works on at once.
+    /// The number of calls that it processes concurrently.
     pub slots: u32,
-    /// Whether it leaves and takes nothing new.
+    /// Whether it is leaving and accepts no new calls.
     pub draining: bool,
 }
 
@@ -81,16 +83,16 @@
     }
 }
 
-/// The load that an endpoint reported with an answer.
+/// The load that an endpoint reported with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Calls at work and waiting.
+    /// The running and queued calls.
     pub calls: u32,
-    /// The calls that it works on at once.
+    /// The number of calls that it processes concurrently.
     pub slots: u32,
 }
 
-/// One endpoint as this node knows it.
+/// An endpoint with its load and health as observed by this node.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     entry: Entry,
@@ -113,25 +115,25 @@
         }
     }
 
-    /// Returns what the endpoint says of itself.
+    /// Returns the endpoint's registration.
     #[must_use]
     pub const fn entry(&self) -> &Entry {
         &self.entry
     }
 
-    /// Returns its health as seen from here.
+    /// Returns its health as observed by this node.
     #[must_use]
     pub const fn health(&self) -> &Health {
         &self.health
     }
 
-    /// Tells whether it may get new calls.
+    /// Returns whether it may get new calls.
     #[must_use]
     pub const fn is_open(&self) -> bool {
         !self.entry.draining && !self.replaced
     }
 
-    /// Returns the calls that it is taken to have now.
+    /// Returns its estimated number of current calls.
     #[must_use]
     pub fn calls(&self, now: Time) -> f32 {
         let age = now.since(self.reported_at).as_secs_f32() / REPORT_LIFETIME.as_secs_f32();
@@ -145,56 +147,59 @@
     }
 }
 
-/// What a call asks of its endpoint.
+/// The requirements of a call on its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointCriteria<'a> {
     /// The service.
     pub service: &'a PoolName,
-    /// Endpoints that are not to be taken, unless there is no other.
+    /// Endpoints to avoid unless there is no other.
     pub avoid: &'a [EndpointId],
-    /// The failure domain that is nearest, if any.
+    /// The preferred failure domain, if any.
     pub domain: Option<&'a FailureDomain>,
-    /// Whether other failure domains come only after all of that one.
+    /// Whether other failure domains are used only if the preferred one has no
+    /// usable endpoint.
     pub strict: bool,
-    /// The hash of the prompt's shared prefix, where one is worth keeping to.
+    /// The hash of the prompt's shared prefix; `None` if reuse is not
+    /// worthwhile.
     pub prefix: Option<u64>,
 }
 
-/// Why an endpoint was chosen.
+/// The reason why an endpoint was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display)]
 pub enum Reason {
     /// It has the least load.
     #[display("least-load")]
     LeastLoad,
-    /// It is the first for the prompt's prefix.
+    /// It ranks first for the prompt's prefix.
     #[display("prefix")]
     Prefix,
-    /// The first for the prefix is full, slow or away.
+    /// The endpoint that ranks first for the prefix is full, slow or
+    /// unavailable.
     #[display("prefix-spill")]
     Spill,
-    /// The node that knows what all endpoints still have to read chose it.
+    /// The node that books the service's requests chose it.
     #[display("booked")]
     Booked,
-    /// All endpoints are paused; it is the least bad.
+    /// All endpoints are paused; this one has the least load.
     #[display("last-resort")]
     LastResort,
 }
 
-/// An endpoint picked for a call.
+/// An endpoint chosen for a call.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// What it says of itself.
+    /// Its registration.
     pub entry: Entry,
-    /// Why it was chosen.
+    /// The reason for the choice.
     pub reason: Reason,
-    /// The calls that it was taken to have.
+    /// Its estimated number of calls.
     pub calls: f32,
-    /// The age of its last report of load.
+    /// The age of its last load report.
     pub report_age: Duration,
 }
 
-/// All endpoints that this node knows.
+/// All endpoints known to this node.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     endpoints: BTreeMap<EndpointId, Endpoint>,
@@ -202,10 +207,10 @@
 }
 
 impl Directory {
-    /// Takes in what an endpoint says of itself; tells whether it is a new one.
+    /// Adds or updates an endpoint. Returns whether it is a new one.
     ///
-    /// One that started again under its name is a new one: what was learned of
-    /// the life before says nothing about this one.
+    /// An endpoint that restarted under its name is a new one: the load and
+    /// health of its previous run do not apply to it.
     pub fn set(&mut self, entry: Entry) -> bool {
         self.checksum = self.checksum.wrapping_add(entry.hash());
         let held = self.endpoints.get_mut(&entry.id);
@@ -227,7 +232,7 @@
         }
     }
 
-    /// Forgets an endpoint; tells whether it was known.
+    /// Removes an endpoint. Returns whether it was known.
     pub fn remove(&mut self, id: &EndpointId) -> bool {
         let removed = self.endpoints.remove(id);
         let previous_hash = removed.as_ref().map_or(0, |e| e.entry.hash());
@@ -235,7 +240,7 @@
         removed.is_some()
     }
 
-    /// Returns an endpoint.
+    /// Returns an endpoint by its name.
     #[must_use]
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(id)
@@ -246,15 +251,15 @@
         self.endpoints.values()
     }
 
-    /// Returns a sum over what all endpoints say of themselves.
+    /// Returns a checksum over the registrations of all endpoints.
     ///
-    /// Two nodes that know the same endpoints have the same sum.
+    /// Two nodes that know the same endpoints have the same checksum.
     #[must_use]
     pub const fn checksum(&self) -> u64 {
         self.checksum
     }
 
-    /// Tells whether a service has an endpoint that may get calls.
+    /// Returns whether a service has an endpoint that may get calls.
     #[must_use]
     pub fn serves(&self, service: &PoolName) -> bool {
         self.open_endpoints(service).next().is_some()
@@ -268,7 +273,7 @@
         all.filter(move |e| e.is_open() && e.entry.service == *service)
     }
 
-    /// Returns the endpoint that a prefix belongs to while nothing is wrong.
+    /// Returns the endpoint that ranks first for a prefix.
     #[must_use]
     pub fn home(&self, service: &PoolName, prefix: u64) -> Option<&Entry> {
         let ranked = self
@@ -277,8 +282,8 @@
         ranked.map(|e| &e.entry)
     }
 
-    /// Returns the part of a service's endpoints at which a request is booked:
-    /// that of its prefix's endpoint.
+    /// Returns the shard of a service's endpoints at which a request is booked:
+    /// that of the endpoint that ranks first for its prefix.
     #[must_use]
     pub fn shard(&self, service: &PoolName, prefix: u64) -> Shard {
         let count = Shard::count(self.open_endpoints(service).count());
@@ -320,32 +325,33 @@
         Some(choice(now, picked, reason))
     }
 
-    /// Returns an endpoint that another node chose; `None` if it may get no
-    /// calls as far as is known here.
+    /// Returns an endpoint that another node chose; `None` if this node knows
+    /// that it may get no calls.
     #[must_use]
     pub fn booked_choice(&self, now: Time, id: &EndpointId) -> Option<Choice> {
         let endpoint = self.get(id).filter(|e| e.is_open())?;
         Some(choice(now, endpoint, Reason::Booked))
     }
 
-    /// Notes that a call was sent.
+    /// Records that a call was sent.
     pub fn call_started(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.own_calls += 1;
         }
     }
 
-    /// Notes that a call ended, in whatever way.
+    /// Records that a call ended, with any result.
     pub fn call_ended(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.own_calls = endpoint.own_calls.saturating_sub(1);
         }
     }
 
-    /// Notes the load that came with an answer.
+    /// Records the load that an endpoint reported with a response.
     pub fn apply_load(&mut self, now: Time, id: &EndpointId, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            // The report counts this node's calls too, which it knows itself.
+            // The report includes this node's calls, which are counted in
+            // `own_calls`.
             endpoint.other_calls = load.calls.saturating_sub(endpoint.own_calls);
             endpoint.reported_at = now;
         }
@@ -356,9 +362,9 @@
         self.endpoints.get_mut(id).map(|e| &mut e.health)
     }
 
-    /// Notes that another endpoint answers at this one's address.
+    /// Records that another endpoint answers at this one's address.
     ///
-    /// It gets no more calls until it says something new of itself.
+    /// It gets no more calls until its registration changes.
     pub fn mark_replaced(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.replaced = true;
@@ -389,7 +395,8 @@
     pool.iter().min_by(ordered).copied()
 }
 
-/// Returns the first endpoint of a prefix that is neither full nor slow.
+/// Returns the best-ranked endpoint of a prefix that is not full, slow or
+/// failing.
 fn choose_bounded<'a>(now: Time, pool: &[&'a Endpoint], prefix: u64) -> &'a Endpoint {
     let mut ranked: Vec<&Endpoint> = pool.to_vec();
     ranked.sort_by_key(|e| std::cmp::Reverse(rank(prefix, &e.entry.id)));
--- a/lib/src/serving/endpoint_loss.rs
+++ b/lib/src/serving/endpoint_loss.rs
@@ -1,7 +1,7 @@
-//! Which endpoints ended while they had requests.
+//! Detection of endpoints that ended while they had requests.
 //!
-//! A connection that breaks may have been reset while its endpoint lives. One
-//! look at the endpoint tells, for all requests that it had.
+//! A connection may be reset while its endpoint is alive. A single probe of the
+//! endpoint decides this for all requests that it had.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,42 +14,42 @@
 
 use super::crashes::Fingerprint;
 
-/// How long it is known that an endpoint has ended.
+/// How long the result of a probe that found an endpoint ended is kept.
 const ENDED_RETENTION: Duration = Duration::from_secs(3);
 
-/// How long it is known that an endpoint lives.
+/// How long the result of a probe that found an endpoint alive is kept.
 ///
 /// Its other connections were reset within milliseconds; it may end later.
 const ALIVE_RETENTION: Duration = Duration::from_millis(300);
 
-/// How long a request may be the cause of an end after it was given up.
+/// How long an abandoned request may be blamed for the end of its endpoint.
 ///
-/// An endpoint that a request ends does so soon after it has begun to run it.
+/// A request that crashes an endpoint does so soon after it starts to run.
 const BLAME_WINDOW: Duration = Duration::from_secs(1);
 
-/// The most requests given up that are remembered.
+/// The maximum number of abandoned requests that are remembered.
 const ABANDONED_MAX: usize = 1_024;
 
-/// The most endpoints that are remembered.
+/// The maximum number of endpoints that are remembered.
 const ENDPOINTS_MAX: usize = 1_024;
 
-/// One life of an endpoint.
+/// One run of an endpoint, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Display)]
 #[display("{endpoint}")]
 pub struct Incarnation {
     /// Its name.
     pub endpoint: EndpointId,
-    /// The moment of its start, as it tells it; a name may be used again.
+    /// The start time reported by the endpoint, since names are reused.
     pub started_at: Option<u64>,
 }
 
-/// What to do about a broken connection.
+/// The action to take on a lost connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossAction {
-    /// Look whether the endpoint lives.
+    /// Probe whether the endpoint is alive.
     Probe,
-    /// Wait for the look that is under way.
+    /// Wait for the probe in flight.
     AwaitProbe,
     /// The endpoint has ended.
     Ended,
@@ -59,22 +59,24 @@
 
 #[derive(Debug, Clone)]
 enum ProbeState {
-    /// The requests that it had, and when their connections broke.
+    /// The requests that the endpoint had, and when their connections were
+    /// lost.
     Probing(Vec<(Time, Fingerprint)>),
     Ended,
     Alive,
 }
 
-/// The endpoints whose connections broke of late.
+/// Tracks endpoints with recently lost connections.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLoss {
     probes: BTreeMap<Incarnation, (Time, ProbeState)>,
-    /// Requests that were given up while their endpoints had them, oldest first.
+    /// Requests that were abandoned while an endpoint had them, oldest first.
     abandoned: VecDeque<(Time, Incarnation, Fingerprint)>,
 }
 
 impl EndpointLoss {
-    /// Notes that the connection of a request broke before the whole answer.
+    /// Records that the connection of a request was lost before the complete
+    /// response.
     pub fn on_connection_lost(
         &mut self,
         now: Time,
@@ -107,9 +109,9 @@
         }
     }
 
-    /// Notes that a request was given up while an endpoint had it.
+    /// Records that a request was abandoned while an endpoint had it.
     ///
-    /// Its connection is closed then, and won't tell that the endpoint ends.
+    /// Its connection is closed then and cannot show that the endpoint ends.
     pub fn on_request_abandoned(
         &mut self,
         now: Time,
@@ -124,7 +126,7 @@
             .push_back((now, incarnation.clone(), request));
     }
 
-    /// Notes that an endpoint refused a connection; tells whether to look
+    /// Records that an endpoint refused a connection. Returns whether to probe
     /// whether it has ended.
     pub fn on_connection_refused(&mut self, now: Time, incarnation: &Incarnation) -> bool {
         self.forget_abandoned(now);
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Takes in what a look found; returns the requests under which the
+    /// Applies the result of a probe. Returns the requests under which the
     /// endpoint ended, and when.
     pub fn on_probe_result(
         &mut self,
@@ -164,7 +166,7 @@
         if !ended {
             return Vec::new();
         }
-        // The look takes a moment: what counts is when the endpoint was found.
+        // The probe takes a moment: the time of the lost connection counts.
         let abandoned = self.abandoned.iter().filter(|(at, r, _)| {
             let soon = lost_at.since(*at) < BLAME_WINDOW;
             r == incarnation && soon
--- a/lib/src/serving/freshness.rs
+++ b/lib/src/serving/freshness.rs
@@ -1,12 +1,13 @@
-//! How recent a node's copy of the configuration is known to be.
+//! Freshness of a node's replicas of the registry.
 //!
-//! A read that waits for the next change brings it within milliseconds, and says
-//! nothing while it waits: one that the registry has lost looks the same as one
-//! that has nothing to tell. What is known is a moment up to which the copy held
-//! everything that was confirmed. Short reads of the registry move it on, made by
-//! one node for all: the others look at that node. A node that learns of no
-//! recent moment reads for itself, so that the time for which a confirmed change
-//! can stay unknown is bounded whatever becomes of reads, nodes and links.
+//! A long poll of the registry brings the next change within milliseconds but
+//! shows nothing while it waits: a poll that the registry has lost looks the
+//! same as one without changes. What is tracked is the time up to which the
+//! replica held everything that was confirmed. Short reads of the registry
+//! advance it; one node makes them for all, and the others poll that node. A
+//! node that learns of no recent time reads the registry itself, so the time
+//! for which a confirmed change can stay unknown is bounded whatever happens to
+//! reads, nodes and links.
 
 use std::time::Duration;
 
@@ -15,36 +16,37 @@
 
 use crate::time::Time;
 
-/// How often the first node reads, as a part of the bound.
+/// The read interval of the reader, as a fraction of the bound.
 ///
-/// Two reads a second at a bound of 2 s, for all nodes together.
+/// This is two reads a second at a bound of 2 s, for all nodes together.
 const READ_FRACTION: f64 = 0.25;
 
-/// How often the other nodes look at the first one, as a part of the bound.
+/// The interval at which other nodes poll the reader, as a fraction of the
+/// bound.
 const POLL_FRACTION: f64 = 0.2;
 
-/// The age from which something is wrong, as a part of the bound.
+/// The age from which a replica is late, as a fraction of the bound.
 ///
-/// Read, look and their answers take as much, and some milliseconds, where all
-/// is well.
+/// Without faults, the read, the poll and their responses take this long, plus
+/// some milliseconds.
 const LATE_FRACTION: f64 = 0.45;
 
-/// The age at which a node reads for itself, as a part of the bound.
+/// The age at which a node reads for itself, as a fraction of the bound.
 ///
-/// Between this and [`LATE`] another node takes over the reads for all. What is
-/// left of the bound is for the read itself and for a copy of a large
+/// Between [`LATE_FRACTION`] and this age another node takes over the reads for
+/// all. The remaining time is for the read itself and for a copy of a large
 /// configuration.
 const STALE_FRACTION: f64 = 0.65;
 
-/// The age up to which a node looks more often, as a part of the bound.
+/// The age up to which a node polls more often, as a fraction of the bound.
 ///
-/// Beyond it nobody can read, and more looks find nothing.
+/// At a greater age no node can read the registry, and more polls find nothing.
 const FAST_POLL_FRACTION: f64 = 0.75;
 
-/// How many times more often a node looks while it hurries.
+/// The factor by which the poll interval is shortened while a replica is late.
 const FAST_POLL_FACTOR: u32 = 4;
 
-/// The moment up to which a copy is known to be complete.
+/// The time up to which a replica is known to be complete.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
     bound: Duration,
@@ -52,7 +54,8 @@
 }
 
 impl Freshness {
-    /// Starts without a copy; a confirmed change has to be known within `bound`.
+    /// Creates the state of a missing replica. A confirmed change has to be
+    /// known within `bound`.
     #[must_use]
     pub const fn new(bound: Duration) -> Self {
         Self {
@@ -61,40 +64,44 @@
         }
     }
 
-    /// Notes that the copy held everything that was confirmed by `at`.
+    /// Records that the replica held everything that was confirmed by `at`.
     ///
-    /// `at` is when the question was sent: the answer tells of what was confirmed
-    /// by then, and it may have been long on its way.
+    /// `at` is when the request was sent: the response covers what was
+    /// confirmed by then, and its transfer may have taken long.
     pub fn confirm(&mut self, at: Time) {
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// Returns for how long nothing is known; `None` if nothing ever was.
+    /// Returns the age of the replica; `None` if there never was one.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed.map(|at| now.since(at))
     }
 
-    /// Tells whether a change may have been unknown for longer than the bound.
+    /// Returns whether a change may have been unknown for longer than the
+    /// bound.
     #[must_use]
     pub fn is_expired(&self, now: Time) -> bool {
         self.age(now).is_none_or(|age| age > self.bound)
     }
 
-    /// Tells whether a node of such an age can't read for others.
+    /// Returns whether a node with a replica of this age cannot read for
+    /// others.
     #[must_use]
     pub fn cannot_read(&self, age: Option<Duration>) -> bool {
         age.is_none_or(|age| age > self.bound.mul_f64(STALE_FRACTION))
     }
 
-    /// Tells whether more time has passed than a reader needs.
+    /// Returns whether the replica is older than a working reader lets it
+    /// become.
     #[must_use]
     pub fn is_late(&self, now: Time) -> bool {
         self.age(now)
             .is_none_or(|age| age > self.bound.mul_f64(LATE_FRACTION))
     }
 
-    /// Returns when this node reads the registry; `first` if it does so for all.
+    /// Returns when this node reads the registry next; `is_reader` if it reads
+    /// for all.
     #[must_use]
     pub fn read_at(&self, is_reader: bool) -> Time {
         let fraction = if is_reader {
@@ -106,13 +113,14 @@
         self.confirmed.map_or(Time::ZERO, at)
     }
 
-    /// Returns the pause between two looks at the node that reads for all.
+    /// Returns the interval between two polls of the reader.
     #[must_use]
     pub fn poll_interval(&self) -> Duration {
         self.bound.mul_f64(POLL_FRACTION)
     }
 
-    /// Returns that pause as of now: shorter while another reader takes over.
+    /// Returns the current poll interval, which is shorter while another reader
+    /// takes over.
     #[must_use]
     pub fn poll_interval_at(&self, now: Time) -> Duration {
         let age = self.age(now).unwrap_or(Duration::MAX);
@@ -121,26 +129,26 @@
     }
 }
 
-/// The shortest and the longest wait of a read for the next change, in seconds.
+/// The range of long-poll durations, in seconds.
 ///
-/// Each read has its price, and changes are minutes apart.
+/// Each read has a cost, and changes are minutes apart.
 const LONG_POLL_SECONDS: std::ops::Range<f64> = 15.0..25.0;
 
-/// How long each read waits for the next change.
+/// Random durations of long polls.
 ///
-/// Nodes start together. With one wait for all of them their reads end and begin
-/// at the same moments, and what happens to one then happens to all.
+/// Nodes start together. With the same duration their polls would end and begin
+/// at the same moments, and a fault that affects one would affect all.
 #[derive(Debug, Clone)]
 pub struct LongPollWaits(Pcg64Mcg);
 
 impl LongPollWaits {
-    /// Starts with a seeded generator.
+    /// Creates a generator from a seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self(Pcg64Mcg::new(u128::from(seed) << 1 | 1))
     }
 
-    /// Returns the wait of the next read.
+    /// Returns the duration of the next long poll.
     pub fn sample(&mut self) -> Duration {
         Duration::from_secs_f64(self.0.random_range(LONG_POLL_SECONDS))
     }
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -1,8 +1,9 @@
-//! Decisions of a node that fronts endpoints directly, without agents.
+//! Decisions of a node that calls endpoints directly, without agents.
 //!
 //! A node keeps two replicas of the platform's records, the configuration and
-//! the endpoints, and owns each client attempt that reaches it. Stage pieces of
-//! all nodes meet at one owner for each service, which fills the calls.
+//! the endpoints, and owns each client attempt that reaches it. The batch items
+//! of all nodes are sent to one owner for each service, which builds the
+//! batches.
 
 pub mod bookings;
 pub mod budget;
--- a/lib/src/serving/owners.rs
+++ b/lib/src/serving/owners.rs
@@ -1,12 +1,12 @@
-//! Which node owns the pieces of a service.
+//! Selection of the owner of a service and of other nodes with a special role.
 //!
-//! All nodes rank the known nodes alike by a hash, so that pieces of one
-//! service meet at one of them without messages. A node that does not answer
-//! is passed over, by each node for itself; two owners at once only fill their
-//! calls less well.
+//! All nodes rank the known nodes by the same hash, so that the batch items of
+//! a service reach one node without coordination. Each node skips silent nodes
+//! by its own observation; two owners at the same time only fill their batches
+//! less well.
 //!
 //! Hosts differ in processor power. An owner does the work of a whole service,
-//! so only nodes on strong hosts own one while any of them lives.
+//! so only nodes on strong hosts own services while any of them is alive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,73 +21,77 @@
 use crate::time::Time;
 use crate::units::MilliCores;
 
-/// How long a silent node is passed over before it is tried again.
+/// How long a silent node is skipped before it is contacted again.
 const SILENCE_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// How long a node that can't read the registry is passed over as a reader.
+/// How long a node that cannot read the registry is skipped as a reader.
 ///
-/// Without this all nodes read for themselves while the first one is cut off:
-/// 18 reads a second at 22 nodes, and 280 at 340.
+/// Without this all nodes would read for themselves while the first reader is
+/// partitioned: 18 reads a second with 22 nodes, and 280 with 340.
 const READER_PAUSE: Duration = Duration::from_secs(5);
 
-/// The nodes that may read the registry for all.
+/// The number of nodes that may read the registry for all.
 ///
-/// While the registry is away for everyone nobody can, and each node that asks
-/// them all in turn would ask hundreds. Three are away together rarely enough.
+/// During an outage of the registry no node can read it, and a node that polled
+/// all candidates in turn would poll hundreds. Three nodes fail together rarely
+/// enough.
 const READERS_MAX: usize = 3;
 
-/// The nodes that count the ends of endpoints under one request.
+/// The number of nodes that count the lost endpoints of one request.
 ///
-/// Two: what one of them counted is not lost with it.
+/// With two, the counts survive the loss of one node.
 const CRASH_COUNTERS: usize = 2;
 
-/// How long a node that was not heard of is remembered.
+/// How long a node is remembered after it was last heard.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
-/// The part of the strongest node's power from which a node may own services.
+/// The fraction of the strongest node's power from which a node may own
+/// services.
 ///
-/// Half: hosts of one kind, said a little differently, stay together, and a
-/// host of a fifth of the others' power stays out.
+/// At one half, hosts of the same kind stay together despite small differences
+/// in the reported power, and hosts with a fifth of the others' power are
+/// excluded.
 const STRONG_FRACTION: f64 = 0.5;
 
-/// What nodes are ranked by to read for all; no service has such a name.
+/// The ranking subject for the registry reader; no service has such a name.
 const READER_SUBJECT: &str = "configuration, of all nodes";
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
 #[derive(Debug, Clone, Copy)]
 struct Peer {
-    /// The power of its host, once it is known.
+    /// The power of its host, once known.
     power: Option<MilliCores>,
     last_heard: Time,
     answered: bool,
     silent_until: Time,
-    /// Until when it is not asked to read the registry for others.
+    /// The time until which it is not used as a registry reader.
     cannot_read_until: Time,
     leaving: bool,
-    /// When this was last news, as a number of [`Owners::news`].
+    /// The number of the last change of this entry, as of
+    /// [`Owners::last_change`].
     changed: u64,
-    /// Its rank among those that may read the registry for all.
+    /// Its rank as a registry reader.
     rank: u64,
 }
 
-/// The nodes that one node knows of.
+/// The nodes that this node knows, ranked to select owners.
 #[derive(Debug, Clone)]
 pub struct Owners {
     own: SocketAddr,
     power: MilliCores,
     leaving: bool,
-    /// Whether this node can't read the registry itself.
+    /// Whether this node cannot read the registry itself.
     cannot_read: bool,
-    /// This node's rank among those that may read the registry for all.
+    /// This node's rank as a registry reader.
     rank: u64,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Counts the news about other nodes.
+    /// The number of changes of other nodes so far.
     last_change: u64,
 }
 
 impl Owners {
-    /// Starts with this node alone.
+    /// Creates the state of a node that knows no other node.
     #[must_use]
     pub fn new(own: SocketAddr, power: MilliCores) -> Self {
         Self {
@@ -107,7 +111,7 @@
         self.own
     }
 
-    /// Notes that a node is said to exist; tells whether this is news.
+    /// Adds a node that was reported to exist. Returns whether it is new.
     pub fn discover(&mut self, now: Time, peer: SocketAddr) -> bool {
         if peer == self.own || self.peers.contains_key(&peer) {
             return false;
@@ -127,7 +131,7 @@
         true
     }
 
-    /// Notes the power of a node's host.
+    /// Records the power of a node's host.
     pub fn set_power(&mut self, peer: SocketAddr, power: MilliCores) {
         if let Some(known) = self.peers.get_mut(&peer)
             && known.power != Some(power)
@@ -138,13 +142,14 @@
         }
     }
 
-    /// Notes that a node answered.
+    /// Records a response of a node.
     pub fn mark_heard(&mut self, now: Time, peer: SocketAddr) {
         self.discover(now, peer);
         if let Some(known) = self.peers.get_mut(&peer) {
             known.last_heard = now;
             known.answered = true;
-            // It was left out of what others were told meanwhile.
+            // It was left out of the changes sent to others while it was
+            // silent.
             if known.silent_until > Time::ZERO {
                 self.last_change += 1;
                 known.changed = self.last_change;
@@ -153,19 +158,19 @@
         }
     }
 
-    /// Notes that this node leaves: it owns nothing if another node can.
+    /// Records that this node leaves: it owns nothing if another node can.
     pub const fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Notes whether a node says that it leaves.
+    /// Records whether a node reports that it leaves.
     pub fn set_peer_leaving(&mut self, peer: SocketAddr, leaving: bool) {
         if let Some(known) = self.peers.get_mut(&peer) {
             known.leaving = leaving;
         }
     }
 
-    /// Notes that a node did not answer in time.
+    /// Records that a node did not respond in time.
     pub fn mark_silent(&mut self, now: Time, peer: SocketAddr) {
         if let Some(known) = self.peers.get_mut(&peer) {
             known.silent_until = now + SILENCE_PAUSE;
@@ -174,7 +179,7 @@
             .retain(|_, p| now.since(p.last_heard) < PEER_RETENTION);
     }
 
-    /// Notes whether a node can't read the registry itself.
+    /// Records whether a node cannot read the registry itself.
     pub fn set_cannot_read(&mut self, now: Time, peer: SocketAddr, cannot_read: bool) {
         if let Some(known) = self.peers.get_mut(&peer) {
             known.cannot_read_until = if cannot_read {
@@ -185,25 +190,26 @@
         }
     }
 
-    /// Notes whether this node can't read the registry itself.
+    /// Records whether this node cannot read the registry itself.
     pub const fn set_own_cannot_read(&mut self, cannot_read: bool) {
         self.cannot_read = cannot_read;
     }
 
-    /// Returns when a node last answered; the start of time if it never did.
+    /// Returns when a node last responded; [`Time::ZERO`] if it never did.
     #[must_use]
     pub fn last_heard(&self, peer: SocketAddr) -> Time {
         let answered = self.peers.get(&peer).filter(|p| p.answered);
         answered.map_or(Time::ZERO, |p| p.last_heard)
     }
 
-    /// Tells whether any other node has answered.
+    /// Returns whether any other node has responded.
     #[must_use]
     pub fn has_heard(&self) -> bool {
         self.peers.values().any(|p| p.answered)
     }
 
-    /// Returns the other nodes that are not silent, and their hosts' power.
+    /// Returns the other nodes that are not silent, with the power of their
+    /// hosts.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (SocketAddr, Option<MilliCores>)> {
         let live = move |p: &Peer| p.silent_until <= now;
         self.peers
@@ -212,14 +218,14 @@
             .map(|(&a, p)| (a, p.power))
     }
 
-    /// Returns the number of the last news about other nodes.
+    /// Returns the number of the last change of other nodes.
     #[must_use]
     pub const fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// Returns the nodes that are not silent and of which there was news since
-    /// the one numbered `since`, and their hosts' power.
+    /// Returns the nodes that are not silent and have changed since the change
+    /// numbered `since`, with the power of their hosts.
     pub fn changes_since(
         &self,
         now: Time,
@@ -230,32 +236,31 @@
         found.map(|(&a, p)| (a, p.power))
     }
 
-    /// Returns the number of nodes known, this one included.
+    /// Returns the number of known nodes, this one included.
     #[must_use]
     pub fn count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Returns the owner of a service's pieces as of now.
+    /// Returns the current owner of a service's batch items.
     #[must_use]
     pub fn owner(&self, now: Time, service: &PoolName) -> SocketAddr {
         self.first_ranked(now, service.as_str())
     }
 
-    /// Returns the node at which the requests to a part of a model's endpoints
-    /// are booked, as of now.
+    /// Returns the node that currently books the requests to a shard of a
+    /// service's endpoints.
     #[must_use]
     pub fn booking_owner(&self, now: Time, service: &PoolName, shard: Shard) -> SocketAddr {
         self.first_ranked(now, &format!("{service}, part {}", shard.index))
     }
 
-    /// Returns the nodes that count the ends of endpoints under a request, as of
-    /// now.
+    /// Returns the nodes that currently count the lost endpoints of a request.
     #[must_use]
     pub fn crash_counters(&self, now: Time, request: Fingerprint) -> Vec<SocketAddr> {
         let subject = request.to_string();
         let mut nodes: Vec<SocketAddr> = self.strong(now).collect();
-        // While all leave, each would count for itself alone.
+        // While all nodes leave, each would otherwise count on its own.
         if nodes.is_empty() {
             nodes = self.live(now).map(|(a, _)| a).chain([self.own]).collect();
         }
@@ -272,10 +277,10 @@
         first.unwrap_or(self.own)
     }
 
-    /// Returns the node that reads the registry for all, as of now.
+    /// Returns the node that currently reads the registry for all.
     ///
-    /// If none of those that may can read it, it is the first of them all the
-    /// same: its answer tells when the registry is back.
+    /// If no candidate can read it, this is the first candidate: its response
+    /// shows when the registry is back.
     #[must_use]
     pub fn reader(&self, now: Time) -> SocketAddr {
         let rank = |node: &SocketAddr| {
@@ -295,12 +300,12 @@
         peer.map_or(self.cannot_read, |p| p.cannot_read_until > now)
     }
 
-    /// Returns the nodes on strong hosts that neither leave nor are silent.
+    /// Returns the nodes on strong hosts that are neither leaving nor silent.
     fn strong(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let usable = self.peers.iter();
         let usable = usable.filter(|(_, p)| p.silent_until <= now && !p.leaving);
-        // One of unknown power is taken for as strong as this node: a node that
-        // has just been heard of says its power with its first answer.
+        // A node of unknown power counts as strong as this one: a newly
+        // discovered node reports its power with its first response.
         let others = usable.map(|(&address, p)| (address, p.power.unwrap_or(self.power)));
         let own = (!self.leaving).then_some((self.own, self.power));
         let all: Vec<(SocketAddr, MilliCores)> = others.chain(own).collect();
--- a/lib/src/serving/registry_polling.rs
+++ b/lib/src/serving/registry_polling.rs
@@ -1,9 +1,10 @@
-//! Who reads the registry, and how recent a node's copies are.
+//! Selection of the registry reader and tracking of replica freshness.
 //!
-//! One node reads each topic for all, the others look at it: calls to the
-//! registry stay the same however many nodes there are. Who is looked at reads,
-//! so that no election is needed. A node whose copy grows too old all the same
-//! reads for itself, whatever became of readers and links.
+//! One node reads each topic of the registry and all other nodes poll that
+//! node, so the number of registry calls does not grow with the number of
+//! nodes. A node that is polled becomes a reader, so no election is needed. A
+//! node whose replica grows too old reads the registry itself, whatever the
+//! state of readers and links.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,28 +13,30 @@
 use super::owners::Owners;
 use crate::time::Time;
 
-/// The part of the notice that is kept for a call under way when its endpoint
-/// begins to leave.
+/// The part of the notice that is reserved for a call in flight when its
+/// endpoint starts to leave.
 ///
-/// Choosing, connecting and sending take some ten milliseconds, and some hundred
-/// on a slow host.
+/// Choosing an endpoint, connecting and sending take about ten milliseconds,
+/// and up to several hundred on a slow host.
 const DISPATCH_TIME: Duration = Duration::from_millis(400);
 
-/// The failed reads in a row after which a node does not read for others.
+/// The consecutive failed reads after which a node does not read for others.
 ///
-/// A single answer is lost now and then.
+/// A single response is lost now and then.
 const FAILED_READS_MAX: u32 = 2;
 
-/// How long a node that fails to read leaves it to others before it tries again.
+/// How long a node with failed reads leaves reading to others before it
+/// retries.
 const READER_SUSPENSION: Duration = Duration::from_secs(5);
 
-/// The shortest time between two lists that are read because copies differ.
+/// The minimum time between two list reads that are caused by differing
+/// replicas.
 ///
-/// A difference that a list does not mend must not make every node read it again
-/// with each look.
+/// A difference that a list read does not resolve must not make every node read
+/// the list again with each poll.
 const MISMATCH_INTERVAL: Duration = Duration::from_secs(15);
 
-/// What nodes keep a copy of.
+/// A topic of which nodes keep a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(derive_more::Display)]
 pub enum ReplicaKind {
@@ -45,42 +48,43 @@
     Endpoints,
 }
 
-/// All that nodes keep copies of.
+/// All replicas of a node.
 pub const REPLICA_KINDS: [ReplicaKind; 2] = [ReplicaKind::Config, ReplicaKind::Endpoints];
 
-/// What a node says of itself when it is looked at.
+/// The status that a node reports when it is polled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReplicaStatus {
-    /// Whether it can't read the registry for others.
+    /// Whether it cannot read the registry for others.
     pub cannot_read: bool,
-    /// The age of its configuration, if this node has all of that.
+    /// The age of its configuration, if it has a complete replica.
     pub config_age: Option<Duration>,
-    /// The age of its endpoints, if this node has all of them.
+    /// The age of its endpoints, if it has a complete replica.
     pub endpoints_age: Option<Duration>,
 }
 
-/// How recent a node's copies are, and when to ask whom.
+/// Tracks replica freshness and decides when to poll which node.
 #[derive(Debug, Clone, Copy)]
 pub struct RegistryPolling {
     config: Freshness,
     endpoints: Freshness,
     last_poll: Time,
-    /// The first look that was not answered.
+    /// The reader that was polled without a response, and the time of the first
+    /// poll.
     unanswered: Option<(SocketAddr, Time)>,
-    /// When another node last took this one for the reader.
+    /// When another node last polled this node as the reader.
     last_polled: Option<Time>,
-    /// Since when this node reads for others.
+    /// The time since which this node reads for others.
     reader_since: Option<Time>,
     failures: u32,
     suspended_until: Time,
-    /// When a list was last due because copies differed.
+    /// When differing replicas last caused a list read.
     last_mismatch: Option<Time>,
 }
 
 impl RegistryPolling {
-    /// Starts without copies.
+    /// Creates the state of a node without replicas.
     ///
-    /// A confirmed change of the configuration is in force within `change`; a
+    /// A confirmed change of the configuration takes effect within `change`; a
     /// leaving endpoint gets its last request within `notice`.
     #[must_use]
     pub const fn new(change: Duration, notice: Duration) -> Self {
@@ -97,8 +101,8 @@
         }
     }
 
-    /// Notes that a copy differs from another node's; tells whether it is to be
-    /// read anew.
+    /// Records that a replica differs from another node's. Returns whether it
+    /// is to be read again.
     pub fn on_mismatch(&mut self, now: Time) -> bool {
         let recently = |at| now.since(at) < MISMATCH_INTERVAL;
         if self.last_mismatch.is_some_and(recently) {
@@ -108,7 +112,7 @@
         true
     }
 
-    /// Returns how recent a copy is.
+    /// Returns the freshness of a replica.
     #[must_use]
     pub const fn freshness(&self, kind: ReplicaKind) -> &Freshness {
         match kind {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Notes that a copy held everything that was confirmed by `at`.
+    /// Records that a replica held everything that was confirmed by `at`.
     pub fn confirm(&mut self, kind: ReplicaKind, at: Time) {
         match kind {
             ReplicaKind::Config => self.config.confirm(at),
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Notes whether a read of the registry worked.
+    /// Records the result of a registry read.
     pub fn on_read(&mut self, now: Time, succeeded: bool) {
         if succeeded {
             self.failures = 0;
@@ -138,23 +142,25 @@
         }
     }
 
-    /// Tells whether a copy is too old and the registry does not answer.
+    /// Returns whether a replica is stale and the registry does not respond.
     ///
-    /// Nodes that start together all lack their copies, and the registry has them
-    /// on its way. Asked of each other, lists of thousands would fill their links.
+    /// Nodes that start together all lack their replicas while the registry is
+    /// still sending them. If they requested lists of thousands of endpoints
+    /// from each other, those would fill their links.
     #[must_use]
     pub fn is_registry_unreachable(&self, now: Time, kind: ReplicaKind) -> bool {
         self.failures > 0 && self.is_stale(now, kind)
     }
 
-    /// Tells whether a copy is so old that this node reads for itself.
+    /// Returns whether a replica is so old that this node reads the registry
+    /// itself.
     #[must_use]
     pub fn is_stale(&self, now: Time, kind: ReplicaKind) -> bool {
         let freshness = self.freshness(kind);
         freshness.cannot_read(freshness.age(now))
     }
 
-    /// Tells whether this node can't read the registry for others.
+    /// Returns whether this node cannot read the registry for others.
     #[must_use]
     pub fn cannot_read(&self, now: Time) -> bool {
         let stale = REPLICA_KINDS.iter().any(|&kind| self.is_stale(now, kind));
@@ -169,9 +175,10 @@
             .any(|&kind| self.freshness(kind).is_late(now))
     }
 
-    /// Tells whether this node reads the registry for others.
+    /// Returns whether this node reads the registry for others.
     ///
-    /// One whose own reads fail looks at the next one, as all others do.
+    /// A node whose own reads fail polls the next reader, as all other nodes
+    /// do.
     pub fn is_reader(&mut self, now: Time, owners: &mut Owners) -> bool {
         owners.set_own_cannot_read(self.cannot_read(now));
         let polled_recently = self
@@ -182,18 +189,19 @@
         is_reader
     }
 
-    /// Notes that another node took this one for the reader.
+    /// Records that another node polled this node as the reader.
     pub const fn on_polled(&mut self, now: Time) {
         self.last_polled = Some(now);
     }
 
-    /// Returns when this node reads a topic; `first` if it does so for others.
+    /// Returns when this node reads a topic next; `is_reader` if it reads for
+    /// others.
     #[must_use]
     pub fn read_at(&self, kind: ReplicaKind, is_reader: bool) -> Time {
         self.freshness(kind).read_at(is_reader)
     }
 
-    /// Returns the pause between two looks at the node that reads for all.
+    /// Returns the interval between two polls of the reader.
     #[must_use]
     pub fn poll_interval(&self) -> Duration {
         self.config
@@ -201,20 +209,21 @@
             .min(self.endpoints.poll_interval())
     }
 
-    /// Returns that pause as of now: shorter while another reader takes over.
+    /// Returns the current poll interval, which is shorter while another reader
+    /// takes over.
     fn poll_interval_at(&self, now: Time) -> Duration {
         let pauses = REPLICA_KINDS.map(|kind| self.freshness(kind).poll_interval_at(now));
         pauses.into_iter().min().unwrap_or_default()
     }
 
-    /// Returns when to look at the node that reads for all.
+    /// Returns the time of the next poll of the reader.
     #[must_use]
     pub fn next_poll(&self, now: Time) -> Time {
         self.last_poll + self.poll_interval_at(now)
     }
 
-    /// Returns the node to look at now, if it is time and not this one's turn
-    /// to read.
+    /// Returns the node to poll now, if a poll is due and this node is not the
+    /// reader.
     pub fn poll_target(&mut self, now: Time, owners: &mut Owners) -> Option<SocketAddr> {
         if now < self.next_poll(now) {
             return None;
@@ -233,7 +242,8 @@
         Some(reader)
     }
 
-    /// Leaves a reader that has not answered while its answer grows urgent.
+    /// Switches away from a reader that has not responded by the time the
+    /// replica is late.
     fn skip_silent_reader(&mut self, now: Time, owners: &mut Owners) {
         let Some((node, since)) = self.unanswered else {
             return;
@@ -244,16 +254,16 @@
         }
     }
 
-    /// Notes that a node is lost: it may have been the one that reads.
+    /// Records the loss of a node, which may have been the reader.
     pub fn on_peer_lost(&mut self, node: SocketAddr) {
         self.last_poll = Time::ZERO;
         self.unanswered = self.unanswered.filter(|(peer, _)| *peer != node);
     }
 
-    /// Takes in what a node said of itself when it was looked at.
+    /// Applies the status that a polled node reported.
     ///
-    /// `sent` is when it was asked. What it knew, it knew at least as long before
-    /// that as it said.
+    /// `sent` is when the poll was sent. The reported ages are subtracted from
+    /// it, which can only overstate the age of a replica.
     pub fn apply_status(
         &mut self,
         now: Time,
--- a/lib/src/serving/releases.rs
+++ b/lib/src/serving/releases.rs
@@ -1,9 +1,10 @@
-//! Results given back to an owner that may not have heard of it.
+//! Recent releases of results that the owner may not have received.
 //!
-//! An owner that was killed takes what it was last told with it. Its endpoints
-//! then hold results that nobody needs until they lapse, the next owner finds
-//! no room, and the stages before it fill up in turn. What each node gave back
-//! since it last heard from the owner is enough to tell the next one.
+//! An owner that is killed loses the releases that it last received. Its
+//! endpoints then hold unneeded results until these expire, the next owner
+//! finds no room, and the preceding stages fill up in turn. Each node remembers
+//! the results that it released since it last heard from the owner and reports
+//! them to the next one.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,19 +15,19 @@
 use crate::ids::PoolName;
 use crate::time::Time;
 
-/// How long before the last word from an owner it may have missed something.
+/// How long before it was last heard an owner may already have missed releases.
 ///
-/// Its last frame may have left before it read ours, and it tells endpoints of
-/// several results at once, after up to a quarter of a second.
+/// Its last frame may have been sent before it read ours, and it batches
+/// releases to endpoints for up to a quarter of a second.
 const UNCERTAINTY: Duration = Duration::from_millis(500);
 
-/// How long a result is remembered.
+/// How long a release is remembered.
 ///
 /// Endpoints drop results by themselves after a few seconds; an owner that was
-/// silent for longer than this has nothing left to be told.
+/// silent for longer than this needs no more reports.
 const RETENTION: Duration = Duration::from_secs(5);
 
-/// Results of one service and the endpoints that hold them.
+/// The results of one service and the endpoints that hold them.
 pub type HeldResults = Vec<(EndpointId, String)>;
 
 #[derive(Debug, Clone)]
@@ -37,14 +38,14 @@
     results: HeldResults,
 }
 
-/// What this node gave back lately.
+/// The results that this node released recently.
 #[derive(Debug, Clone, Default)]
 pub struct RecentReleases {
     releases: VecDeque<Release>,
 }
 
 impl RecentReleases {
-    /// Notes that an owner was told that results are not needed any more.
+    /// Records that results were reported to an owner as released.
     pub fn record(
         &mut self,
         now: Time,
@@ -64,7 +65,8 @@
         });
     }
 
-    /// Takes out what an owner may have missed that was last heard at `heard`.
+    /// Removes and returns the releases that an owner last heard at
+    /// `last_heard` may have missed.
     pub fn take_missed(
         &mut self,
         now: Time,
--- a/lib/src/serving/replica.rs
+++ b/lib/src/serving/replica.rs
@@ -1,21 +1,22 @@
-//! A copy of a topic of keyed records, by offset.
+//! A replica of a topic of keyed records, ordered by offset.
 //!
-//! The same copy is fed by the platform's store and by neighbours. The newest
-//! offset of a key wins, so that what comes from an older neighbour, or twice,
-//! changes nothing.
+//! The same replica is fed by the platform's store and by peers. The newest
+//! offset of a key wins, so that records from a peer that is behind, or
+//! duplicates, change nothing.
 //!
-//! Some writers repeat their record every second with nothing new in it. The
-//! copy notes at which offset a record last changed, so that a neighbour is told
-//! of changes only.
+//! Some writers repeat their record every second without a change. The replica
+//! tracks the offset at which a record last changed, so that only changes are
+//! sent to peers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::ids::Offset;
 
-/// The most dropped keys that are remembered.
+/// The maximum number of dropped keys that are remembered.
 ///
-/// A thousand hosts replaced; a neighbour that lags further reads the list.
+/// This covers the replacement of a thousand hosts; a peer that is further
+/// behind reads the list.
 const DROPPED_MAX: usize = 1_024;
 
 /// The newest record of one key.
@@ -25,14 +26,14 @@
     pub key: String,
     /// The value; `None` if the key was dropped.
     pub value: Option<Arc<[u8]>>,
-    /// Where the record lies in its topic.
+    /// The offset of the record in its topic.
     pub offset: Offset,
 }
 
 #[derive(Debug, Clone)]
 struct StoredRecord {
     record: Record,
-    /// The offset of the record that last brought something new.
+    /// The offset of the last record that contained a change.
     changed: Offset,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// A copy of the newest record of each key.
+/// A replica with the newest record of each key.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     records: BTreeMap<String, StoredRecord>,
@@ -55,7 +56,7 @@
 }
 
 impl Replica {
-    /// Returns the offset up to which the copy is complete.
+    /// Returns the offset up to which the replica is complete.
     #[must_use]
     pub const fn next(&self) -> Offset {
         self.next
@@ -67,7 +68,7 @@
         self.records.get(key).map(|h| &h.record)
     }
 
-    /// Returns the bytes of all values.
+    /// Returns the total size of all values in bytes.
     #[must_use]
     pub fn value_bytes(&self) -> usize {
         let values = self
@@ -77,14 +78,14 @@
         values.map(|v| v.len()).sum()
     }
 
-    /// Takes in records up to `next` and returns those that are newer.
+    /// Applies records up to `next` and returns those that are newer.
     pub fn extend(&mut self, records: Vec<Record>, next: Offset) -> Vec<Record> {
         self.extend_with(records, next, |_| true)
     }
 
-    /// Takes in records up to `next` and returns those that changed something.
+    /// Applies records up to `next` and returns those that changed something.
     ///
-    /// `is_change` tells of a newer record whether it brings something new.
+    /// `is_change` returns whether a newer record contains a change.
     pub fn extend_with(
         &mut self,
         records: Vec<Record>,
@@ -113,14 +114,14 @@
         changes
     }
 
-    /// Takes in a list of all keys as of `end` and returns what is newer.
+    /// Applies a list of all keys as of `end` and returns what is newer.
     pub fn replace(&mut self, records: Vec<Record>, end: Offset) -> Vec<Record> {
         self.replace_with(records, end, |_| true)
     }
 
-    /// Takes in a list of all keys as of `end` and returns what changed.
+    /// Applies a list of all keys as of `end` and returns what changed.
     ///
-    /// A key that is missing from the list was dropped, unless the copy knows
+    /// A key that is missing from the list was dropped, unless the replica has
     /// a record of it that is newer than the list.
     pub fn replace_with(
         &mut self,
@@ -138,8 +139,9 @@
         let dropped: Vec<Record> = stored.filter(dropped).cloned().collect();
         let dropped = dropped.into_iter().map(|stored| Record {
             value: None,
-            // A list that ends right behind the held record still says that
-            // the key is gone; the record must pass for newer.
+            // A list that ends right after the stored record still proves that
+            // the key was dropped, so the offset must be newer than the stored
+            // one.
             offset: last.max(stored.offset.next()),
             key: stored.key,
         });
@@ -148,15 +150,15 @@
         self.extend_with(all, end, is_change)
     }
 
-    /// Returns the oldest change that someone who is complete up to `from` lacks.
+    /// Returns the oldest change that a reader complete up to `from` lacks.
     #[must_use]
     pub fn first_change_from(&self, from: Offset) -> Option<&Record> {
         let newer = self.records.values().filter(|h| h.changed >= from);
         newer.min_by_key(|h| h.changed).map(|h| &h.record)
     }
 
-    /// Returns what changed since someone was complete up to `from`, each record
-    /// at the offset of its change.
+    /// Returns the changes that a reader complete up to `from` lacks, each
+    /// record at the offset of its change.
     ///
     /// `None` if keys that were dropped since then are forgotten.
     #[must_use]
@@ -165,7 +167,7 @@
             return None;
         }
         let newer = self.records.values().filter(|h| h.changed >= from);
-        // Someone who has nothing yet knows no dropped key either.
+        // A reader without any records knows no dropped key either.
         let newer = newer.filter(|h| from.0 > 0 || h.record.value.is_some());
         Some(newer.map(StoredRecord::at_change).collect())
     }
@@ -186,7 +188,7 @@
         if all.len() <= DROPPED_MAX {
             return;
         }
-        // Half at once, so that this is not done for each key.
+        // Half of them at once, so that this does not run for each key.
         all.sort();
         self.forgotten_below = all[all.len() / 2];
         let forgotten_below = self.forgotten_below;
--- a/lib/src/serving/slices.rs
+++ b/lib/src/serving/slices.rs
@@ -1,9 +1,9 @@
-//! Records passed between nodes in slices, asked for one by one.
+//! Transfer of records between nodes in slices.
 //!
-//! A configuration may have more bytes than a frame carries. It goes in slices
-//! that the reader asks for, so that no more than one is on its way, other
-//! frames on the link wait for one slice at most, and another node that holds
-//! the same record can go on where a lost one stopped.
+//! A configuration may be larger than a frame. The reader requests it slice by
+//! slice, so that at most one slice is in transit, other frames on the link
+//! wait for at most one slice, and another node with the same record can
+//! continue after the first one is lost.
 
 use std::sync::Arc;
 
@@ -11,49 +11,49 @@
 use crate::serving::replica::Record;
 use crate::serving::replica::Replica;
 
-/// The most bytes of one slice.
+/// The maximum size of a slice in bytes.
 ///
-/// A slice takes 52 ms over a link of 10 Mbit/s, which is how long a short frame
-/// behind it waits at most.
+/// A slice takes 52 ms over a link of 10 Mbit/s, which is the longest wait of a
+/// short frame behind it.
 pub const SLICE_MAX_BYTES: usize = 64 << 10;
 
-/// The largest record that is put together, in bytes.
+/// The maximum size of a record that is assembled, in bytes.
 ///
-/// Ten times a configuration of 4,200 routes. Without a bound a faulty sender
-/// could take the reader's memory.
+/// This is ten times a configuration of 4,200 routes. Without a bound a faulty
+/// sender could exhaust the reader's memory.
 pub const RECORD_MAX_BYTES: u64 = 8 << 20;
 
-/// What a reader asks for.
+/// A reader's request for a slice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SliceRequest {
     /// The offset up to which the reader is complete.
     pub from: Offset,
-    /// The offset of the record that it has begun.
+    /// The offset of the record that is being assembled.
     pub offset: Offset,
-    /// The bytes that it has of that record.
+    /// The number of bytes received of that record.
     pub at: u64,
 }
 
-/// A part of a record.
+/// A slice of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slice {
     /// The record's key.
     pub key: String,
     /// The record's offset.
     pub offset: Offset,
-    /// Where the slice begins.
+    /// The position of the slice in the value, in bytes.
     pub at: u64,
-    /// The bytes of the whole value; `None` if the key was dropped.
+    /// The size of the whole value in bytes; `None` if the key was dropped.
     pub total: Option<u64>,
-    /// The slice.
+    /// The bytes of the slice.
     pub data: Vec<u8>,
 }
 
 impl Replica {
-    /// Returns the slice that `ask` is for; `None` if nothing is newer.
+    /// Returns the slice for a request; `None` if nothing is newer.
     ///
-    /// It belongs to the oldest record that the reader lacks: records that come
-    /// in the order of their offsets leave no gap, wherever the reader stops.
+    /// It belongs to the oldest record that the reader lacks: records in the
+    /// order of their offsets leave no gap, wherever the reader stops.
     #[must_use]
     pub fn slice(&self, request: SliceRequest) -> Option<Slice> {
         let oldest = self.first_change_from(request.from)?;
@@ -75,7 +75,7 @@
     }
 }
 
-/// The record that a reader puts together.
+/// Assembles a record from its slices.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Assembly {
     offset: Offset,
@@ -83,7 +83,7 @@
 }
 
 impl Assembly {
-    /// Returns what a reader that is complete up to `from` asks for next.
+    /// Returns the next request of a reader that is complete up to `from`.
     #[must_use]
     pub const fn next_request(&self, from: Offset) -> SliceRequest {
         SliceRequest {
@@ -93,10 +93,11 @@
         }
     }
 
-    /// Takes in a slice and returns the record if that completes it.
+    /// Adds a slice and returns the record if it is complete.
     ///
-    /// Slices of the same offset hold parts of the same bytes, whoever sent
-    /// them. One that doesn't fit is dropped; the next ask says what is missing.
+    /// Slices of the same offset hold parts of the same bytes from any sender.
+    /// A slice that does not fit is dropped; the next request says what is
+    /// missing.
     pub fn add(&mut self, slice: Slice) -> Option<Record> {
         if slice.total.is_some_and(|total| total > RECORD_MAX_BYTES) {
             return None;
