--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -90,7 +90,7 @@
             return;
         }
         // Another node may have to read for all from any moment on.
-        let most = shared.upkeep().poll_interval();
+        let most = shared.registry_polling().poll_interval();
         let timer = async {
             Timer::after(at.since(now).min(most)).await;
         };
@@ -99,8 +99,8 @@
 }
 
 fn read_at(shared: &Shared, kept: ReplicaKind) -> Time {
-    let first = shared.is_first();
-    let fresh = shared.upkeep().read_at(kept, first);
+    let first = shared.is_reader();
+    let fresh = shared.registry_polling().read_at(kept, first);
     if kept == ReplicaKind::Endpoints {
         return fresh;
     }
@@ -120,7 +120,7 @@
 impl Sight {
     fn note(&mut self, shared: &Shared, kept: ReplicaKind) {
         let now = shared.now();
-        let freshness = *shared.upkeep().freshness(kept);
+        let freshness = *shared.registry_polling().freshness(kept);
         let age = freshness.age(now).unwrap_or_default();
         let gauge = match kept {
             ReplicaKind::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
