--- a/lib/tests/test_bookings.rs
+++ b/lib/tests/test_bookings.rs
@@ -18,15 +18,15 @@
 use snipeyoke_lib::time::Time;
 
 /// The tokens that an engine reads in a millisecond.
-const RATE: f64 = 64.0;
+const TOKENS_PER_MS: f64 = 64.0;
 
 /// The shared tokens of a prompt.
-const SHARED: u32 = 13_300;
+const SHARED_TOKENS: u32 = 13_300;
 
 /// What is left of a prompt's aim for the engine.
-const AIM: Duration = Duration::from_millis(900);
+const TARGET: Duration = Duration::from_millis(900);
 
-const ALL: Shard = Shard { index: 0, count: 1 };
+const ONLY_SHARD: Shard = Shard { index: 0, count: 1 };
 
 fn service() -> PoolName {
     "model".parse().expect("a name")
@@ -61,10 +61,10 @@
     BookingId { link: 0, number }
 }
 
-fn wish(prefix: u64, tokens: u32) -> PlacementRequest {
+fn request(prefix: u64, tokens: u32) -> PlacementRequest {
     PlacementRequest {
         prefix: Some(prefix),
-        shared_tokens: SHARED,
+        shared_tokens: SHARED_TOKENS,
         own_tokens: tokens,
         ..PlacementRequest::default()
     }
@@ -74,16 +74,16 @@
 #[derive(Debug, Clone, Default)]
 struct Engine {
     free: f64,
-    kept: BTreeMap<u64, f64>,
+    cached: BTreeMap<u64, f64>,
 }
 
 impl Engine {
     /// Reads a prompt that comes at `now`; returns when it is read, in ms.
     fn read(&mut self, now: f64, prefix: u64, tokens: u32) -> f64 {
-        let kept = self.kept.get(&prefix).is_some_and(|&at| now - at < 3e4);
-        let unread = tokens + if kept { 0 } else { SHARED };
-        self.free = self.free.max(now) + f64::from(unread) / RATE;
-        self.kept.insert(prefix, self.free);
+        let is_cached = self.cached.get(&prefix).is_some_and(|&at| now - at < 3e4);
+        let unread_tokens = tokens + if is_cached { 0 } else { SHARED_TOKENS };
+        self.free = self.free.max(now) + f64::from(unread_tokens) / TOKENS_PER_MS;
+        self.cached.insert(prefix, self.free);
         self.free
     }
 }
@@ -125,23 +125,23 @@
 
 /// Plays prompts; `choose` names the endpoint, `told` hears when it was read.
 /// Returns the share of the burst that missed the aim.
-fn play(
+fn simulate(
     all: &[Prompt],
     endpoints: usize,
     mut choose: impl FnMut(usize, &Prompt) -> usize,
-    mut told: impl FnMut(usize, &Prompt, usize),
+    mut on_read: impl FnMut(usize, &Prompt, usize),
 ) -> f64 {
     let mut engines = vec![Engine::default(); endpoints];
     let mut reading: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
     let [mut late, mut count] = [0, 0];
     for (number, prompt) in all.iter().enumerate() {
-        let over: Vec<u64> = reading
+        let finished: Vec<u64> = reading
             .range(..(prompt.at * 1e3) as u64)
             .map(|(&at, _)| at)
             .collect();
-        for at in over {
+        for at in finished {
             let (number, endpoint) = reading.remove(&at).expect("it was found");
-            told(number, &all[number], endpoint);
+            on_read(number, &all[number], endpoint);
         }
         let endpoint = choose(number, prompt);
         let read = engines[endpoint].read(prompt.at, prompt.prefix, prompt.tokens);
@@ -152,17 +152,17 @@
         reading.insert(key, (number, endpoint));
         if prompt.at > BURST.start {
             count += 1;
-            late += u32::from(read - prompt.at > AIM.as_secs_f64() * 1e3);
+            late += u32::from(read - prompt.at > TARGET.as_secs_f64() * 1e3);
         }
     }
     f64::from(late) / f64::from(count)
 }
 
 /// Each of a hundred nodes chooses by what it sent itself and was told.
-fn alone(all: &[Prompt], endpoints: usize) -> f64 {
+fn uncoordinated(all: &[Prompt], endpoints: usize) -> f64 {
     let nodes: Vec<Directory> = (0..100).map(|_| directory(endpoints)).collect();
     let nodes = std::cell::RefCell::new(nodes);
-    play(
+    simulate(
         all,
         endpoints,
         |_, prompt| {
@@ -197,18 +197,18 @@
 fn booked(all: &[Prompt], endpoints: usize) -> f64 {
     let directory = directory(endpoints);
     let bookings = std::cell::RefCell::new(Bookings::default());
-    play(
+    simulate(
         all,
         endpoints,
         |number, prompt| {
-            let wish = wish(prompt.prefix, prompt.tokens);
+            let request = request(prompt.prefix, prompt.tokens);
             let number = own(number as u64);
             let place = bookings.borrow_mut().place(
                 ms(prompt.at),
                 &directory,
-                (&service(), ALL),
+                (&service(), ONLY_SHARD),
                 number,
-                &wish,
+                &request,
             );
             let place = place.expect("there are some");
             place.as_str()[1..].parse().expect("a number")
@@ -220,40 +220,49 @@
 }
 
 #[test]
-fn no_prompt_waits_while_endpoints_stand_idle() {
+fn no_prompt_waits_while_endpoints_are_idle() {
     // A burst on what a crash has left of a model, at a third of what that can
     // read. Nodes that choose alone pile prompts up before some endpoints while
     // most have none.
     for seed in 0..3 {
         let all = prompts(seed, 50.0, 115.0);
-        let alone = alone(&all, 30);
+        let uncoordinated = uncoordinated(&all, 30);
         let booked = booked(&all, 30);
         assert!(booked < 0.02, "seed {seed}: {booked} late");
-        assert!(booked < alone / 2.0, "seed {seed}: {booked}, alone {alone}");
+        assert!(
+            booked < uncoordinated / 2.0,
+            "seed {seed}: {booked}, uncoordinated {uncoordinated}"
+        );
     }
 }
 
 #[test]
-fn a_prompt_goes_where_its_shared_part_was_read() {
+fn a_prompt_goes_to_the_endpoint_that_read_its_prefix() {
     // Reading a shared part again takes two hundred milliseconds, and keeps the
     // next prompts waiting. A short queue is cheaper, a long one is not.
     let directory = directory(8);
     let mut bookings = Bookings::default();
     let service = service();
-    let mut place = |now: u64, number, wish: &PlacementRequest| {
+    let mut place = |now: u64, number, request: &PlacementRequest| {
         let now = Time::from_millis(now);
-        let place = bookings.place(now, &directory, (&service, ALL), own(number), wish);
+        let place = bookings.place(
+            now,
+            &directory,
+            (&service, ONLY_SHARD),
+            own(number),
+            request,
+        );
         place.expect("there are some")
     };
-    let home = place(1_000, 1, &wish(7, 1_000));
-    assert_eq!(place(1_010, 2, &wish(7, 1_000)), home);
-    let long = place(1_020, 3, &wish(7, 40_000));
-    assert_eq!(long, home);
-    assert_ne!(place(1_030, 4, &wish(7, 1_000)), home);
+    let first = place(1_000, 1, &request(7, 1_000));
+    assert_eq!(place(1_010, 2, &request(7, 1_000)), first);
+    let long = place(1_020, 3, &request(7, 40_000));
+    assert_eq!(long, first);
+    assert_ne!(place(1_030, 4, &request(7, 1_000)), first);
 }
 
 #[test]
-fn inputs_are_read_near_unless_that_costs_more() {
+fn inputs_are_read_in_their_domain_unless_that_costs_more() {
     // Results of stages are read where they lie, until what waits there costs
     // more than reading them from afar.
     let directory = directory(8);
@@ -268,7 +277,7 @@
     let mut domains = Vec::new();
     for number in 0..40 {
         let now = Time::from_millis(1_000);
-        let place = bookings.place(now, &directory, (&service, ALL), own(number), &near);
+        let place = bookings.place(now, &directory, (&service, ONLY_SHARD), own(number), &near);
         let place = place.expect("there are some");
         let entry = directory.get(&place).expect("it is known").entry();
         domains.push(entry.domain.to_string());
@@ -278,7 +287,7 @@
 }
 
 #[test]
-fn what_a_lost_node_had_booked_is_forgotten() {
+fn the_bookings_of_a_lost_node_end() {
     // A node dies with its requests under way. Endpoints that look busy for good
     // would get nothing any more.
     let directory = directory(4);
@@ -290,7 +299,13 @@
             link: 1 + number % 2,
             number,
         };
-        bookings.place(now, &directory, (&service, ALL), id, &wish(number, 900));
+        bookings.place(
+            now,
+            &directory,
+            (&service, ONLY_SHARD),
+            id,
+            &request(number, 900),
+        );
     }
     bookings.end_link(1);
     assert_eq!(bookings.len(), 50);
@@ -300,40 +315,58 @@
 }
 
 #[test]
-fn an_end_that_nobody_tells_does_not_last() {
+fn a_booking_without_a_reported_end_expires() {
     // The word that a request has ended is lost on a full link.
     let directory = directory(1);
     let mut bookings = Bookings::default();
     let service = service();
     let now = Time::from_millis(1_000);
-    bookings.place(now, &directory, (&service, ALL), own(1), &wish(1, 900));
+    bookings.place(
+        now,
+        &directory,
+        (&service, ONLY_SHARD),
+        own(1),
+        &request(1, 900),
+    );
     let later = now + Duration::from_mins(1);
-    bookings.place(later, &directory, (&service, ALL), own(2), &wish(1, 100));
+    bookings.place(
+        later,
+        &directory,
+        (&service, ONLY_SHARD),
+        own(2),
+        &request(1, 100),
+    );
     assert_eq!(bookings.len(), 1);
     assert_eq!(bookings.pending_tokens(&id(0)), 100);
 }
 
 #[test]
-fn an_endpoint_that_was_tried_is_left_unless_it_is_the_only_one() {
+fn an_avoided_endpoint_is_chosen_only_without_another() {
     let directory = directory(2);
     let mut bookings = Bookings::default();
     let service = service();
     let now = Time::from_millis(1_000);
-    let mut wish = wish(1, 900);
-    let mut place = |wish: &PlacementRequest, number| {
-        let place = bookings.place(now, &directory, (&service, ALL), own(number), wish);
+    let mut request = request(1, 900);
+    let mut place = |request: &PlacementRequest, number| {
+        let place = bookings.place(
+            now,
+            &directory,
+            (&service, ONLY_SHARD),
+            own(number),
+            request,
+        );
         place.expect("there are some")
     };
-    let first = place(&wish, 1);
-    wish.avoid = vec![first.clone()];
-    let second = place(&wish, 2);
+    let first = place(&request, 1);
+    request.avoid = vec![first.clone()];
+    let second = place(&request, 2);
     assert_ne!(second, first);
-    wish.avoid.push(second);
-    let _some = place(&wish, 3);
+    request.avoid.push(second);
+    let _some = place(&request, 3);
 }
 
 #[test]
-fn parts_hold_each_endpoint_once() {
+fn each_endpoint_belongs_to_one_shard() {
     // Each endpoint is booked at one node; nodes agree on the parts while
     // endpoints come and go.
     assert_eq!([1, 63, 64, 180, 680].map(Shard::count), [1, 1, 2, 4, 16]);
@@ -355,7 +388,7 @@
             &directory,
             (&service, shard),
             own(prefix),
-            &wish(prefix, 100),
+            &request(prefix, 100),
         );
         let place = place.expect("each part has some");
         assert_eq!(Shard::of(&place, count), shard);
--- a/lib/tests/test_crashes_random.rs
+++ b/lib/tests/test_crashes_random.rs
@@ -21,7 +21,7 @@
 use snipeyoke_lib::units::MilliCores;
 
 /// How long a node has to be up to know what the others know.
-const CONTACT: Duration = Duration::from_secs(3);
+const SYNC_TIME: Duration = Duration::from_secs(3);
 
 /// The sends that a request may have later than this after its third end.
 const SENDS_MAX: usize = 3;
@@ -30,19 +30,19 @@
 const STEP: u64 = 10;
 
 /// The time between two looks of a node at another.
-const LOOK: u64 = 250;
+const POLL_INTERVAL: u64 = 250;
 
 /// How long others take to find a node silent.
-const SILENT: Duration = Duration::from_millis(750);
+const SILENCE_LIMIT: Duration = Duration::from_millis(750);
 
 /// A request that ends every endpoint that runs it.
-const DEADLY: Fingerprint = Fingerprint(7);
+const CRASHING: Fingerprint = Fingerprint(7);
 
 /// A request that is answered, unless its endpoint ends for another reason.
 const HARMLESS: Fingerprint = Fingerprint(500);
 
 /// How long an answered request may be refused for ends before its answer.
-const CLEARED: Duration = Duration::from_secs(10);
+const CLEARED_WITHIN: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone)]
 enum Event {
@@ -52,7 +52,7 @@
     Reported(Time, Fingerprint, Incarnation),
     /// A send of a request is answered whole.
     Answered(Fingerprint),
-    Told(Verdict),
+    VerdictReceived(Verdict),
     Down,
     Up,
 }
@@ -64,8 +64,8 @@
     up: bool,
     since: Time,
     /// What it told each other node, by the life of that node.
-    told: BTreeMap<(usize, Time), u64>,
-    sent: Vec<(Time, Fingerprint, Incarnation)>,
+    sent_changes: BTreeMap<(usize, Time), u64>,
+    recent_ends: Vec<(Time, Fingerprint, Incarnation)>,
 }
 
 #[derive(Debug)]
@@ -77,11 +77,11 @@
     count: usize,
     endpoints: u64,
     /// Draws of the way of each message, used in turn.
-    draws: Vec<u8>,
+    samples: Vec<u8>,
     /// The ends that a node in use has seen, by request.
     ends: BTreeMap<Fingerprint, BTreeSet<Incarnation>>,
     third: Option<Time>,
-    late: usize,
+    late_sends: usize,
     /// The ends under the harmless request, and its answers with their nodes.
     harmless: Vec<Time>,
     answers: Vec<(Time, usize)>,
@@ -92,7 +92,7 @@
 }
 
 impl World {
-    fn new(nodes: usize, draws: Vec<u8>) -> Self {
+    fn new(nodes: usize, samples: Vec<u8>) -> Self {
         let now = Time::from_millis(10_000_000);
         let node = |n| {
             let mut owners = Owners::new(address(n), MilliCores(500));
@@ -104,8 +104,8 @@
                 crashes: CrashTracker::default(),
                 up: true,
                 since: Time::ZERO,
-                told: BTreeMap::new(),
-                sent: Vec::new(),
+                sent_changes: BTreeMap::new(),
+                recent_ends: Vec::new(),
             }
         };
         Self {
@@ -114,70 +114,70 @@
             events: BTreeMap::new(),
             count: 0,
             endpoints: 0,
-            draws,
+            samples,
             ends: BTreeMap::new(),
             third: None,
-            late: 0,
+            late_sends: 0,
             harmless: Vec::new(),
             answers: Vec::new(),
         }
     }
 
-    fn draw(&self) -> u64 {
-        u64::from(self.draws[self.count % self.draws.len()])
+    fn next_sample(&self) -> u64 {
+        u64::from(self.samples[self.count % self.samples.len()])
     }
 
-    fn later(&mut self, millis: u64, node: usize, event: Event) {
+    fn schedule(&mut self, millis: u64, node: usize, event: Event) {
         self.count += 1;
         let at = self.now + Duration::from_millis(millis);
         self.events.insert((at, self.count), (node, event));
     }
 
     /// A caller's request comes to a node.
-    fn ask(&mut self, node: usize, request: Fingerprint, millis: u64) {
+    fn submit(&mut self, node: usize, request: Fingerprint, millis: u64) {
         let now = self.now;
         let held = &mut self.nodes[node];
         let refused = held.crashes.quarantine_remaining(now, request).is_some();
         let counters = held.owners.crash_counters(now, request);
-        let tries = refused
+        let is_trial = refused
             && counters.first() == Some(&address(node))
             && held.crashes.try_start_trial(now, request);
-        if !held.up || refused && !tries {
+        if !held.up || refused && !is_trial {
             return;
         }
-        let knows = self.now.since(held.since) > CONTACT;
-        let late = self.third.is_some_and(|t| self.now.since(t) > CONTACT);
-        if request == DEADLY && knows && late {
-            self.late += 1;
+        let is_synced = self.now.since(held.since) > SYNC_TIME;
+        let is_late = self.third.is_some_and(|t| self.now.since(t) > SYNC_TIME);
+        if request == CRASHING && is_synced && is_late {
+            self.late_sends += 1;
         }
-        if request == HARMLESS && self.draw().is_multiple_of(3) {
-            return self.later(millis, node, Event::Answered(request));
+        if request == HARMLESS && self.next_sample().is_multiple_of(3) {
+            return self.schedule(millis, node, Event::Answered(request));
         }
         self.endpoints += 1;
         let run = Incarnation {
             endpoint: format!("i-{}", self.endpoints).parse().expect("a name"),
             started_at: None,
         };
-        self.later(millis, node, Event::Ends(request, run));
+        self.schedule(millis, node, Event::Ends(request, run));
     }
 
-    fn take(&mut self, node: usize, event: Event) {
+    fn handle(&mut self, node: usize, event: Event) {
         match event {
             Event::Down => {
                 self.nodes[node].up = false;
                 self.nodes[node].crashes = CrashTracker::default();
-                self.nodes[node].sent.clear();
+                self.nodes[node].recent_ends.clear();
             }
             Event::Up => {
                 self.nodes[node].up = true;
                 self.nodes[node].since = self.now;
-                self.nodes[node].told.clear();
+                self.nodes[node].sent_changes.clear();
             }
             _ if !self.nodes[node].up => {}
             Event::Ends(request, run) => {
                 let ends = self.ends.entry(request).or_default();
                 ends.insert(run.clone());
-                if request == DEADLY && ends.len() == 3 {
+                if request == CRASHING && ends.len() == 3 {
                     self.third = Some(self.now);
                 }
                 let now = self.now;
@@ -185,7 +185,9 @@
                     self.harmless.push(now);
                 }
                 self.count_end(node, now, request, &run);
-                self.nodes[node].sent.push((now, request, run.clone()));
+                self.nodes[node]
+                    .recent_ends
+                    .push((now, request, run.clone()));
                 self.report(node, now, request, &run);
             }
             Event::Reported(at, request, run) => self.count_end(node, at, request, &run),
@@ -193,15 +195,15 @@
                 let now = self.now;
                 self.answers.push((now, node));
                 if let Some(lifted) = self.nodes[node].crashes.on_answered(now, request) {
-                    self.tell_all(node, lifted);
+                    self.broadcast(node, lifted);
                 }
             }
-            Event::Told(verdict) => {
+            Event::VerdictReceived(verdict) => {
                 let now = self.now;
-                let learned = self.nodes[node].crashes.apply_verdict(now, verdict);
-                if let VerdictOutcome::Overruled(lifted) = learned {
+                let outcome = self.nodes[node].crashes.apply_verdict(now, verdict);
+                if let VerdictOutcome::Overruled(lifted) = outcome {
                     assert_eq!(verdict.request, HARMLESS, "no other is answered");
-                    self.tell_all(node, lifted);
+                    self.broadcast(node, lifted);
                 }
             }
         }
@@ -211,9 +213,9 @@
         let counters = self.nodes[node].owners.crash_counters(self.now, request);
         for counter in counters {
             let to = usize::from(counter.port()) - 1_000;
-            let way = 1 + self.draw() % 40;
+            let delay = 1 + self.next_sample() % 40;
             if to != node {
-                self.later(way, to, Event::Reported(at, request, run.clone()));
+                self.schedule(delay, to, Event::Reported(at, request, run.clone()));
             }
         }
     }
@@ -225,15 +227,15 @@
             return;
         };
         assert!(self.ends[&request].len() >= 3, "{request} has too few ends");
-        self.tell_all(node, verdict);
+        self.broadcast(node, verdict);
     }
 
-    fn tell_all(&mut self, node: usize, verdict: Verdict) {
+    fn broadcast(&mut self, node: usize, verdict: Verdict) {
         for to in 0..self.nodes.len() {
             // One verdict in four gets lost with its link.
-            let draw = self.draw();
-            if to != node && !draw.is_multiple_of(4) {
-                self.later(1 + draw % 40, to, Event::Told(verdict));
+            let sample = self.next_sample();
+            if to != node && !sample.is_multiple_of(4) {
+                self.schedule(1 + sample % 40, to, Event::VerdictReceived(verdict));
             } else {
                 self.count += 1;
             }
@@ -241,8 +243,8 @@
     }
 
     /// Looks at another node, as each node does in turn.
-    fn look(&mut self, node: usize) {
-        let turn = self.now.as_micros() / 1_000 / LOOK;
+    fn poll(&mut self, node: usize) {
+        let turn = self.now.as_micros() / 1_000 / POLL_INTERVAL;
         let other = (node + 1 + turn as usize % (self.nodes.len() - 1)) % self.nodes.len();
         if !self.nodes[node].up {
             return;
@@ -251,8 +253,8 @@
         if !self.nodes[other].up {
             self.nodes[node]
                 .owners
-                .mark_silent(now + SILENT, address(other));
-            let recent = self.nodes[node].sent.clone();
+                .mark_silent(now + SILENCE_LIMIT, address(other));
+            let recent = self.nodes[node].recent_ends.clone();
             for (at, request, run) in recent {
                 if now.since(at) < Duration::from_secs(5) {
                     self.report(node, at, request, &run);
@@ -262,24 +264,24 @@
         }
         self.nodes[node].owners.mark_heard(now, address(other));
         let since = self.nodes[node].since;
-        let told = self.nodes[other].told.get(&(node, since)).copied();
+        let sent = self.nodes[other].sent_changes.get(&(node, since)).copied();
         let crashes = &self.nodes[other].crashes;
-        let (verdicts, last) = crashes.changes_since(now, told.unwrap_or_default(), 64);
-        self.nodes[other].told.insert((node, since), last);
+        let (verdicts, last) = crashes.changes_since(now, sent.unwrap_or_default(), 64);
+        self.nodes[other].sent_changes.insert((node, since), last);
         for verdict in verdicts {
-            let way = 1 + self.draw() % 40;
-            self.later(way, node, Event::Told(verdict));
+            let delay = 1 + self.next_sample() % 40;
+            self.schedule(delay, node, Event::VerdictReceived(verdict));
         }
     }
 
     /// Tells whether the harmless request was answered, by a node that still
     /// knows it, and has not had three ends since.
     fn is_cleared(&self) -> bool {
-        let knows = |&&(at, node): &&(Time, usize)| {
+        let remembers = |&&(at, node): &&(Time, usize)| {
             let node = &self.nodes[node];
             node.up && node.since < at
         };
-        let Some(&(answered, _)) = self.answers.iter().rfind(knows) else {
+        let Some(&(answered, _)) = self.answers.iter().rfind(remembers) else {
             return false;
         };
         self.harmless.iter().filter(|&&at| at >= answered).count() < 3
@@ -288,17 +290,17 @@
     fn run(&mut self, until: Time) {
         while self.now < until {
             self.now = self.now + Duration::from_millis(STEP);
-            if (self.now.as_micros() / 1_000).is_multiple_of(LOOK) {
+            if (self.now.as_micros() / 1_000).is_multiple_of(POLL_INTERVAL) {
                 for node in 0..self.nodes.len() {
-                    self.look(node);
+                    self.poll(node);
                 }
             }
             while let Some((&(at, number), _)) = self.events.first_key_value()
                 && at <= self.now
             {
-                let due = self.events.remove(&(at, number));
-                let (node, event) = due.expect("it was just there");
-                self.take(node, event);
+                let event = self.events.remove(&(at, number));
+                let (node, event) = event.expect("it was just there");
+                self.handle(node, event);
             }
         }
     }
@@ -308,7 +310,7 @@
 /// counted it are lost, or because nodes that have just started don't know of it;
 /// and against one that is refused although it was answered after its ends.
 #[test]
-fn a_deadly_request_is_stopped_at_all_nodes_while_nodes_come_and_go() {
+fn a_crashing_request_is_stopped_on_all_nodes_while_nodes_fail_and_restart() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -322,35 +324,39 @@
         vec(any::<u8>(), 64),
     );
     let outcome =
-        TestRunner::new_with_rng(config, rng).run(&input, |(count, sends, losses, draws)| {
-            let mut world = World::new(count, draws);
+        TestRunner::new_with_rng(config, rng).run(&input, |(count, sends, losses, samples)| {
+            let mut world = World::new(count, samples);
             for (at, node, down) in losses {
-                world.later(at, node % count, Event::Down);
-                world.later(at + down, node % count, Event::Up);
+                world.schedule(at, node % count, Event::Down);
+                world.schedule(at + down, node % count, Event::Up);
             }
             let mut bystanders = 0;
             for (gap, node, millis) in sends {
                 let until = world.now + Duration::from_millis(gap);
                 world.run(until);
-                world.ask(node % count, DEADLY, millis);
+                world.submit(node % count, CRASHING, millis);
                 // Others are on the endpoints that end, each on one or two.
                 bystanders += 1;
                 let bystander = Fingerprint(1_000 + bystanders / 2);
-                world.ask((node + 1) % count, bystander, millis);
-                world.ask((node + 2) % count, HARMLESS, millis);
+                world.submit((node + 1) % count, bystander, millis);
+                world.submit((node + 2) % count, HARMLESS, millis);
             }
-            let until = world.now + CLEARED;
+            let until = world.now + CLEARED_WITHIN;
             world.run(until);
-            assert!(world.late <= SENDS_MAX, "sent {} times more", world.late);
+            assert!(
+                world.late_sends <= SENDS_MAX,
+                "sent {} times more",
+                world.late_sends
+            );
             let now = world.now;
             for node in world.nodes.iter().filter(|n| n.up) {
                 let (quarantined, suspects) = node.crashes.counts(now);
                 assert!(quarantined <= 2 && suspects <= 2_048);
-                if world.is_cleared() && now.since(node.since) > CONTACT {
+                if world.is_cleared() && now.since(node.since) > SYNC_TIME {
                     assert_eq!(node.crashes.quarantine_remaining(now, HARMLESS), None);
                 }
-                if world.third.is_some() && now.since(node.since) > CONTACT {
-                    assert!(node.crashes.quarantine_remaining(now, DEADLY).is_some());
+                if world.third.is_some() && now.since(node.since) > SYNC_TIME {
+                    assert!(node.crashes.quarantine_remaining(now, CRASHING).is_some());
                 }
             }
             Ok(())
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -31,7 +31,7 @@
 fn choose(directory: &Directory, prefix: Option<u64>) -> EndpointId {
     let service = "llm".parse().expect("a name");
     let domain = "d1".parse().expect("a name");
-    let wanted = EndpointCriteria {
+    let criteria = EndpointCriteria {
         service: &service,
         avoid: &[],
         domain: Some(&domain),
@@ -39,7 +39,7 @@
         prefix,
     };
     directory
-        .choose(NOW, wanted)
+        .choose(NOW, criteria)
         .expect("nine are there")
         .entry
         .id
@@ -49,10 +49,10 @@
 fn a_prefix_keeps_to_its_endpoint_while_nothing_is_wrong() {
     // Every node ranks alike, so a shared prefix is read once and not nine times.
     let mut directory = directory();
-    let home = choose(&directory, Some(7));
+    let first = choose(&directory, Some(7));
     for _ in 0..3 {
-        directory.call_started(&home);
-        assert_eq!(choose(&directory, Some(7)), home);
+        directory.call_started(&first);
+        assert_eq!(choose(&directory, Some(7)), first);
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn plain_calls_spread_by_load_and_stay_near() {
+fn calls_without_a_prefix_spread_by_load_and_stay_local() {
     let mut directory = directory();
     let first = choose(&directory, None);
     assert_eq!(
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_reborn_endpoint_is_a_new_one() {
+fn a_restarted_endpoint_is_a_new_one() {
     // It crashed under load and is back under its name: neither its calls nor
     // its failures of before count.
     let mut directory = directory();
@@ -96,23 +96,23 @@
     if let Some(health) = directory.health_mut(&id) {
         health.broke(NOW);
     }
-    let mut again = entry("m0", "d0");
-    assert!(!directory.set(again.clone()), "the same life");
-    again.started_at = Some(2);
-    assert!(directory.set(again));
+    let mut restarted = entry("m0", "d0");
+    assert!(!directory.set(restarted.clone()), "the same run");
+    restarted.started_at = Some(2);
+    assert!(directory.set(restarted));
     let endpoint = directory.get(&id).expect("it is there");
     assert!(!endpoint.health().is_paused(NOW));
     assert!(endpoint.calls(NOW) < 0.5);
 }
 
 #[test]
-fn failing_and_paused_endpoints_are_left_while_others_are_well() {
+fn failing_and_paused_endpoints_are_avoided_while_others_are_healthy() {
     let mut directory = directory();
-    let home = choose(&directory, Some(7));
-    if let Some(health) = directory.health_mut(&home) {
+    let first = choose(&directory, Some(7));
+    if let Some(health) = directory.health_mut(&first) {
         health.broke(NOW);
     }
-    assert_ne!(choose(&directory, Some(7)), home);
+    assert_ne!(choose(&directory, Some(7)), first);
     for n in 0..9 {
         let id = format!("m{n}").parse().expect("a name");
         if let Some(health) = directory.health_mut(&id) {
--- a/lib/tests/test_endpoint_loss.rs
+++ b/lib/tests/test_endpoint_loss.rs
@@ -8,33 +8,33 @@
 use snipeyoke_lib::serving::endpoint_loss::LossAction;
 use snipeyoke_lib::time::Time;
 
-fn run(born: u64) -> Incarnation {
+fn incarnation(started_at: u64) -> Incarnation {
     Incarnation {
         endpoint: "i-1".parse().expect("a name"),
-        started_at: Some(born),
+        started_at: Some(started_at),
     }
 }
 
 #[test]
-fn one_look_tells_for_all_requests_of_an_endpoint() {
-    let mut ends = EndpointLoss::default();
+fn one_probe_decides_for_all_requests_of_an_endpoint() {
+    let mut loss = EndpointLoss::default();
     let now = Time::from_millis(5_000);
     assert_eq!(
-        ends.on_connection_lost(now, &run(1), Fingerprint(1)),
+        loss.on_connection_lost(now, &incarnation(1), Fingerprint(1)),
         LossAction::Probe
     );
     assert_eq!(
-        ends.on_connection_lost(now, &run(1), Fingerprint(2)),
+        loss.on_connection_lost(now, &incarnation(1), Fingerprint(2)),
         LossAction::AwaitProbe
     );
-    let ended = ends.on_probe_result(now, &run(1), true);
+    let ended = loss.on_probe_result(now, &incarnation(1), true);
     assert_eq!(ended, [(now, Fingerprint(1)), (now, Fingerprint(2))]);
     assert_eq!(
-        ends.on_connection_lost(now, &run(1), Fingerprint(3)),
+        loss.on_connection_lost(now, &incarnation(1), Fingerprint(3)),
         LossAction::Ended
     );
     assert_eq!(
-        ends.on_connection_lost(now, &run(2), Fingerprint(3)),
+        loss.on_connection_lost(now, &incarnation(2), Fingerprint(3)),
         LossAction::Probe
     );
 }
@@ -42,18 +42,18 @@
 /// Guards against requests that are blamed for connections that were reset
 /// while their endpoint lives.
 #[test]
-fn no_request_is_blamed_for_an_endpoint_that_lives() {
-    let mut ends = EndpointLoss::default();
+fn no_request_is_blamed_for_an_endpoint_that_is_alive() {
+    let mut loss = EndpointLoss::default();
     let now = Time::from_millis(5_000);
-    ends.on_connection_lost(now, &run(1), Fingerprint(1));
-    assert!(ends.on_probe_result(now, &run(1), false).is_empty());
+    loss.on_connection_lost(now, &incarnation(1), Fingerprint(1));
+    assert!(loss.on_probe_result(now, &incarnation(1), false).is_empty());
     assert_eq!(
-        ends.on_connection_lost(now, &run(1), Fingerprint(2)),
+        loss.on_connection_lost(now, &incarnation(1), Fingerprint(2)),
         LossAction::Alive
     );
     let later = now + Duration::from_secs(1);
     assert_eq!(
-        ends.on_connection_lost(later, &run(1), Fingerprint(2)),
+        loss.on_connection_lost(later, &incarnation(1), Fingerprint(2)),
         LossAction::Probe
     );
 }
@@ -61,38 +61,41 @@
 /// Guards against a request that ends endpoints unseen, because its callers have
 /// gone before.
 #[test]
-fn a_request_that_was_given_up_right_before_the_end_is_told() {
-    let mut ends = EndpointLoss::default();
+fn a_request_abandoned_right_before_the_end_is_blamed() {
+    let mut loss = EndpointLoss::default();
     let now = Time::from_millis(5_000);
-    ends.on_request_abandoned(now, &run(1), Fingerprint(1));
-    ends.on_request_abandoned(now, &run(2), Fingerprint(2));
+    loss.on_request_abandoned(now, &incarnation(1), Fingerprint(1));
+    loss.on_request_abandoned(now, &incarnation(2), Fingerprint(2));
     let soon = now + Duration::from_millis(300);
     assert!(
-        ends.on_connection_refused(soon, &run(1)),
-        "somebody has to look"
+        loss.on_connection_refused(soon, &incarnation(1)),
+        "a probe is needed"
     );
-    assert!(!ends.on_connection_refused(soon, &run(1)), "once");
+    assert!(!loss.on_connection_refused(soon, &incarnation(1)), "once");
     let later = now + Duration::from_millis(400);
     assert_eq!(
-        ends.on_probe_result(later, &run(1), true),
+        loss.on_probe_result(later, &incarnation(1), true),
         [(soon, Fingerprint(1))],
         "the other one was elsewhere"
     );
-    assert!(!ends.on_connection_refused(later, &run(1)), "it is known");
+    assert!(
+        !loss.on_connection_refused(later, &incarnation(1)),
+        "it is known"
+    );
 }
 
 /// Guards against requests that are blamed for ends long after they were given up.
 #[test]
-fn a_request_that_was_given_up_long_before_the_end_is_not_told() {
-    let mut ends = EndpointLoss::default();
+fn a_request_abandoned_long_before_the_end_is_not_blamed() {
+    let mut loss = EndpointLoss::default();
     let now = Time::from_millis(5_000);
-    ends.on_request_abandoned(now, &run(1), Fingerprint(1));
+    loss.on_request_abandoned(now, &incarnation(1), Fingerprint(1));
     let later = now + Duration::from_secs(1);
     assert!(
-        !ends.on_connection_refused(later, &run(1)),
-        "nothing to look for"
+        !loss.on_connection_refused(later, &incarnation(1)),
+        "no probe is needed"
     );
-    ends.on_connection_lost(later, &run(1), Fingerprint(2));
-    let ended = ends.on_probe_result(later, &run(1), true);
+    loss.on_connection_lost(later, &incarnation(1), Fingerprint(2));
+    let ended = loss.on_probe_result(later, &incarnation(1), true);
     assert_eq!(ended, [(later, Fingerprint(2))]);
 }
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -22,48 +22,48 @@
 const NOTICE: Duration = Duration::from_millis(1_600);
 
 /// The time that an answer of the registry and of a node takes.
-const ANSWER: Duration = Duration::from_millis(20);
+const RESPONSE_TIME: Duration = Duration::from_millis(20);
 
 /// How long a node waits for an answer of another one.
-const SILENCE: Duration = Duration::from_millis(750);
+const SILENCE_LIMIT: Duration = Duration::from_millis(750);
 
 /// How long a call to a silent registry takes.
-const CALL: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long a node is well before it must know what was confirmed: the longest
 /// pause after failed reads.
-const SETTLED: Duration = Duration::from_secs(2);
+const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
 /// The random plays.
 const SEEDS: u64 = 1_000;
 
 /// What is wrong, by node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wrong {
+enum Fault {
     /// The node neither reads nor answers.
     Frozen,
     /// The registry answers it nothing.
-    Cut,
+    RegistrySilent,
     /// The registry turns it away at once.
-    Refused,
+    RegistryRefuses,
     /// No other node answers it, and it answers none.
-    Apart,
+    Partitioned,
 }
 
 /// A read under way.
 #[derive(Debug, Clone, Copy)]
 struct Read {
     sent: Time,
-    over: Time,
-    works: bool,
+    done_at: Time,
+    succeeds: bool,
 }
 
 /// A look under way.
 #[derive(Debug, Clone, Copy)]
-struct Look {
-    at: SocketAddr,
+struct Poll {
+    target: SocketAddr,
     sent: Time,
-    over: Time,
+    done_at: Time,
 }
 
 /// A node, its reads and its looks; none of its waiting reads is ever woken.
@@ -71,14 +71,14 @@
 struct Node {
     address: SocketAddr,
     owners: Owners,
-    upkeep: RegistryPolling,
+    polling: RegistryPolling,
     reads: BTreeMap<ReplicaKind, Read>,
     /// When the next read may go out after one that failed.
     pauses: BTreeMap<ReplicaKind, Time>,
     backoff: Backoff,
-    looks: Vec<Look>,
+    polls: Vec<Poll>,
     /// When something was last wrong with it, if ever.
-    ill: Option<Time>,
+    last_fault: Option<Time>,
 }
 
 /// Nodes on one registry, in steps of ten milliseconds or more.
@@ -86,21 +86,21 @@
     now: Time,
     step: Duration,
     nodes: Vec<Node>,
-    wrong: BTreeMap<SocketAddr, Wrong>,
+    faults: BTreeMap<SocketAddr, Fault>,
     /// When each read was sent.
-    reads: Vec<Time>,
-    looks: usize,
+    read_times: Vec<Time>,
+    poll_count: usize,
     /// The longest time for which a node that is well knew nothing of a topic,
     /// as a part of its bound.
-    oldest: f64,
+    max_age: f64,
 }
 
 fn node(n: u16) -> SocketAddr {
     ([10, 0, 0, 1], n).into()
 }
 
-const fn bound(kept: ReplicaKind) -> Duration {
-    match kept {
+const fn bound(kind: ReplicaKind) -> Duration {
+    match kind {
         ReplicaKind::Config => BOUND,
         ReplicaKind::Endpoints => NOTICE,
     }
@@ -114,34 +114,34 @@
             for peer in (1..=count).filter(|&peer| peer != n) {
                 owners.mark_heard(Time::ZERO, node(peer));
             }
-            let mut upkeep = RegistryPolling::new(BOUND, Duration::from_secs(2));
-            for kept in REPLICA_KINDS {
-                upkeep.confirm(kept, start);
+            let mut polling = RegistryPolling::new(BOUND, Duration::from_secs(2));
+            for kind in REPLICA_KINDS {
+                polling.confirm(kind, start);
             }
             Node {
                 address: node(n),
                 owners,
-                upkeep,
+                polling,
                 reads: BTreeMap::new(),
                 pauses: BTreeMap::new(),
                 backoff: Backoff::new(u64::from(n)),
-                looks: Vec::new(),
-                ill: None,
+                polls: Vec::new(),
+                last_fault: None,
             }
         };
         Self {
             now: start,
             step: Duration::from_millis(10),
             nodes: (1..=count).map(begin).collect(),
-            wrong: BTreeMap::new(),
-            reads: Vec::new(),
-            looks: 0,
-            oldest: 0.0,
+            faults: BTreeMap::new(),
+            read_times: Vec::new(),
+            poll_count: 0,
+            max_age: 0.0,
         }
     }
 
     /// Returns the node that reads for all.
-    fn first(&self) -> SocketAddr {
+    fn reader(&self) -> SocketAddr {
         self.nodes[0].owners.reader(self.now)
     }
 
@@ -155,115 +155,127 @@
         }
     }
 
-    fn wrong(&self, node: SocketAddr) -> Option<Wrong> {
-        self.wrong.get(&node).copied()
+    fn fault(&self, node: SocketAddr) -> Option<Fault> {
+        self.faults.get(&node).copied()
     }
 
     fn step(&mut self, index: usize) {
         let now = self.now;
-        let wrong = self.wrong(self.nodes[index].address);
-        if wrong.is_some_and(|w| w != Wrong::Apart) {
-            self.nodes[index].ill = Some(now);
+        let fault = self.fault(self.nodes[index].address);
+        if fault.is_some_and(|f| f != Fault::Partitioned) {
+            self.nodes[index].last_fault = Some(now);
         }
-        if wrong == Some(Wrong::Frozen) {
+        if fault == Some(Fault::Frozen) {
             return;
         }
-        for kept in REPLICA_KINDS {
-            self.read(index, kept, wrong);
+        for kind in REPLICA_KINDS {
+            self.read(index, kind, fault);
         }
-        self.look(index);
+        self.poll(index);
         let node = &self.nodes[index];
-        let settles = |ill| now.since(ill) < SETTLED + BOUND;
-        if node.ill.is_some_and(settles) {
+        let recovers = |last_fault| now.since(last_fault) < RECOVERY_TIME + BOUND;
+        if node.last_fault.is_some_and(recovers) {
             return;
         }
-        for kept in REPLICA_KINDS {
-            let age = node.upkeep.freshness(kept).age(now).expect("it began so");
-            let part = age.as_secs_f64() / bound(kept).as_secs_f64();
-            self.oldest = self.oldest.max(part);
+        for kind in REPLICA_KINDS {
+            let age = node.polling.freshness(kind).age(now).expect("it began so");
+            let fraction = age.as_secs_f64() / bound(kind).as_secs_f64();
+            self.max_age = self.max_age.max(fraction);
         }
     }
 
-    fn read(&mut self, index: usize, kept: ReplicaKind, wrong: Option<Wrong>) {
+    fn read(&mut self, index: usize, kind: ReplicaKind, fault: Option<Fault>) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if let Some(read) = node.reads.get(&kept).copied().filter(|r| r.over <= now) {
-            node.reads.remove(&kept);
-            node.upkeep.on_read(now, read.works);
-            if read.works {
-                node.upkeep.confirm(kept, read.sent);
+        if let Some(read) = node.reads.get(&kind).copied().filter(|r| r.done_at <= now) {
+            node.reads.remove(&kind);
+            node.polling.on_read(now, read.succeeds);
+            if read.succeeds {
+                node.polling.confirm(kind, read.sent);
                 node.backoff.succeeded();
             } else {
-                node.pauses.insert(kept, now + node.backoff.failed());
+                node.pauses.insert(kind, now + node.backoff.failed());
             }
         }
-        let first = node.upkeep.is_reader(now, &mut node.owners);
-        let paused = node.pauses.get(&kept).is_some_and(|&until| until > now);
-        if paused || node.reads.contains_key(&kept) || node.upkeep.read_at(kept, first) > now {
+        let is_reader = node.polling.is_reader(now, &mut node.owners);
+        let paused = node.pauses.get(&kind).is_some_and(|&until| until > now);
+        if paused || node.reads.contains_key(&kind) || node.polling.read_at(kind, is_reader) > now {
             return;
         }
-        let takes = match wrong {
-            Some(Wrong::Cut) => CALL,
-            _ => ANSWER,
+        let response_time = match fault {
+            Some(Fault::RegistrySilent) => CALL_TIMEOUT,
+            _ => RESPONSE_TIME,
         };
-        let works = !matches!(wrong, Some(Wrong::Cut | Wrong::Refused));
-        let over = now + takes;
+        let succeeds = !matches!(fault, Some(Fault::RegistrySilent | Fault::RegistryRefuses));
+        let done_at = now + response_time;
         let sent = now;
-        node.reads.insert(kept, Read { sent, over, works });
-        self.reads.push(now);
+        node.reads.insert(
+            kind,
+            Read {
+                sent,
+                done_at,
+                succeeds,
+            },
+        );
+        self.read_times.push(now);
     }
 
-    fn look(&mut self, index: usize) {
+    fn poll(&mut self, index: usize) {
         let now = self.now;
-        let looks = self.nodes[index].looks.extract_if(.., |l| l.over <= now);
-        for look in looks.collect::<Vec<Look>>() {
-            self.looked(index, look);
+        let polls = self.nodes[index].polls.extract_if(.., |p| p.done_at <= now);
+        for poll in polls.collect::<Vec<Poll>>() {
+            self.on_poll_end(index, poll);
         }
         let node = &mut self.nodes[index];
-        let Some(at) = node.upkeep.poll_target(now, &mut node.owners) else {
+        let Some(target) = node.polling.poll_target(now, &mut node.owners) else {
             return;
         };
-        self.looks += 1;
-        let asked = self.nodes.iter_mut().find(|n| n.address == at);
-        asked.expect("it is one of them").upkeep.on_polled(now);
-        let over = now + ANSWER;
+        self.poll_count += 1;
+        let polled = self.nodes.iter_mut().find(|n| n.address == target);
+        polled.expect("it is one of them").polling.on_polled(now);
+        let done_at = now + RESPONSE_TIME;
         let sent = now;
-        self.nodes[index].looks.push(Look { at, sent, over });
+        self.nodes[index].polls.push(Poll {
+            target,
+            sent,
+            done_at,
+        });
     }
 
-    fn looked(&mut self, index: usize, look: Look) {
+    fn on_poll_end(&mut self, index: usize, poll: Poll) {
         let now = self.now;
         let own = self.nodes[index].address;
-        let hears = self.wrong(look.at) != Some(Wrong::Frozen);
-        let apart = [own, look.at].map(|n| self.wrong(n) == Some(Wrong::Apart));
-        if !hears || apart.contains(&true) {
+        let responds = self.fault(poll.target) != Some(Fault::Frozen);
+        let partitioned = [own, poll.target].map(|n| self.fault(n) == Some(Fault::Partitioned));
+        if !responds || partitioned.contains(&true) {
             let node = &mut self.nodes[index];
-            if now.since(look.sent) > SILENCE {
-                node.owners.mark_silent(now, look.at);
-                node.upkeep.on_peer_lost(look.at);
+            if now.since(poll.sent) > SILENCE_LIMIT {
+                node.owners.mark_silent(now, poll.target);
+                node.polling.on_peer_lost(poll.target);
             } else {
-                let over = now + self.step;
-                node.looks.push(Look { over, ..look });
+                let done_at = now + self.step;
+                node.polls.push(Poll { done_at, ..poll });
             }
             return;
         }
-        let seen = self.nodes.iter().find(|n| n.address == look.at);
+        let seen = self.nodes.iter().find(|n| n.address == poll.target);
         let seen = seen.expect("it is one of them");
         // As of when the other node answered, which is later than it was asked.
-        let told = ReplicaStatus {
-            cannot_read: seen.upkeep.cannot_read(now),
-            config_age: seen.upkeep.freshness(ReplicaKind::Config).age(now),
-            endpoints_age: seen.upkeep.freshness(ReplicaKind::Endpoints).age(now),
+        let status = ReplicaStatus {
+            cannot_read: seen.polling.cannot_read(now),
+            config_age: seen.polling.freshness(ReplicaKind::Config).age(now),
+            endpoints_age: seen.polling.freshness(ReplicaKind::Endpoints).age(now),
         };
         let node = &mut self.nodes[index];
-        node.owners.mark_heard(now, look.at);
-        let from = (look.at, look.sent);
-        node.upkeep.apply_status(now, &mut node.owners, from, told);
+        node.owners.mark_heard(now, poll.target);
+        let from = (poll.target, poll.sent);
+        node.polling
+            .apply_status(now, &mut node.owners, from, status);
     }
 
-    fn is_lost(&self, node: &Node) -> bool {
-        let lost = |&kept: &ReplicaKind| node.upkeep.freshness(kept).is_expired(self.now);
-        REPLICA_KINDS.iter().any(lost)
+    fn is_expired(&self, node: &Node) -> bool {
+        let expired = |&kind: &ReplicaKind| node.polling.freshness(kind).is_expired(self.now);
+        REPLICA_KINDS.iter().any(expired)
     }
 }
 
@@ -272,42 +284,42 @@
     // An endpoint says that it leaves. One read of the registry fails; the next
     // one must still come before the endpoint may get nothing new.
     for notice in [2_000_u64, 3_000, 4_000].map(Duration::from_millis) {
-        let mut upkeep = RegistryPolling::new(BOUND, notice);
+        let mut polling = RegistryPolling::new(BOUND, notice);
         let read = Time::from_millis(1_000);
-        upkeep.confirm(ReplicaKind::Endpoints, read);
-        let pause = upkeep.read_at(ReplicaKind::Endpoints, true).since(read);
+        polling.confirm(ReplicaKind::Endpoints, read);
+        let pause = polling.read_at(ReplicaKind::Endpoints, true).since(read);
         assert!(2 * pause < notice);
         // A silent one, and the look by which the others learn of the second.
-        let failed = pause + CALL + Duration::from_millis(100);
-        assert!(failed + upkeep.poll_interval() < notice, "{notice:?}");
+        let failed = pause + CALL_TIMEOUT + Duration::from_millis(100);
+        assert!(failed + polling.poll_interval() < notice, "{notice:?}");
         // Each has its price: no more than four, beside the time for a call.
         assert!(4 * pause + Duration::from_millis(400) >= notice);
     }
 }
 
 #[test]
-fn a_node_that_starts_waits_for_the_registry() {
+fn a_starting_node_waits_for_the_registry() {
     // Hundreds of nodes start together, and thousands of endpoints are on their
     // way from the registry to each. Asked of each other as well, the lists fill
     // the links of whoever has one first, and nobody is served for half a minute.
-    let mut upkeep = RegistryPolling::new(BOUND, BOUND);
+    let mut polling = RegistryPolling::new(BOUND, BOUND);
     let now = Time::from_millis(1_000);
-    assert!(upkeep.is_stale(now, ReplicaKind::Endpoints));
-    assert!(!upkeep.is_registry_unreachable(now, ReplicaKind::Endpoints));
-    upkeep.on_read(now, false);
-    assert!(upkeep.is_registry_unreachable(now, ReplicaKind::Endpoints));
-    upkeep.on_read(now, true);
-    upkeep.confirm(ReplicaKind::Endpoints, now);
-    assert!(!upkeep.is_registry_unreachable(now, ReplicaKind::Endpoints));
+    assert!(polling.is_stale(now, ReplicaKind::Endpoints));
+    assert!(!polling.is_registry_unreachable(now, ReplicaKind::Endpoints));
+    polling.on_read(now, false);
+    assert!(polling.is_registry_unreachable(now, ReplicaKind::Endpoints));
+    polling.on_read(now, true);
+    polling.confirm(ReplicaKind::Endpoints, now);
+    assert!(!polling.is_registry_unreachable(now, ReplicaKind::Endpoints));
 }
 
 #[test]
-fn copies_that_stay_different_are_not_read_with_each_look() {
+fn differing_replicas_are_not_read_with_each_poll() {
     // Two nodes disagree on an endpoint whatever they read. Each look would make
     // both list thousands of endpoints again.
-    let mut upkeep = RegistryPolling::new(BOUND, BOUND);
-    let look = Duration::from_millis(400);
-    let lists = (0..150).filter(|&n| upkeep.on_mismatch(Time::from_millis(1_000) + look * n));
+    let mut polling = RegistryPolling::new(BOUND, BOUND);
+    let poll = Duration::from_millis(400);
+    let lists = (0..150).filter(|&n| polling.on_mismatch(Time::from_millis(1_000) + poll * n));
     assert_eq!(lists.count(), 4, "in a minute");
 }
 
@@ -318,8 +330,8 @@
     for count in [1, 6, 22, 120] {
         let mut world = World::new(count);
         world.run(Duration::from_mins(1));
-        assert!(world.oldest < 0.6, "{count}: {}", world.oldest);
-        let reads = world.reads.len();
+        assert!(world.max_age < 0.6, "{count}: {}", world.max_age);
+        let reads = world.read_times.len();
         // Four of each topic within its bound.
         assert!(reads <= 125 + 155, "{count} nodes: {reads} reads");
     }
@@ -331,28 +343,28 @@
     // get no answer, and must know of a change within the bound all the same.
     let mut world = World::new(22);
     world.run(Duration::from_secs(5));
-    let first = world.first();
-    world.wrong.insert(first, Wrong::Frozen);
+    let reader = world.reader();
+    world.faults.insert(reader, Fault::Frozen);
     world.run(Duration::from_secs(20));
-    assert!(world.oldest < 1.0, "{}", world.oldest);
+    assert!(world.max_age < 1.0, "{}", world.max_age);
 }
 
 #[test]
-fn a_reader_that_the_registry_turns_away_holds_up_nobody() {
+fn a_reader_without_registry_access_delays_nobody() {
     // It still answers looks, with what it knew when it was cut off. It learns
     // from the next reader itself.
-    for wrong in [Wrong::Cut, Wrong::Refused] {
+    for fault in [Fault::RegistrySilent, Fault::RegistryRefuses] {
         let mut world = World::new(22);
         world.run(Duration::from_secs(5));
-        let first = world.first();
-        world.wrong.insert(first, wrong);
-        let before = world.reads.len();
+        let reader = world.reader();
+        world.faults.insert(reader, fault);
+        let before = world.read_times.len();
         world.run(Duration::from_secs(20));
-        let reads = world.reads.len() - before;
+        let reads = world.read_times.len() - before;
         // Those of the next reader, and those of the node itself, which fail.
-        assert!(reads <= 95 + 24, "{wrong:?}: {reads} reads in 20 s");
+        assert!(reads <= 95 + 24, "{fault:?}: {reads} reads in 20 s");
         for node in &world.nodes {
-            assert!(!world.is_lost(node), "{wrong:?}: {}", node.address);
+            assert!(!world.is_expired(node), "{fault:?}: {}", node.address);
         }
     }
 }
@@ -361,49 +373,54 @@
 fn the_loss_of_a_reader_does_not_make_all_nodes_read() {
     // Hundreds of nodes whose copies grow old together would all read at the
     // same moment, each time that their reader is lost.
-    for wrong in [Wrong::Frozen, Wrong::Cut, Wrong::Refused, Wrong::Apart] {
+    for fault in [
+        Fault::Frozen,
+        Fault::RegistrySilent,
+        Fault::RegistryRefuses,
+        Fault::Partitioned,
+    ] {
         let mut world = World::new(103);
         world.run(Duration::from_secs(5));
-        let first = world.first();
-        let before = world.reads.len();
-        world.wrong.insert(first, wrong);
+        let reader = world.reader();
+        let before = world.read_times.len();
+        world.faults.insert(reader, fault);
         world.run(Duration::from_secs(5));
-        let reads = world.reads.len() - before;
+        let reads = world.read_times.len() - before;
         // A quarter of the nodes, beside the usual reads.
-        assert!(reads <= 26 + 25, "{wrong:?}: {reads} reads in 5 s");
+        assert!(reads <= 26 + 25, "{fault:?}: {reads} reads in 5 s");
     }
 }
 
 #[test]
-fn in_an_outage_nobody_asks_all_the_others() {
+fn in_an_outage_no_node_polls_all_others() {
     // The registry is away for all. Each node that asked every other one in turn
     // whether it can read would ask a hundred, as fast as they answer.
     let mut world = World::new(103);
     world.run(Duration::from_secs(5));
     for n in 1..=103 {
-        world.wrong.insert(node(n), Wrong::Refused);
+        world.faults.insert(node(n), Fault::RegistryRefuses);
     }
-    let before = world.looks;
+    let before = world.poll_count;
     world.run(Duration::from_secs(20));
-    let looks = (world.looks - before) / 103;
+    let polls = (world.poll_count - before) / 103;
     // Usually one look in 0.32 s.
-    assert!(looks <= 2 * 63, "{looks} looks of each node in 20 s");
+    assert!(polls <= 2 * 63, "{polls} polls of each node in 20 s");
 }
 
 #[test]
-fn after_an_outage_all_know_within_the_bound() {
+fn after_an_outage_all_replicas_are_fresh_within_the_bound() {
     // The registry was silent for all. It comes back, and each node knows of a
     // change made at that moment within the bound.
     let mut world = World::new(22);
     for n in 1..=22 {
-        world.wrong.insert(node(n), Wrong::Cut);
+        world.faults.insert(node(n), Fault::RegistrySilent);
     }
     world.run(Duration::from_secs(30));
-    world.wrong.clear();
+    world.faults.clear();
     let back = world.now;
     world.run(BOUND);
     for node in &world.nodes {
-        let age = node.upkeep.freshness(ReplicaKind::Config).age(world.now);
+        let age = node.polling.freshness(ReplicaKind::Config).age(world.now);
         assert!(
             age.expect("it began so") < world.now.since(back),
             "{} knows nothing since",
@@ -414,43 +431,48 @@
 
 /// Plays half a minute in which nodes freeze, are cut off and come back, and
 /// returns the greatest age of a node that is well.
-fn play(seed: u64) -> f64 {
+fn simulate(seed: u64) -> f64 {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let count = rng.random_range(1..16_u16);
     let mut world = World::new(count);
     world.step = Duration::from_millis(50);
     let mut ends: Vec<(Time, SocketAddr)> = Vec::new();
     for _ in 0..60 {
-        let over: Vec<(Time, SocketAddr)> =
+        let ended: Vec<(Time, SocketAddr)> =
             ends.extract_if(.., |(at, _)| *at <= world.now).collect();
-        for (_, node) in over {
-            world.wrong.remove(&node);
+        for (_, node) in ended {
+            world.faults.remove(&node);
         }
         if rng.random_bool(0.3) {
             // Often the very node that reads.
-            let hit = if rng.random_bool(0.5) {
-                world.first()
+            let target = if rng.random_bool(0.5) {
+                world.reader()
             } else {
                 node(rng.random_range(1..=count))
             };
-            let kinds = [Wrong::Frozen, Wrong::Cut, Wrong::Refused, Wrong::Apart];
-            let lasts = Duration::from_millis(rng.random_range(100..8_000));
-            if world.wrong(hit).is_none() {
-                world.wrong.insert(hit, kinds[rng.random_range(0..4)]);
-                ends.push((world.now + lasts, hit));
+            let kinds = [
+                Fault::Frozen,
+                Fault::RegistrySilent,
+                Fault::RegistryRefuses,
+                Fault::Partitioned,
+            ];
+            let duration = Duration::from_millis(rng.random_range(100..8_000));
+            if world.fault(target).is_none() {
+                world.faults.insert(target, kinds[rng.random_range(0..4)]);
+                ends.push((world.now + duration, target));
             }
         }
         world.run(Duration::from_millis(500));
     }
-    world.oldest
+    world.max_age
 }
 
 #[test]
-fn whoever_reaches_the_registry_knows_within_the_bound() {
+fn a_node_that_reaches_the_registry_is_fresh_within_the_bound() {
     // Random faults of readers and others. What a node knows must never be older
     // than its bound while the registry answers it.
     for seed in 0..SEEDS {
-        let oldest = play(seed);
-        assert!(oldest < 1.0, "seed {seed}: {oldest} of the bound");
+        let max_age = simulate(seed);
+        assert!(max_age < 1.0, "seed {seed}: {max_age} of the bound");
     }
 }
--- a/lib/tests/test_owners.rs
+++ b/lib/tests/test_owners.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_silent_owner_is_passed_over_and_comes_back() {
+fn a_silent_owner_is_skipped_until_it_responds() {
     // The owner was killed. Its callers' jobs go to the next node at once, and
     // back to it once it answers again; other services stay where they are.
     let mut owners = owners(1, 6);
@@ -77,7 +77,7 @@
 /// Guards against nodes that all leave and each count the ends of endpoints under a
 /// request alone.
 #[test]
-fn nodes_that_all_leave_count_for_a_request_at_the_same_nodes() {
+fn nodes_that_all_leave_agree_on_the_crash_counters() {
     let mut all: Vec<Owners> = (1..=6).map(|n| owners(n, 6)).collect();
     for owners in &mut all {
         owners.leave();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn strong_hosts_own_services_while_one_of_them_lives() {
+fn strong_hosts_own_services_while_one_of_them_is_alive() {
     // Most hosts have a fifth of the others' power. One of them that owned a
     // service would be late with every call of it; all nodes, weak ones too,
     // name a strong one, and a weak one only when no strong one is left.
--- a/lib/tests/test_releases.rs
+++ b/lib/tests/test_releases.rs
@@ -22,49 +22,49 @@
 }
 
 /// Gives one result back every ten milliseconds, for three seconds.
-fn busy(owner: SocketAddr) -> RecentReleases {
-    let mut returned = RecentReleases::default();
+fn releases_over_3_s(owner: SocketAddr) -> RecentReleases {
+    let mut releases = RecentReleases::default();
     for n in 0..300 {
-        returned.record(
+        releases.record(
             Time::from_millis(n * 10),
             owner,
             &service("tiles"),
             &result(n),
         );
     }
-    returned
+    releases
 }
 
 #[test]
-fn the_next_owner_is_told_what_the_last_one_missed() {
+fn the_next_owner_gets_the_releases_that_the_last_one_missed() {
     // The owner is killed at 2.0 s and found silent at 3.0 s. All that was
     // given back in between went nowhere: at a hundred results a second its
     // endpoints would be full of them, for seconds, under the next owner.
-    let mut returned = busy(node(1));
+    let mut releases = releases_over_3_s(node(1));
     let now = Time::from_millis(3_000);
-    let missed = returned.take_missed(now, node(1), Time::from_millis(2_000));
-    let told = &missed[&service("tiles")];
-    let handles: Vec<&str> = told.iter().map(|(_, h)| h.as_str()).collect();
-    assert_eq!(handles.first(), Some(&"h150"), "half a second is unsure");
+    let missed = releases.take_missed(now, node(1), Time::from_millis(2_000));
+    let reported = &missed[&service("tiles")];
+    let handles: Vec<&str> = reported.iter().map(|(_, h)| h.as_str()).collect();
+    assert_eq!(handles.first(), Some(&"h150"), "half a second is uncertain");
     assert_eq!(handles.last(), Some(&"h299"));
-    let again = returned.take_missed(now, node(1), Time::from_millis(2_000));
-    assert!(again.is_empty(), "each is told once");
+    let repeated = releases.take_missed(now, node(1), Time::from_millis(2_000));
+    assert!(repeated.is_empty(), "each is reported once");
 }
 
 #[test]
-fn what_other_owners_were_told_stays_with_them() {
-    let mut returned = busy(node(1));
+fn releases_reported_to_other_owners_are_kept() {
+    let mut releases = releases_over_3_s(node(1));
     let now = Time::from_millis(3_000);
-    returned.record(now, node(2), &service("boards"), &result(1_000));
-    let missed = returned.take_missed(now, node(2), Time::ZERO);
+    releases.record(now, node(2), &service("boards"), &result(1_000));
+    let missed = releases.take_missed(now, node(2), Time::ZERO);
     assert_eq!(missed.len(), 1);
     assert_eq!(missed[&service("boards")], result(1_000));
 }
 
 #[test]
-fn what_has_lapsed_is_not_told() {
+fn expired_releases_are_not_reported() {
     // An owner that nobody could reach for a while has nothing left to free.
-    let mut returned = busy(node(1));
-    let missed = returned.take_missed(Time::from_millis(20_000), node(1), Time::ZERO);
+    let mut releases = releases_over_3_s(node(1));
+    let missed = releases.take_missed(Time::from_millis(20_000), node(1), Time::ZERO);
     assert!(missed.is_empty());
 }
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn an_older_record_changes_nothing_whoever_brings_it() {
+fn an_older_record_changes_nothing_from_any_source() {
     // A neighbour that was cut off tells of a key that was revoked since.
     let mut replica = Replica::default();
     replica.extend(vec![record("k", None, 7)], Offset(8));
-    let news = replica.extend(vec![record("k", Some(b"old"), 3)], Offset(4));
-    assert!(news.is_empty());
+    let changes = replica.extend(vec![record("k", Some(b"old"), 3)], Offset(4));
+    assert!(changes.is_empty());
     assert_eq!(replica.get("k").and_then(|r| r.value.clone()), None);
     assert_eq!(replica.next(), Offset(8));
 }
 
 #[test]
-fn a_list_drops_what_it_lacks_but_not_what_is_newer() {
+fn a_list_drops_missing_keys_but_not_newer_ones() {
     // History is gone, and with it the record that dropped a key. The list of
     // all keys lacks it. A key that was written after the list stays.
     let mut replica = Replica::default();
@@ -54,31 +54,33 @@
     ];
     replica.extend(held, Offset(10));
     let listed = vec![record("kept", Some(b"3"), 4)];
-    let news = replica.replace(listed, Offset(6));
-    let keys: Vec<&str> = news.iter().map(|r| r.key.as_str()).collect();
+    let changes = replica.replace(listed, Offset(6));
+    let keys: Vec<&str> = changes.iter().map(|r| r.key.as_str()).collect();
     assert_eq!(keys, ["gone", "kept"]);
     assert!(replica.get("newer").is_some_and(|r| r.value.is_some()));
     assert_eq!(
-        replica.changes_since(Offset(5)).map(|news| news.len()),
+        replica
+            .changes_since(Offset(5))
+            .map(|changes| changes.len()),
         Some(2),
         "the drop passes on to neighbours"
     );
 }
 
 #[test]
-fn what_repeats_itself_is_not_passed_on() {
+fn repeated_records_are_not_sent_to_peers() {
     // Hundreds of endpoints write their record every second, and next to nothing
     // in it changes. Passed on to hundreds of nodes, they would fill the links.
     let mut replica = Replica::default();
     let first = vec![record("a", Some(b"1"), 1), record("b", Some(b"1"), 2)];
     replica.extend(first, Offset(3));
-    let again = vec![record("a", Some(b"1 again"), 3), record("b", None, 4)];
-    let news = replica.extend_with(again, Offset(5), |r| r.value.is_none());
-    assert_eq!(news.len(), 1);
-    let told = replica
+    let repeated = vec![record("a", Some(b"1 again"), 3), record("b", None, 4)];
+    let changes = replica.extend_with(repeated, Offset(5), |r| r.value.is_none());
+    assert_eq!(changes.len(), 1);
+    let sent = replica
         .changes_since(Offset(3))
         .expect("nothing is forgotten");
-    assert_eq!(told, [record("b", None, 4)]);
+    assert_eq!(sent, [record("b", None, 4)]);
     // Someone who lacks everything gets the newest value, and no dropped key.
     let all = replica
         .changes_since(Offset(0))
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn who_lags_behind_forgotten_keys_reads_the_list() {
+fn a_reader_behind_forgotten_keys_reads_the_list() {
     // Hosts are replaced for weeks. The keys of those that are gone don't pile
     // up, and who missed their end is not told that it knows all.
     let mut replica = Replica::default();
@@ -117,22 +119,22 @@
         extra: 58.0,
     };
     let service: PoolName = "desk".parse().expect("a name");
-    let mut taken = 0;
+    let mut spent = 0;
     for _ in 0..6 {
         let mut budget = SharedBudget::new(limits);
         budget.share(6);
         for n in 0..10 {
             let now = Time::from_millis(1_000 + n);
             budget.earn(now, &service);
-            taken += (0..5).filter(|_| budget.take(now, &service)).count();
+            spent += (0..5).filter(|_| budget.take(now, &service)).count();
         }
     }
-    assert!(taken <= 12 + 58, "{taken} repeats");
-    assert!(taken > 30, "most of it can be spent: {taken}");
+    assert!(spent <= 12 + 58, "{spent} repeats");
+    assert!(spent > 30, "most of it can be spent: {spent}");
 }
 
 #[test]
-fn broken_connections_are_avoided_longer_and_longer() {
+fn broken_connections_pause_an_endpoint_for_growing_times() {
     let mut health = Health::default();
     health.broke(Time::from_millis(1_000));
     assert!(health.is_paused(Time::from_millis(1_300)));
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn slowness_is_forgotten_when_nothing_new_is_heard() {
+fn slowness_decays_without_new_answers() {
     // An endpoint that is avoided gets no answers that could clear it.
     let mut health = Health::default();
     for n in 0..10 {
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn events_pass_whole_once_and_in_order_however_they_are_cut() {
+fn events_pass_whole_once_and_in_order_at_any_chunk_sizes() {
     // An endpoint's bytes come in any pieces, and a second run begins again
     // before the last event. The caller sees each event once and whole.
     let stream = |from: u64| -> Vec<u8> {
@@ -169,14 +171,14 @@
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let cuts = (vec(1..40_usize, 1..30), 1..20_u64, any::<usize>());
-    let outcome = TestRunner::new_with_rng(config, rng).run(&cuts, |(cuts, again, stop)| {
+    let outcome = TestRunner::new_with_rng(config, rng).run(&cuts, |(cuts, repeated, stop)| {
         let first = stream(1);
         let first = &first[..stop % (first.len() + 1)];
         let mut events = Events::after(None);
         let mut out = Vec::new();
-        for bytes in [first.to_vec(), stream(again)] {
+        for bytes in [first.to_vec(), stream(repeated)] {
             // The second run goes on at or before what was passed on.
-            if bytes != first && events.last().is_none_or(|last| again > last + 1) {
+            if bytes != first && events.last().is_none_or(|last| repeated > last + 1) {
                 return Ok(());
             }
             events.drop_rest();
@@ -196,15 +198,15 @@
 }
 
 #[test]
-fn a_refused_caller_comes_back_when_the_backlog_is_done() {
+fn a_refused_caller_retries_when_the_backlog_is_done() {
     // Three seconds of work wait before a caller that has twelve left. Told to
     // come back at once, its second try is refused like the first one; told to
     // come back after all its time, it has none left for the answer.
     let [none, second] = [0, 1].map(Duration::from_secs);
-    let left = 12 * second;
-    assert!(come_back(3 * second, left, 0.0) >= 3 * second);
-    assert!(come_back(3 * second, left, 0.9) > come_back(3 * second, left, 0.1));
-    assert!(come_back(60 * second, left, 0.5) <= left / 3);
+    let remaining = 12 * second;
+    assert!(come_back(3 * second, remaining, 0.0) >= 3 * second);
+    assert!(come_back(3 * second, remaining, 0.9) > come_back(3 * second, remaining, 0.1));
+    assert!(come_back(60 * second, remaining, 0.5) <= remaining / 3);
     let soon = come_back(none, none, 0.5);
     assert!(soon > none && soon < second);
 }
@@ -218,7 +220,7 @@
     }
 }
 
-fn usual(durations: &Durations, route: &str) -> Option<Duration> {
+fn usual_bound(durations: &Durations, route: &str) -> Option<Duration> {
     durations.bound(route, None, Ahead::All)
 }
 
@@ -227,12 +229,16 @@
     // Chats last from one to six seconds. A node with three seconds left must
     // not begin one, and may still take a lookup of some milliseconds.
     let mut durations = Durations::default();
-    assert_eq!(usual(&durations, "chat"), None, "nothing is known yet");
+    assert_eq!(
+        usual_bound(&durations, "chat"),
+        None,
+        "nothing is known yet"
+    );
     for n in 0..200_u64 {
         durations.observe("chat", answer(1_000 + n * 1_733 % 5_000));
         durations.observe("lookup", answer(60 + n * 37 % 40));
     }
-    let bound = |route| usual(&durations, route).expect("answers were seen");
+    let bound = |route| usual_bound(&durations, route).expect("answers were seen");
     assert!(bound("chat") > Duration::from_secs(5));
     assert!(bound("lookup") < Duration::from_millis(300));
 }
@@ -246,7 +252,7 @@
     for _ in 0..12 {
         durations.observe("draft", answer(4_000));
     }
-    let bound = usual(&durations, "draft");
+    let bound = usual_bound(&durations, "draft");
     assert!(bound.expect("answers were seen") >= Duration::from_secs(4));
 }
 
@@ -255,12 +261,12 @@
     // Chats differ in length thirtyfold, and a few short ones were the last.
     let mut durations = Durations::default();
     for n in 0..40_u32 {
-        let took = Took {
+        let observed = Took {
             wait: Duration::from_millis(10),
             answer: Duration::from_millis(u64::from(6 * (20 + n % 5) + 200)),
             tokens: Some(20 + n % 5),
         };
-        durations.observe("chat", took);
+        durations.observe("chat", observed);
     }
     let bound = |tokens| {
         let bound = durations.bound("chat", Some(tokens), Ahead::Answer);
@@ -268,50 +274,50 @@
     };
     assert!(bound(20) < Duration::from_secs(1));
     assert!(bound(600) > Duration::from_millis(3_600));
-    let untold = durations.bound("chat", None, Ahead::Answer);
-    assert_eq!(untold, None, "none without a length was seen");
+    let without_length = durations.bound("chat", None, Ahead::Answer);
+    assert_eq!(without_length, None, "none without a length was seen");
 }
 
 #[test]
-fn few_answers_take_longer_than_expected_lengths_tell() {
+fn few_answers_exceed_the_bound_of_their_expected_length() {
     // Lengths spread by a factor of two around what callers expect, and the time
     // of a token by a factor of one and a half.
     let mut durations = Durations::default();
-    let mut over = 0;
+    let mut exceeded = 0;
     let mut seed = 7_u64;
-    let mut draw = || {
+    let mut sample = || {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         (seed >> 33) as f64 / f64::from(1_u32 << 31)
     };
     for n in 0..4_000 {
-        let tokens = 20 + (draw() * 500.0) as u32;
+        let tokens = 20 + (sample() * 500.0) as u32;
         // Sums of three draws lie around 1.5.
-        let mut spread = |factor: f64| factor.powf((0..3).map(|_| draw()).sum::<f64>() - 1.5);
+        let mut spread = |factor: f64| factor.powf((0..3).map(|_| sample()).sum::<f64>() - 1.5);
         let length = f64::from(tokens) * spread(2.0) + 40.0;
-        let took = Took {
+        let observed = Took {
             wait: Duration::ZERO,
             answer: Duration::from_secs_f64(length * 0.006 * spread(1.5)),
             tokens: Some(tokens),
         };
         let bound = durations.bound("chat", Some(tokens), Ahead::Answer);
-        if n >= 20 && bound.expect("answers were seen") < took.answer {
-            over += 1;
+        if n >= 20 && bound.expect("answers were seen") < observed.answer {
+            exceeded += 1;
         }
-        durations.observe("chat", took);
+        durations.observe("chat", observed);
     }
-    assert!(over <= 80, "one in fifty: {over}");
+    assert!(exceeded <= 80, "one in fifty: {exceeded}");
 }
 
 #[test]
 fn a_request_that_has_waited_is_judged_by_its_answer_alone() {
     let mut durations = Durations::default();
     for _ in 0..50 {
-        let took = Took {
+        let observed = Took {
             wait: Duration::from_secs(2),
             answer: Duration::from_millis(500),
             tokens: None,
         };
-        durations.observe("draft", took);
+        durations.observe("draft", observed);
     }
     let bound = |ahead| {
         let bound = durations.bound("draft", None, ahead);
@@ -322,7 +328,7 @@
 }
 
 #[test]
-fn callers_sent_elsewhere_do_not_arrive_together() {
+fn callers_referred_to_other_nodes_do_not_arrive_together() {
     let waits = [0.0, 0.5, 1.0].map(elsewhere);
     assert!(waits[0] < waits[1] && waits[1] < waits[2]);
     assert!(waits[2] < Duration::from_millis(100));
--- a/lib/tests/test_slices.rs
+++ b/lib/tests/test_slices.rs
@@ -75,15 +75,15 @@
             let same = held.map(|h| &topic[h.offset.0 as usize]);
             prop_assert_eq!(held, same);
             let newest = copies[RECORDS as usize].get(key);
-            let passed = newest.filter(|r| r.offset < reader.next());
-            prop_assert!(passed.is_none_or(|r| Some(r) == held));
+            let covered = newest.filter(|r| r.offset < reader.next());
+            prop_assert!(covered.is_none_or(|r| Some(r) == held));
         }
     }
     Ok(())
 }
 
 #[test]
-fn a_copy_from_several_holders_is_that_of_the_topic() {
+fn a_copy_from_several_holders_matches_the_topic() {
     // Holders are complete up to different offsets, answers are lost, and a
     // record is overtaken by a newer one while it comes. Slices of two records
     // never mix, and no record that was passed by is missing.
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn another_holder_goes_on_where_a_lost_one_stopped() {
+fn another_holder_continues_where_a_lost_one_stopped() {
     // The first holder dies when half of a large record has come. The rest
     // comes from the second one; nothing comes twice.
     let mut holder = Replica::default();
@@ -114,21 +114,21 @@
     holder.extend(vec![record.clone()], Offset(5));
     let other = holder.clone();
     let mut assembly = Assembly::default();
-    let mut come = 0;
-    let mut taken = None;
+    let mut received = 0;
+    let mut assembled = None;
     for holder in [&holder, &holder, &other, &other] {
         let slice = holder
             .slice(assembly.next_request(Offset(3)))
             .expect("it is newer");
-        come += slice.data.len();
-        taken = assembly.add(slice);
+        received += slice.data.len();
+        assembled = assembly.add(slice);
     }
-    assert_eq!(taken, Some(record));
-    assert_eq!(come, 4 * SLICE_MAX_BYTES);
+    assert_eq!(assembled, Some(record));
+    assert_eq!(received, 4 * SLICE_MAX_BYTES);
 }
 
 #[test]
-fn a_record_beyond_the_bound_is_not_begun() {
+fn a_record_above_the_maximum_size_is_not_started() {
     // A faulty sender names a size that would take the reader's memory.
     let mut assembly = Assembly::default();
     let before = assembly.next_request(Offset(0));
