--- a/lib/tests/test_bookings.rs
+++ b/lib/tests/test_bookings.rs
@@ -1,4 +1,4 @@
-//! Where prompts go when many nodes share a model's endpoints.
+//! Placement of prompts when many nodes share a model's endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use snipeyoke_lib::serving::directory::LoadReport;
 use snipeyoke_lib::time::Time;
 
-/// The tokens that an engine reads in a millisecond.
+/// The tokens that an engine reads per millisecond.
 const TOKENS_PER_MS: f64 = 64.0;
 
 /// The shared tokens of a prompt.
 const SHARED_TOKENS: u32 = 13_300;
 
-/// What is left of a prompt's aim for the engine.
+/// The part of a prompt's target time that remains for the engine.
 const TARGET: Duration = Duration::from_millis(900);
 
 const ONLY_SHARD: Shard = Shard { index: 0, count: 1 };
@@ -70,7 +70,8 @@
     }
 }
 
-/// One engine: reads prompts one after the other, and keeps their shared parts.
+/// An engine that reads prompts one after the other and caches their shared
+/// prefixes.
 #[derive(Debug, Clone, Default)]
 struct Engine {
     free: f64,
@@ -78,7 +79,7 @@
 }
 
 impl Engine {
-    /// Reads a prompt that comes at `now`; returns when it is read, in ms.
+    /// Reads a prompt that arrives at `now`; returns when it is read, in ms.
     fn read(&mut self, now: f64, prefix: u64, tokens: u32) -> f64 {
         let is_cached = self.cached.get(&prefix).is_some_and(|&at| now - at < 3e4);
         let unread_tokens = tokens + if is_cached { 0 } else { SHARED_TOKENS };
@@ -88,7 +89,7 @@
     }
 }
 
-/// A prompt that comes to some node.
+/// A prompt that arrives at a node.
 struct Prompt {
     at: f64,
     node: usize,
@@ -96,10 +97,11 @@
     tokens: u32,
 }
 
-/// When the burst begins and ends, in milliseconds.
+/// The start and end of the burst, in milliseconds.
 const BURST: std::ops::Range<f64> = 10e3..16e3;
 
-/// Prompts of ten calm seconds and a burst, with few very long ones.
+/// Returns the prompts of ten calm seconds and a burst, with few very long
+/// ones.
 fn prompts(seed: u64, calm: f64, burst: f64) -> Vec<Prompt> {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let mut at = 0.0;
@@ -123,8 +125,9 @@
     Time::from_micros((at * 1e3) as u64 + 1_000_000)
 }
 
-/// Plays prompts; `choose` names the endpoint, `told` hears when it was read.
-/// Returns the share of the burst that missed the aim.
+/// Simulates prompts: `choose` returns the endpoint, `on_read` is called when
+/// it has read the prompt. Returns the fraction of the burst that missed the
+/// target time.
 fn simulate(
     all: &[Prompt],
     endpoints: usize,
@@ -158,7 +161,7 @@
     f64::from(late) / f64::from(count)
 }
 
-/// Each of a hundred nodes chooses by what it sent itself and was told.
+/// Each of a hundred nodes chooses by its own calls and the reported load.
 fn uncoordinated(all: &[Prompt], endpoints: usize) -> f64 {
     let nodes: Vec<Directory> = (0..100).map(|_| directory(endpoints)).collect();
     let nodes = std::cell::RefCell::new(nodes);
@@ -193,7 +196,7 @@
     )
 }
 
-/// All nodes have their prompts booked at one of them.
+/// All nodes book their prompts at one of them.
 fn booked(all: &[Prompt], endpoints: usize) -> f64 {
     let directory = directory(endpoints);
     let bookings = std::cell::RefCell::new(Bookings::default());
@@ -221,9 +224,9 @@
 
 #[test]
 fn no_prompt_waits_while_endpoints_are_idle() {
-    // A burst on what a crash has left of a model, at a third of what that can
-    // read. Nodes that choose alone pile prompts up before some endpoints while
-    // most have none.
+    // A burst on the endpoints that remain after a crash, at a third of the
+    // load that they can read. Nodes that choose on their own queue several
+    // prompts on some endpoints while most have none.
     for seed in 0..3 {
         let all = prompts(seed, 50.0, 115.0);
         let uncoordinated = uncoordinated(&all, 30);
@@ -238,8 +241,8 @@
 
 #[test]
 fn a_prompt_goes_to_the_endpoint_that_read_its_prefix() {
-    // Reading a shared part again takes two hundred milliseconds, and keeps the
-    // next prompts waiting. A short queue is cheaper, a long one is not.
+    // Reading a shared prefix again takes two hundred milliseconds and delays
+    // the next prompts. A short queue is cheaper, a long one is not.
     let directory = directory(8);
     let mut bookings = Bookings::default();
     let service = service();
@@ -263,8 +266,8 @@
 
 #[test]
 fn inputs_are_read_in_their_domain_unless_that_costs_more() {
-    // Results of stages are read where they lie, until what waits there costs
-    // more than reading them from afar.
+    // Results of stages are read in their own failure domain until the backlog
+    // there costs more than reading them remotely.
     let directory = directory(8);
     let mut bookings = Bookings::default();
     let service = service();
@@ -288,8 +291,8 @@
 
 #[test]
 fn the_bookings_of_a_lost_node_end() {
-    // A node dies with its requests under way. Endpoints that look busy for good
-    // would get nothing any more.
+    // A node fails with requests in flight. If its bookings stayed, the
+    // endpoints would look busy forever and get no more calls.
     let directory = directory(4);
     let mut bookings = Bookings::default();
     let service = service();
@@ -316,7 +319,7 @@
 
 #[test]
 fn a_booking_without_a_reported_end_expires() {
-    // The word that a request has ended is lost on a full link.
+    // The message that a request has ended is lost on a full link.
     let directory = directory(1);
     let mut bookings = Bookings::default();
     let service = service();
@@ -367,7 +370,7 @@
 
 #[test]
 fn each_endpoint_belongs_to_one_shard() {
-    // Each endpoint is booked at one node; nodes agree on the parts while
+    // Each endpoint is booked at one node; nodes agree on the shards while
     // endpoints come and go.
     assert_eq!([1, 63, 64, 180, 680].map(Shard::count), [1, 1, 2, 4, 16]);
     assert_eq!(Shard::count(0), 1);
--- a/lib/tests/test_catch_up.rs
+++ b/lib/tests/test_catch_up.rs
@@ -1,4 +1,5 @@
-//! Where a node that lacks the newest configuration gets it from.
+//! Selection of the source from which a node gets a configuration that it
+//! lacks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,19 +13,19 @@
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
 
-/// The neighbours of the node.
+/// The number of peers of the node.
 const PEERS: u16 = 21;
 
-/// The bytes of a configuration of 4,200 routes.
+/// The size of a configuration of 4,200 routes, in bytes.
 const CONFIG_BYTES: usize = 780_983;
 
-/// A configuration that neighbours are not asked for at once.
+/// A configuration too large to be requested from a peer without delay.
 const LARGE_CONFIG: u64 = CONFIG_BYTES as u64;
 
-/// The bytes a second of a link of 10 Mbit/s.
+/// The throughput of a link of 10 Mbit/s, in bytes per second.
 const LINK_BYTES_PER_SECOND: f64 = 1.25e6;
 
-/// The time between two looks at some neighbour.
+/// The interval between two polls of peers.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 fn node(n: u16) -> SocketAddr {
@@ -35,11 +36,11 @@
     (1..=PEERS).map(|n| (node(n), Some(MilliCores(if n <= 8 { 500 } else { 90 }))))
 }
 
-/// A node that lacks the configuration that all its neighbours have.
+/// A node that lacks the configuration that all its peers have.
 struct Lagging {
     now: Time,
     catch_up: CatchUp,
-    /// Bytes of the record that have come, and of those on their way.
+    /// The bytes of the record that were received, and those in flight.
     received: usize,
     in_flight: usize,
     sources: Vec<SocketAddr>,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Plays a millisecond; `dead` neighbours never answer.
+    /// Simulates a millisecond; `dead` peers never respond.
     fn step(&mut self, dead: impl Fn(SocketAddr) -> bool) {
         let since = self.now.as_micros() / 1_000;
         if since.is_multiple_of(POLL_INTERVAL.as_millis() as u64) {
@@ -88,8 +89,8 @@
 
 #[test]
 fn a_node_that_is_behind_fetches_one_copy() {
-    // The registry's answer is lost. All neighbours have a configuration that
-    // takes 0.6 s over this node's link, and say so one after the other.
+    // The registry's response is lost. All peers have a configuration that
+    // takes 0.6 s over this node's link, and report it one after the other.
     let mut lagging = Lagging::new();
     let started = lagging.now;
     while lagging.received < CONFIG_BYTES {
@@ -108,8 +109,8 @@
 
 #[test]
 fn no_peer_is_used_while_the_registry_responds() {
-    // The registry's answer takes three seconds over a full link. It comes
-    // slowly, but it comes: a second copy would take its room.
+    // The registry's response takes three seconds over a full link. It makes
+    // progress, and a second copy would take its bandwidth.
     let mut lagging = Lagging::new();
     for tick in 0..3_000 {
         if tick % 500 == 0 {
@@ -122,8 +123,9 @@
 
 #[test]
 fn a_stalled_copy_continues_from_another_peer() {
-    // The first two neighbours asked have died, which nobody knows yet. The copy
-    // comes from the third one, and no two are asked within the same stall time-out.
+    // The first two sources have failed, which no node knows yet. The copy
+    // comes from the third one, and no two are used within the same stall
+    // time-out.
     let mut lagging = Lagging::new();
     let mut dead = Vec::new();
     let started = lagging.now;
@@ -150,7 +152,7 @@
 
 #[test]
 fn without_the_registry_a_peer_is_used_at_once() {
-    // The registry turns this node away. There is nothing to wait for.
+    // The registry refuses this node, so there is nothing to wait for.
     let mut lagging = Lagging::new();
     lagging.catch_up.set_registry_failed(true);
     lagging
@@ -164,8 +166,9 @@
 
 #[test]
 fn strong_hosts_are_preferred_and_load_is_spread() {
-    // Fourteen small nodes lag together. A small host that passed on a copy
-    // would fill its own link; one strong host that passed on all of them, too.
+    // Fourteen small nodes are behind together. A small host that sent a copy
+    // would fill its own link, and so would one strong host that sent all of
+    // them.
     let mut sources = std::collections::BTreeSet::new();
     for own in 100..114 {
         let mut catch_up = CatchUp::new(node(own));
@@ -181,7 +184,7 @@
 
 #[test]
 fn without_a_holder_no_decision_is_due() {
-    // The only neighbour that had more has died. A decision that stays due would
+    // The only peer that had more has failed. A decision that stays due would
     // keep the node busy for nothing.
     let mut catch_up = CatchUp::new(node(99));
     catch_up.set_registry_failed(true);
@@ -194,8 +197,8 @@
 
 #[test]
 fn the_registry_is_read_once_per_missing_change() {
-    // A neighbour tells of a change before this node's own read is answered. The
-    // node waits for it, then reads once; what comes then is not asked again.
+    // A peer reports a change before this node's own read is answered. The node
+    // waits for the response and then reads once per missing change.
     let mut catch_up = CatchUp::new(node(99));
     let reported = Time::from_millis(1_000);
     catch_up.on_peer_offset(reported, node(3), Offset(7), LARGE_CONFIG);
@@ -220,8 +223,8 @@
 
 #[test]
 fn a_small_change_comes_from_the_peer_that_reports_it() {
-    // One node reads the registry for all and tells of a change. Were each to
-    // read it for itself, hundreds would at the same moment.
+    // One node reads the registry for all and reports a change. If each node
+    // read it for itself, hundreds would do so at the same moment.
     let mut catch_up = CatchUp::new(node(99));
     catch_up.advance_to(Offset(6));
     let reported = Time::from_millis(10_000);
--- a/lib/tests/test_crashes.rs
+++ b/lib/tests/test_crashes.rs
@@ -47,8 +47,8 @@
     );
 }
 
-/// Guards against one end that counts three times because several nodes, or one
-/// of them several times, tell it.
+/// Guards against one end that counts three times because several nodes report
+/// it, or one of them repeatedly.
 #[test]
 fn an_end_counts_once_however_often_it_is_reported() {
     let mut crashes = CrashTracker::default();
@@ -71,8 +71,8 @@
     }
 }
 
-/// Guards against a request that is often asked and answered, and is refused
-/// because it was beside one that ends endpoints.
+/// Guards against a frequent request that is answered but refused because it
+/// shared endpoints with one that crashes them.
 #[test]
 fn an_answer_clears_the_ends_before_it() {
     let mut crashes = CrashTracker::default();
@@ -95,7 +95,7 @@
     assert_eq!(witness.quarantine_remaining(at(2), REQUEST), None);
     assert_eq!(counter.apply_verdict(at(2), lifted), VerdictOutcome::New);
     assert_eq!(counter.quarantine_remaining(at(2), REQUEST), None);
-    // A third node hears of both, the newer one first.
+    // A third node receives both, the newer one first.
     let mut late = CrashTracker::default();
     late.apply_verdict(at(3), lifted);
     assert_eq!(late.apply_verdict(at(3), verdict), VerdictOutcome::Known);
@@ -112,7 +112,7 @@
 }
 
 /// Guards against a request that is refused for minutes after its endpoints,
-/// which ended for another reason, are well again.
+/// which ended for another reason, have recovered.
 #[test]
 fn a_request_gets_one_trial_after_its_quarantine() {
     let (mut crashes, verdict) = quarantined();
@@ -132,8 +132,8 @@
     assert_eq!(crashes.quarantine_remaining(at(64), REQUEST), None);
 }
 
-/// Guards against a fourth endpoint that a request ends in trials, however far
-/// apart they are.
+/// Guards against more endpoints lost to trials of a request, however far apart
+/// these are.
 #[test]
 fn a_trial_that_ends_an_endpoint_extends_the_quarantine() {
     let (mut crashes, _) = quarantined();
@@ -152,8 +152,8 @@
     assert_eq!(durations, [186, 744, 2_976, 3_600]);
 }
 
-/// Guards against a node that starts while a request is tried elsewhere, and
-/// sends it as if it were any other.
+/// Guards against a node that starts during a trial elsewhere and sends the
+/// request like any other.
 #[test]
 fn an_expired_quarantine_is_sent_to_starting_nodes() {
     let (crashes, _) = quarantined();
@@ -165,8 +165,8 @@
     assert!(node.quarantine_remaining(at(101), REQUEST).is_some());
 }
 
-/// Guards against two nodes that tell each other the same verdict for ever, a
-/// little longer each time.
+/// Guards against two nodes that send each other the same verdict forever,
+/// slightly extended each time.
 #[test]
 fn a_verdict_that_returns_is_not_a_change() {
     let (mut first, _) = quarantined();
@@ -242,7 +242,7 @@
 }
 
 /// Guards against a request that is refused for ends before its answer, because
-/// they are told again after it.
+/// they are reported again after it.
 #[test]
 fn ends_reported_again_after_an_answer_do_not_count() {
     let mut crashes = CrashTracker::default();
@@ -256,8 +256,8 @@
     assert_eq!(crashes.quarantine_remaining(at(4), REQUEST), None);
 }
 
-/// Guards against a node that takes an answer for older than the ends, because
-/// these are counted when they are told.
+/// Guards against a node that considers an answer older than the ends, because
+/// these are counted when they are reported.
 #[test]
 fn a_node_objects_to_ends_that_were_reported_late() {
     let mut counter = CrashTracker::default();
@@ -275,8 +275,8 @@
     );
 }
 
-/// Guards against a quarantine that is put back after it was lifted elsewhere, by
-/// ends from before.
+/// Guards against a quarantine that is restored by earlier ends after it was
+/// lifted elsewhere.
 #[test]
 fn ends_reported_again_after_a_lifted_quarantine_do_not_count() {
     let (mut crashes, verdict) = quarantined();
@@ -295,8 +295,8 @@
     assert_eq!(crashes.quarantine_remaining(at(5), REQUEST), None);
 }
 
-/// Guards against a trial that is taken for failed, and repeated, because an end
-/// from before the quarantine is told again.
+/// Guards against a trial that counts as failed and is repeated, because an end
+/// from before the quarantine is reported again.
 #[test]
 fn an_end_reported_again_after_the_quarantine_is_no_failed_trial() {
     let (mut crashes, _) = quarantined();
@@ -313,8 +313,8 @@
     assert!(!crashes.try_start_trial(at(64), REQUEST), "one at a time");
 }
 
-/// Guards against a request that goes on ending endpoints, because its trials
-/// have no verdict: their callers leave, or the endpoints refuse them.
+/// Guards against a request that continues to crash endpoints because its
+/// trials have no verdict: their callers leave, or the endpoints refuse them.
 #[test]
 fn trials_without_a_verdict_are_three_at_most() {
     let (mut crashes, _) = quarantined();
@@ -328,7 +328,7 @@
     );
 }
 
-/// Guards against trials that begin anew at each node that ranks first.
+/// Guards against a trial count that restarts at each node that ranks first.
 #[test]
 fn a_trial_that_failed_elsewhere_counts() {
     let (_, mut verdict) = quarantined();
@@ -342,8 +342,8 @@
     assert!(!crashes.try_start_trial(now, REQUEST));
 }
 
-/// Guards against a node that takes an answer for older than the first end, because
-/// the verdict has been on its way.
+/// Guards against a node that considers an answer older than the first end
+/// because of the transit time of the verdict.
 #[test]
 fn an_answer_right_after_the_first_end_is_an_objection() {
     let (_, verdict) = quarantined();
--- a/lib/tests/test_crashes_random.rs
+++ b/lib/tests/test_crashes_random.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end, over several nodes that come and go.
+//! Requests under which endpoints end, on several nodes that fail and restart.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,16 +23,16 @@
 /// How long a node has to be up to know what the others know.
 const SYNC_TIME: Duration = Duration::from_secs(3);
 
-/// The sends that a request may have later than this after its third end.
+/// The maximum sends of a request later than this after its third end.
 const SENDS_MAX: usize = 3;
 
 /// One step of the virtual clock, in milliseconds.
 const STEP: u64 = 10;
 
-/// The time between two looks of a node at another.
+/// The interval between two polls of a node, in milliseconds.
 const POLL_INTERVAL: u64 = 250;
 
-/// How long others take to find a node silent.
+/// How long other nodes take to detect a silent node.
 const SILENCE_LIMIT: Duration = Duration::from_millis(750);
 
 /// A request that ends every endpoint that runs it.
@@ -46,11 +46,11 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A send of a request ends its endpoint.
+    /// An attempt of a request ends its endpoint.
     Ends(Fingerprint, Incarnation),
-    /// Another node tells the end of an endpoint, and when it was.
+    /// Another node reports the end of an endpoint, and when it was.
     Reported(Time, Fingerprint, Incarnation),
-    /// A send of a request is answered whole.
+    /// An attempt of a request gets a complete response.
     Answered(Fingerprint),
     VerdictReceived(Verdict),
     Down,
@@ -63,7 +63,7 @@
     crashes: CrashTracker,
     up: bool,
     since: Time,
-    /// What it told each other node, by the life of that node.
+    /// The last change sent to each other node, by the start time of that node.
     sent_changes: BTreeMap<(usize, Time), u64>,
     recent_ends: Vec<(Time, Fingerprint, Incarnation)>,
 }
@@ -76,9 +76,9 @@
     events: BTreeMap<(Time, usize), (usize, Event)>,
     count: usize,
     endpoints: u64,
-    /// Draws of the way of each message, used in turn.
+    /// Random samples for the delays of messages, used in turn.
     samples: Vec<u8>,
-    /// The ends that a node in use has seen, by request.
+    /// The ends observed by a running node, by request.
     ends: BTreeMap<Fingerprint, BTreeSet<Incarnation>>,
     third: Option<Time>,
     late_sends: usize,
@@ -133,7 +133,7 @@
         self.events.insert((at, self.count), (node, event));
     }
 
-    /// A caller's request comes to a node.
+    /// Handles a request that a caller sends to a node.
     fn submit(&mut self, node: usize, request: Fingerprint, millis: u64) {
         let now = self.now;
         let held = &mut self.nodes[node];
@@ -232,7 +232,7 @@
 
     fn broadcast(&mut self, node: usize, verdict: Verdict) {
         for to in 0..self.nodes.len() {
-            // One verdict in four gets lost with its link.
+            // One verdict in four is lost with its link.
             let sample = self.next_sample();
             if to != node && !sample.is_multiple_of(4) {
                 self.schedule(1 + sample % 40, to, Event::VerdictReceived(verdict));
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Looks at another node, as each node does in turn.
+    /// Polls another node, in turn.
     fn poll(&mut self, node: usize) {
         let turn = self.now.as_micros() / 1_000 / POLL_INTERVAL;
         let other = (node + 1 + turn as usize % (self.nodes.len() - 1)) % self.nodes.len();
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Tells whether the harmless request was answered, by a node that still
-    /// knows it, and has not had three ends since.
+    /// Returns whether the harmless request was answered by a node that still
+    /// knows it, and has had fewer than three ends since.
     fn is_cleared(&self) -> bool {
         let remembers = |&&(at, node): &&(Time, usize)| {
             let node = &self.nodes[node];
@@ -306,9 +306,9 @@
     }
 }
 
-/// Guards against a request that goes on ending endpoints because nodes that
-/// counted it are lost, or because nodes that have just started don't know of it;
-/// and against one that is refused although it was answered after its ends.
+/// Guards against a request that continues to crash endpoints because nodes
+/// that counted it are lost or nodes that have just started do not know it, and
+/// against one that is refused although it was answered after its ends.
 #[test]
 fn a_crashing_request_is_stopped_on_all_nodes_while_nodes_fail_and_restart() {
     let config = Config {
@@ -335,7 +335,8 @@
                 let until = world.now + Duration::from_millis(gap);
                 world.run(until);
                 world.submit(node % count, CRASHING, millis);
-                // Others are on the endpoints that end, each on one or two.
+                // Other requests use the endpoints that end, each on one or
+                // two.
                 bystanders += 1;
                 let bystander = Fingerprint(1_000 + bystanders / 2);
                 world.submit((node + 1) % count, bystander, millis);
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -47,7 +47,8 @@
 
 #[test]
 fn a_prefix_keeps_to_its_endpoint_while_nothing_is_wrong() {
-    // Every node ranks alike, so a shared prefix is read once and not nine times.
+    // Every node ranks alike, so a shared prefix is read once and not nine
+    // times.
     let mut directory = directory();
     let first = choose(&directory, Some(7));
     for _ in 0..3 {
@@ -58,8 +59,8 @@
 
 #[test]
 fn a_hot_prefix_spills_to_its_next_endpoint_only() {
-    // One key gets much of the traffic. What its endpoint can't take goes to
-    // the next of its rank, not to all: each would read the prefix again.
+    // One key gets much of the traffic. The overflow of its endpoint goes to
+    // the next one by rank, not to all: each would read the prefix again.
     let mut directory = directory();
     let mut used = Vec::new();
     for _ in 0..16 {
@@ -88,8 +89,8 @@
 
 #[test]
 fn a_restarted_endpoint_is_a_new_one() {
-    // It crashed under load and is back under its name: neither its calls nor
-    // its failures of before count.
+    // The endpoint crashed under load and restarted under its name: neither its
+    // earlier calls nor its earlier failures count.
     let mut directory = directory();
     let id: EndpointId = "m0".parse().expect("a name");
     directory.call_started(&id);
--- a/lib/tests/test_endpoint_loss.rs
+++ b/lib/tests/test_endpoint_loss.rs
@@ -1,4 +1,4 @@
-//! Which endpoints ended while they had requests.
+//! Detection of endpoints that ended while they had requests.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 }
 
 /// Guards against requests that are blamed for connections that were reset
-/// while their endpoint lives.
+/// while their endpoint is alive.
 #[test]
 fn no_request_is_blamed_for_an_endpoint_that_is_alive() {
     let mut loss = EndpointLoss::default();
@@ -58,8 +58,8 @@
     );
 }
 
-/// Guards against a request that ends endpoints unseen, because its callers have
-/// gone before.
+/// Guards against a request that crashes endpoints undetected because its
+/// callers have disconnected before.
 #[test]
 fn a_request_abandoned_right_before_the_end_is_blamed() {
     let mut loss = EndpointLoss::default();
@@ -84,7 +84,8 @@
     );
 }
 
-/// Guards against requests that are blamed for ends long after they were given up.
+/// Guards against requests that are blamed for ends long after they were
+/// abandoned.
 #[test]
 fn a_request_abandoned_long_before_the_end_is_not_blamed() {
     let mut loss = EndpointLoss::default();
--- a/lib/tests/test_freshness.rs
+++ b/lib/tests/test_freshness.rs
@@ -1,4 +1,4 @@
-//! The bound on the time for which a confirmed change stays unknown.
+//! Bound on the time for which a confirmed change stays unknown.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,42 +15,42 @@
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
 
-/// The bound that is asked for.
+/// The configured bound.
 const BOUND: Duration = Duration::from_secs(2);
 
-/// The bound for the endpoints, which leaves time for a call under way.
+/// The bound for the endpoints, which leaves time for a call in flight.
 const NOTICE: Duration = Duration::from_millis(1_600);
 
-/// The time that an answer of the registry and of a node takes.
+/// The response time of the registry and of a node.
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
 
-/// How long a node waits for an answer of another one.
+/// How long a node waits for the response of another node.
 const SILENCE_LIMIT: Duration = Duration::from_millis(750);
 
 /// How long a call to a silent registry takes.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a node is well before it must know what was confirmed: the longest
+/// How long a node must be free of faults before the bound applies: the longest
 /// pause after failed reads.
 const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The random plays.
+/// The number of random simulations.
 const SEEDS: u64 = 1_000;
 
-/// What is wrong, by node.
+/// A fault of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     /// The node neither reads nor answers.
     Frozen,
-    /// The registry answers it nothing.
+    /// The registry sends it no response.
     RegistrySilent,
-    /// The registry turns it away at once.
+    /// The registry refuses its reads at once.
     RegistryRefuses,
-    /// No other node answers it, and it answers none.
+    /// It is partitioned from all other nodes.
     Partitioned,
 }
 
-/// A read under way.
+/// A read in flight.
 #[derive(Debug, Clone, Copy)]
 struct Read {
     sent: Time,
@@ -58,7 +58,7 @@
     succeeds: bool,
 }
 
-/// A look under way.
+/// A poll in flight.
 #[derive(Debug, Clone, Copy)]
 struct Poll {
     target: SocketAddr,
@@ -66,22 +66,22 @@
     done_at: Time,
 }
 
-/// A node, its reads and its looks; none of its waiting reads is ever woken.
+/// A node with its reads and polls; none of its long polls ever returns.
 #[derive(Debug)]
 struct Node {
     address: SocketAddr,
     owners: Owners,
     polling: RegistryPolling,
     reads: BTreeMap<ReplicaKind, Read>,
-    /// When the next read may go out after one that failed.
+    /// When the next read may be sent after a failed one.
     pauses: BTreeMap<ReplicaKind, Time>,
     backoff: Backoff,
     polls: Vec<Poll>,
-    /// When something was last wrong with it, if ever.
+    /// When the node last had a fault, if ever.
     last_fault: Option<Time>,
 }
 
-/// Nodes on one registry, in steps of ten milliseconds or more.
+/// Nodes on one registry, simulated in steps of at least ten milliseconds.
 struct World {
     now: Time,
     step: Duration,
@@ -90,8 +90,8 @@
     /// When each read was sent.
     read_times: Vec<Time>,
     poll_count: usize,
-    /// The longest time for which a node that is well knew nothing of a topic,
-    /// as a part of its bound.
+    /// The greatest age of a replica on a node without faults, as a fraction of
+    /// its bound.
     max_age: f64,
 }
 
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns the node that reads for all.
+    /// Returns the registry reader.
     fn reader(&self) -> SocketAddr {
         self.nodes[0].owners.reader(self.now)
     }
@@ -260,7 +260,8 @@
         }
         let seen = self.nodes.iter().find(|n| n.address == poll.target);
         let seen = seen.expect("it is one of them");
-        // As of when the other node answered, which is later than it was asked.
+        // As of when the other node responds, which is later than the poll was
+        // sent.
         let status = ReplicaStatus {
             cannot_read: seen.polling.cannot_read(now),
             config_age: seen.polling.freshness(ReplicaKind::Config).age(now),
@@ -281,27 +282,28 @@
 
 #[test]
 fn two_reads_of_the_endpoints_fit_into_the_notice() {
-    // An endpoint says that it leaves. One read of the registry fails; the next
-    // one must still come before the endpoint may get nothing new.
+    // An endpoint reports that it leaves, and one read of the registry fails.
+    // The next read must still come before the endpoint may get no new calls.
     for notice in [2_000_u64, 3_000, 4_000].map(Duration::from_millis) {
         let mut polling = RegistryPolling::new(BOUND, notice);
         let read = Time::from_millis(1_000);
         polling.confirm(ReplicaKind::Endpoints, read);
         let pause = polling.read_at(ReplicaKind::Endpoints, true).since(read);
         assert!(2 * pause < notice);
-        // A silent one, and the look by which the others learn of the second.
+        // A read of a silent registry, and the poll by which the others learn
+        // of the second.
         let failed = pause + CALL_TIMEOUT + Duration::from_millis(100);
         assert!(failed + polling.poll_interval() < notice, "{notice:?}");
-        // Each has its price: no more than four, beside the time for a call.
+        // Each read has a cost: no more than four, besides the time for a call.
         assert!(4 * pause + Duration::from_millis(400) >= notice);
     }
 }
 
 #[test]
 fn a_starting_node_waits_for_the_registry() {
-    // Hundreds of nodes start together, and thousands of endpoints are on their
-    // way from the registry to each. Asked of each other as well, the lists fill
-    // the links of whoever has one first, and nobody is served for half a minute.
+    // Hundreds of nodes start together, and the registry sends thousands of
+    // endpoints to each. Lists requested from peers as well would fill their
+    // links, and no node would serve requests for half a minute.
     let mut polling = RegistryPolling::new(BOUND, BOUND);
     let now = Time::from_millis(1_000);
     assert!(polling.is_stale(now, ReplicaKind::Endpoints));
@@ -315,8 +317,8 @@
 
 #[test]
 fn differing_replicas_are_not_read_with_each_poll() {
-    // Two nodes disagree on an endpoint whatever they read. Each look would make
-    // both list thousands of endpoints again.
+    // Two nodes disagree on an endpoint whatever they read. If each poll caused
+    // a read, both would list thousands of endpoints again and again.
     let mut polling = RegistryPolling::new(BOUND, BOUND);
     let poll = Duration::from_millis(400);
     let lists = (0..150).filter(|&n| polling.on_mismatch(Time::from_millis(1_000) + poll * n));
@@ -325,22 +327,22 @@
 
 #[test]
 fn one_node_reads_for_all() {
-    // All is well, for a minute. Each read has its price, so their number must
-    // not grow with the nodes.
+    // One minute without faults. Each read has a cost, so the number of reads
+    // must not grow with the number of nodes.
     for count in [1, 6, 22, 120] {
         let mut world = World::new(count);
         world.run(Duration::from_mins(1));
         assert!(world.max_age < 0.6, "{count}: {}", world.max_age);
         let reads = world.read_times.len();
-        // Four of each topic within its bound.
+        // Four reads of each topic within its bound.
         assert!(reads <= 125 + 155, "{count} nodes: {reads} reads");
     }
 }
 
 #[test]
 fn a_frozen_reader_is_replaced_within_the_bound() {
-    // The node that reads for all stops, with its connections open. The others
-    // get no answer, and must know of a change within the bound all the same.
+    // The reader freezes with its connections open. The others get no response
+    // and must still learn of a change within the bound.
     let mut world = World::new(22);
     world.run(Duration::from_secs(5));
     let reader = world.reader();
@@ -351,8 +353,8 @@
 
 #[test]
 fn a_reader_without_registry_access_delays_nobody() {
-    // It still answers looks, with what it knew when it was cut off. It learns
-    // from the next reader itself.
+    // The reader still responds to polls, with its state from before the fault.
+    // It has to learn from the next reader itself.
     for fault in [Fault::RegistrySilent, Fault::RegistryRefuses] {
         let mut world = World::new(22);
         world.run(Duration::from_secs(5));
@@ -361,7 +363,8 @@
         let before = world.read_times.len();
         world.run(Duration::from_secs(20));
         let reads = world.read_times.len() - before;
-        // Those of the next reader, and those of the node itself, which fail.
+        // The reads of the next reader, and the failing ones of the node
+        // itself.
         assert!(reads <= 95 + 24, "{fault:?}: {reads} reads in 20 s");
         for node in &world.nodes {
             assert!(!world.is_expired(node), "{fault:?}: {}", node.address);
@@ -371,8 +374,8 @@
 
 #[test]
 fn the_loss_of_a_reader_does_not_make_all_nodes_read() {
-    // Hundreds of nodes whose copies grow old together would all read at the
-    // same moment, each time that their reader is lost.
+    // Hundreds of nodes have replicas of the same age and would all read at the
+    // same moment whenever their reader is lost.
     for fault in [
         Fault::Frozen,
         Fault::RegistrySilent,
@@ -386,15 +389,16 @@
         world.faults.insert(reader, fault);
         world.run(Duration::from_secs(5));
         let reads = world.read_times.len() - before;
-        // A quarter of the nodes, beside the usual reads.
+        // A quarter of the nodes, besides the usual reads.
         assert!(reads <= 26 + 25, "{fault:?}: {reads} reads in 5 s");
     }
 }
 
 #[test]
 fn in_an_outage_no_node_polls_all_others() {
-    // The registry is away for all. Each node that asked every other one in turn
-    // whether it can read would ask a hundred, as fast as they answer.
+    // The registry is down for all nodes. If each polled every other one in
+    // turn for a working reader, it would poll a hundred as fast as they
+    // respond.
     let mut world = World::new(103);
     world.run(Duration::from_secs(5));
     for n in 1..=103 {
@@ -403,14 +407,14 @@
     let before = world.poll_count;
     world.run(Duration::from_secs(20));
     let polls = (world.poll_count - before) / 103;
-    // Usually one look in 0.32 s.
+    // Usually one poll in 0.32 s.
     assert!(polls <= 2 * 63, "{polls} polls of each node in 20 s");
 }
 
 #[test]
 fn after_an_outage_all_replicas_are_fresh_within_the_bound() {
-    // The registry was silent for all. It comes back, and each node knows of a
-    // change made at that moment within the bound.
+    // The registry was silent for all nodes. Within the bound after its return,
+    // each node must know of a change made at that moment.
     let mut world = World::new(22);
     for n in 1..=22 {
         world.faults.insert(node(n), Fault::RegistrySilent);
@@ -429,8 +433,8 @@
     }
 }
 
-/// Plays half a minute in which nodes freeze, are cut off and come back, and
-/// returns the greatest age of a node that is well.
+/// Simulates half a minute in which nodes freeze, lose their connections and
+/// recover; returns the greatest age on a node without faults.
 fn simulate(seed: u64) -> f64 {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let count = rng.random_range(1..16_u16);
@@ -444,7 +448,7 @@
             world.faults.remove(&node);
         }
         if rng.random_bool(0.3) {
-            // Often the very node that reads.
+            // Half of the faults affect the current reader.
             let target = if rng.random_bool(0.5) {
                 world.reader()
             } else {
@@ -469,8 +473,8 @@
 
 #[test]
 fn a_node_that_reaches_the_registry_is_fresh_within_the_bound() {
-    // Random faults of readers and others. What a node knows must never be older
-    // than its bound while the registry answers it.
+    // Random faults of readers and other nodes. A replica must never be older
+    // than its bound while the registry responds to the node.
     for seed in 0..SEEDS {
         let max_age = simulate(seed);
         assert!(max_age < 1.0, "seed {seed}: {max_age} of the bound");
--- a/lib/tests/test_owners.rs
+++ b/lib/tests/test_owners.rs
@@ -1,4 +1,4 @@
-//! Which node owns the pieces of a service.
+//! Selection of the owner of a service.
 
 use std::net::SocketAddr;
 
@@ -26,7 +26,8 @@
 
 #[test]
 fn all_nodes_name_the_same_owner() {
-    // Pieces of one service fill calls only if they meet at one node.
+    // The batch items of one service fill batches only if they meet at one
+    // node.
     let all: Vec<Owners> = (1..=6).map(|n| owners(n, 6)).collect();
     for n in 0..20 {
         let named: Vec<SocketAddr> = all
@@ -39,8 +40,8 @@
 
 #[test]
 fn a_silent_owner_is_skipped_until_it_responds() {
-    // The owner was killed. Its callers' jobs go to the next node at once, and
-    // back to it once it answers again; other services stay where they are.
+    // The owner is killed. Jobs go to the next node at once, and back to the
+    // owner when it responds again; other services keep their owners.
     let mut owners = owners(1, 6);
     let first = (0..20)
         .map(service)
@@ -60,8 +61,8 @@
 
 #[test]
 fn a_leaving_node_owns_nothing() {
-    // A node that was told to stop hands its jobs to others while it still
-    // serves: what it owned at its end would be lost with it.
+    // A node that shuts down hands its jobs to others while it still serves:
+    // anything it owned at its end would be lost.
     let mut owners = owners(3, 6);
     let own = (0..20)
         .map(service)
@@ -74,8 +75,8 @@
     assert_eq!(alone.owner(Time::ZERO, &own), node(3), "nobody else can");
 }
 
-/// Guards against nodes that all leave and each count the ends of endpoints under a
-/// request alone.
+/// Guards against leaving nodes that each count the ends of endpoints under a
+/// request on their own.
 #[test]
 fn nodes_that_all_leave_agree_on_the_crash_counters() {
     let mut all: Vec<Owners> = (1..=6).map(|n| owners(n, 6)).collect();
@@ -97,9 +98,9 @@
 
 #[test]
 fn strong_hosts_own_services_while_one_of_them_is_alive() {
-    // Most hosts have a fifth of the others' power. One of them that owned a
-    // service would be late with every call of it; all nodes, weak ones too,
-    // name a strong one, and a weak one only when no strong one is left.
+    // Most hosts have a fifth of the others' power, and a weak owner would be
+    // late with every call of its service. All nodes, weak ones included,
+    // select a strong owner, and a weak one only when no strong one remains.
     let power = |n: u16| MilliCores(if n <= 2 { 500 } else { 90 });
     let mut all: Vec<Owners> = (1..=6).map(|n| Owners::new(node(n), power(n))).collect();
     for owners in &mut all {
--- a/lib/tests/test_releases.rs
+++ b/lib/tests/test_releases.rs
@@ -1,4 +1,4 @@
-//! What the next owner of a service is told of results given back before.
+//! Releases of results that the next owner of a service has to receive.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     vec![(endpoint, format!("h{n}"))]
 }
 
-/// Gives one result back every ten milliseconds, for three seconds.
+/// Releases one result every ten milliseconds, for three seconds.
 fn releases_over_3_s(owner: SocketAddr) -> RecentReleases {
     let mut releases = RecentReleases::default();
     for n in 0..300 {
@@ -37,9 +37,9 @@
 
 #[test]
 fn the_next_owner_gets_the_releases_that_the_last_one_missed() {
-    // The owner is killed at 2.0 s and found silent at 3.0 s. All that was
-    // given back in between went nowhere: at a hundred results a second its
-    // endpoints would be full of them, for seconds, under the next owner.
+    // The owner is killed at 2.0 s and detected as silent at 3.0 s. At a
+    // hundred results a second, the releases lost in between would fill the
+    // endpoints for seconds under the next owner.
     let mut releases = releases_over_3_s(node(1));
     let now = Time::from_millis(3_000);
     let missed = releases.take_missed(now, node(1), Time::from_millis(2_000));
@@ -63,7 +63,7 @@
 
 #[test]
 fn expired_releases_are_not_reported() {
-    // An owner that nobody could reach for a while has nothing left to free.
+    // An owner that was unreachable for a while has no results left to release.
     let mut releases = releases_over_3_s(node(1));
     let missed = releases.take_missed(Time::from_millis(20_000), node(1), Time::ZERO);
     assert!(missed.is_empty());
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -1,4 +1,5 @@
-//! Replicas, budgets, health and event streams of the serving parts.
+//! Replicas, retry budgets, health, event streams and answer durations of the
+//! serving modules.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,7 +35,7 @@
 
 #[test]
 fn an_older_record_changes_nothing_from_any_source() {
-    // A neighbour that was cut off tells of a key that was revoked since.
+    // A partitioned peer sends an old record of a key that was revoked since.
     let mut replica = Replica::default();
     replica.extend(vec![record("k", None, 7)], Offset(8));
     let changes = replica.extend(vec![record("k", Some(b"old"), 3)], Offset(4));
@@ -45,8 +46,8 @@
 
 #[test]
 fn a_list_drops_missing_keys_but_not_newer_ones() {
-    // History is gone, and with it the record that dropped a key. The list of
-    // all keys lacks it. A key that was written after the list stays.
+    // The history is gone, and with it the record that dropped a key, which the
+    // list of all keys lacks. A key that was written after the list stays.
     let mut replica = Replica::default();
     let held = vec![
         record("gone", Some(b"1"), 2),
@@ -69,8 +70,8 @@
 
 #[test]
 fn repeated_records_are_not_sent_to_peers() {
-    // Hundreds of endpoints write their record every second, and next to nothing
-    // in it changes. Passed on to hundreds of nodes, they would fill the links.
+    // Hundreds of endpoints write their record every second with almost no
+    // change. Sent on to hundreds of nodes, these records would fill the links.
     let mut replica = Replica::default();
     let first = vec![record("a", Some(b"1"), 1), record("b", Some(b"1"), 2)];
     replica.extend(first, Offset(3));
@@ -81,7 +82,7 @@
         .changes_since(Offset(3))
         .expect("nothing is forgotten");
     assert_eq!(sent, [record("b", None, 4)]);
-    // Someone who lacks everything gets the newest value, and no dropped key.
+    // A reader without any records gets the newest value, and no dropped key.
     let all = replica
         .changes_since(Offset(0))
         .expect("nothing is forgotten");
@@ -90,8 +91,9 @@
 
 #[test]
 fn a_reader_behind_forgotten_keys_reads_the_list() {
-    // Hosts are replaced for weeks. The keys of those that are gone don't pile
-    // up, and who missed their end is not told that it knows all.
+    // Hosts are replaced for weeks. The keys of removed hosts must not
+    // accumulate, and a reader that missed their removal must not be treated as
+    // complete.
     let mut replica = Replica::default();
     for n in 0..5_000 {
         let key = format!("host-{n}");
@@ -111,8 +113,8 @@
 
 #[test]
 fn the_sum_over_all_nodes_keeps_the_bound() {
-    // Six nodes get ten requests each in a window and would repeat all of them.
-    // Together they may repeat a fifth of the requests and 58 more.
+    // Six nodes get ten requests each in a window and would retry all of them.
+    // Together they may retry a fifth of the requests and 58 more.
     let limits = BudgetLimits {
         ratio: 0.2,
         window: Duration::from_secs(10),
@@ -147,7 +149,8 @@
 
 #[test]
 fn slowness_decays_without_new_answers() {
-    // An endpoint that is avoided gets no answers that could clear it.
+    // An endpoint that is avoided gets no answers that could reset its
+    // slowness.
     let mut health = Health::default();
     for n in 0..10 {
         health.answered(Time::from_millis(n), 6.0);
@@ -158,8 +161,9 @@
 
 #[test]
 fn events_pass_whole_once_and_in_order_at_any_chunk_sizes() {
-    // An endpoint's bytes come in any pieces, and a second run begins again
-    // before the last event. The caller sees each event once and whole.
+    // The bytes of an endpoint arrive in chunks of any size, and a second run
+    // starts again before the last event. The caller must get each event once
+    // and whole.
     let stream = |from: u64| -> Vec<u8> {
         let events = (from..=20).map(|n| format!("id: {n}\ndata: piece {n}\n\n"));
         events.collect::<String>().into_bytes()
@@ -177,7 +181,8 @@
         let mut events = Events::after(None);
         let mut out = Vec::new();
         for bytes in [first.to_vec(), stream(repeated)] {
-            // The second run goes on at or before what was passed on.
+            // The second run resumes at or before the last event that was
+            // passed on.
             if bytes != first && events.last().is_none_or(|last| repeated > last + 1) {
                 return Ok(());
             }
@@ -199,9 +204,9 @@
 
 #[test]
 fn a_refused_caller_retries_when_the_backlog_is_done() {
-    // Three seconds of work wait before a caller that has twelve left. Told to
-    // come back at once, its second try is refused like the first one; told to
-    // come back after all its time, it has none left for the answer.
+    // Three seconds of work are queued before a caller with twelve seconds
+    // remaining. A retry at once would be refused like the first attempt; a
+    // retry after all of its time would leave none for the answer.
     let [none, second] = [0, 1].map(Duration::from_secs);
     let remaining = 12 * second;
     assert!(come_back(3 * second, remaining, 0.0) >= 3 * second);
@@ -211,7 +216,7 @@
     assert!(soon > none && soon < second);
 }
 
-/// An answer that came as soon as its request was sent.
+/// Returns an answer that started as soon as its request was sent.
 fn answer(millis: u64) -> Took {
     Took {
         wait: Duration::ZERO,
@@ -226,8 +231,8 @@
 
 #[test]
 fn nearly_all_answers_of_a_route_end_within_its_bound() {
-    // Chats last from one to six seconds. A node with three seconds left must
-    // not begin one, and may still take a lookup of some milliseconds.
+    // Chats last from one to six seconds. A node with three seconds remaining
+    // must not start one, and may still accept a lookup of some milliseconds.
     let mut durations = Durations::default();
     assert_eq!(
         usual_bound(&durations, "chat"),
@@ -258,7 +263,7 @@
 
 #[test]
 fn an_answer_is_judged_by_the_length_that_its_caller_expects() {
-    // Chats differ in length thirtyfold, and a few short ones were the last.
+    // Chats differ in length thirtyfold, and the most recent ones were short.
     let mut durations = Durations::default();
     for n in 0..40_u32 {
         let observed = Took {
@@ -280,8 +285,8 @@
 
 #[test]
 fn few_answers_exceed_the_bound_of_their_expected_length() {
-    // Lengths spread by a factor of two around what callers expect, and the time
-    // of a token by a factor of one and a half.
+    // Lengths vary by a factor of two around the expected length, and the time
+    // per token by a factor of one and a half.
     let mut durations = Durations::default();
     let mut exceeded = 0;
     let mut seed = 7_u64;
@@ -291,7 +296,7 @@
     };
     for n in 0..4_000 {
         let tokens = 20 + (sample() * 500.0) as u32;
-        // Sums of three draws lie around 1.5.
+        // Sums of three samples are around 1.5.
         let mut spread = |factor: f64| factor.powf((0..3).map(|_| sample()).sum::<f64>() - 1.5);
         let length = f64::from(tokens) * spread(2.0) + 40.0;
         let observed = Took {
--- a/lib/tests/test_slices.rs
+++ b/lib/tests/test_slices.rs
@@ -1,4 +1,5 @@
-//! Records in slices: from several holders, lost on the way and overtaken.
+//! Records in slices: from several holders, with lost responses and newer
+//! records.
 
 use std::sync::Arc;
 
@@ -16,7 +17,7 @@
 use snipeyoke_lib::serving::slices::SLICE_MAX_BYTES;
 use snipeyoke_lib::serving::slices::Slice;
 
-/// The records of the topic.
+/// The number of records of the topic.
 const RECORDS: u64 = 12;
 
 /// Returns the topic: two keys, values of none to three slices, some dropped.
@@ -34,7 +35,7 @@
     (0..RECORDS).map(record).collect()
 }
 
-/// Returns the copies of those who have read the topic up to each offset.
+/// Returns the replicas of readers that have read the topic up to each offset.
 fn copies(topic: &[Record]) -> Vec<Replica> {
     let copy = |next: u64| {
         let mut replica = Replica::default();
@@ -44,7 +45,7 @@
     (0..=RECORDS).map(copy).collect()
 }
 
-/// A slice asked of a holder, and whether its answer is lost.
+/// A slice requested from a holder, and whether its response is lost.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     holder: u64,
@@ -56,7 +57,8 @@
     (0..=RECORDS, lost).prop_map(|(holder, lost)| Step { holder, lost })
 }
 
-/// The reader's copy must be that of someone who read the topic itself.
+/// Checks that the reader's replica equals that of a reader of the topic
+/// itself.
 fn check(topic: &[Record], copies: &[Replica], steps: &[Step]) -> Result<(), TestCaseError> {
     let mut reader = Replica::default();
     let mut assembly = Assembly::default();
@@ -84,9 +86,9 @@
 
 #[test]
 fn a_copy_from_several_holders_matches_the_topic() {
-    // Holders are complete up to different offsets, answers are lost, and a
-    // record is overtaken by a newer one while it comes. Slices of two records
-    // never mix, and no record that was passed by is missing.
+    // Holders are complete up to different offsets, responses are lost, and a
+    // record is replaced during its transfer. Slices of two records must never
+    // mix, and no record may be skipped.
     let runs = Runs {
         cases: 2_000,
         failure_persistence: None,
@@ -102,8 +104,8 @@
 
 #[test]
 fn another_holder_continues_where_a_lost_one_stopped() {
-    // The first holder dies when half of a large record has come. The rest
-    // comes from the second one; nothing comes twice.
+    // The first holder fails when half of a large record was received. The rest
+    // comes from the second one, and no byte is sent twice.
     let mut holder = Replica::default();
     let value: Arc<[u8]> = (0..4 * SLICE_MAX_BYTES).map(|n| (n % 251) as u8).collect();
     let record = Record {
@@ -129,7 +131,7 @@
 
 #[test]
 fn a_record_above_the_maximum_size_is_not_started() {
-    // A faulty sender names a size that would take the reader's memory.
+    // A faulty sender announces a size that would exhaust the reader's memory.
     let mut assembly = Assembly::default();
     let before = assembly.next_request(Offset(0));
     let slice = Slice {
