--- a/lib/src/serving/bookings.rs
+++ b/lib/src/serving/bookings.rs
@@ -144,7 +144,7 @@
 /// The requests in flight at one shard of a service's endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Bookings {
-    bookings: BTreeMap<BookingId, Booking>,
+    in_flight: BTreeMap<BookingId, Booking>,
     loads: BTreeMap<EndpointId, Load>,
     prefix_holders: BTreeMap<u64, Vec<PrefixHolder>>,
     last_sweep: Time,
@@ -194,14 +194,14 @@
             pending_tokens,
             since: now,
         };
-        self.bookings.insert(id, booking);
+        self.in_flight.insert(id, booking);
         Some(endpoint)
     }
 
     /// Records that a request's prompt was read. Returns the endpoint where it
     /// was booked.
     pub fn on_prompt_read(&mut self, id: BookingId) -> Option<&EndpointId> {
-        let booking = self.bookings.get_mut(&id)?;
+        let booking = self.in_flight.get_mut(&id)?;
         let read = std::mem::take(&mut booking.pending_tokens);
         if let Some(load) = self.loads.get_mut(&booking.endpoint) {
             load.pending_tokens = load.pending_tokens.saturating_sub(u64::from(read));
@@ -213,7 +213,7 @@
     /// booked.
     pub fn end(&mut self, id: BookingId) -> Option<EndpointId> {
         self.on_prompt_read(id)?;
-        let booking = self.bookings.remove(&id)?;
+        let booking = self.in_flight.remove(&id)?;
         if let Some(load) = self.loads.get_mut(&booking.endpoint) {
             load.calls = load.calls.saturating_sub(1);
             if load.calls == 0 {
@@ -231,7 +231,7 @@
             number: u64::MAX,
         };
         let ids: Vec<BookingId> = self
-            .bookings
+            .in_flight
             .range(first..=last)
             .map(|(&id, _)| id)
             .collect();
@@ -243,13 +243,13 @@
     /// Returns the number of requests in flight.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.bookings.len()
+        self.in_flight.len()
     }
 
     /// Returns whether no request is in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.bookings.is_empty()
+        self.in_flight.is_empty()
     }
 
     /// Returns the tokens that an endpoint still has to read.
@@ -352,7 +352,7 @@
             !all.is_empty()
         });
         let old = self
-            .bookings
+            .in_flight
             .iter()
             .filter(|(_, b)| now.since(b.since) > BOOKING_MAX);
         let ids: Vec<BookingId> = old.map(|(&id, _)| id).collect();
--- a/lib/src/serving/replica.rs
+++ b/lib/src/serving/replica.rs
@@ -92,7 +92,7 @@
         next: Offset,
         mut is_change: impl FnMut(&Record) -> bool,
     ) -> Vec<Record> {
-        let mut changes = Vec::new();
+        let mut updates = Vec::new();
         for record in records {
             if !self.is_newer(&record) {
                 continue;
@@ -106,12 +106,12 @@
             };
             self.records.insert(record.key.clone(), stored);
             if changed {
-                changes.push(record);
+                updates.push(record);
             }
         }
         self.next = self.next.max(next);
         self.forget_dropped_keys();
-        changes
+        updates
     }
 
     /// Applies a list of all keys as of `end` and returns what is newer.
--- a/lib/tests/test_catch_up.rs
+++ b/lib/tests/test_catch_up.rs
@@ -234,8 +234,5 @@
         catch_up.read_at() >= reported + REGISTRY_PATIENCE,
         "the registry waits"
     );
-    assert!(
-        catch_up.read_at() < Time::NEVER,
-        "the neighbour may be lost"
-    );
+    assert!(catch_up.read_at() < Time::NEVER, "the peer may be lost");
 }
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -64,7 +64,7 @@
             .changes_since(Offset(5))
             .map(|changes| changes.len()),
         Some(2),
-        "the drop passes on to neighbours"
+        "the drop is sent to peers"
     );
 }
 
