--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -152,6 +152,6 @@
                 owners.set_power(node.address, power);
             }
         }
-        self.budget().share(owners.count());
+        self.budget().set_nodes(owners.count());
     }
 }
--- a/lib/src/serving/bookings.rs
+++ b/lib/src/serving/bookings.rs
@@ -270,7 +270,7 @@
         let health = endpoint.health();
         let ratio = health.slowness(now) / slowness.max(0.1);
         let slow_factor = if ratio > SLOW_RATIO { ratio } else { 1.0 };
-        let failure_factor = 1.0 + FAILURE_WEIGHT * health.failures(now);
+        let failure_factor = 1.0 + FAILURE_WEIGHT * health.failure_rate(now);
         let is_remote = request
             .input_domain
             .as_ref()
--- a/lib/src/serving/directory.rs
+++ b/lib/src/serving/directory.rs
@@ -141,7 +141,7 @@
     }
 
     fn weighted_load(&self, now: Time) -> f32 {
-        let failures = 1.0 + FAILURE_WEIGHT * self.health.failures(now);
+        let failures = 1.0 + FAILURE_WEIGHT * self.health.failure_rate(now);
         let slowness = self.health.slowness(now).max(0.5);
         (self.calls(now) + 1.0) / self.entry.slots.max(1) as f32 * failures * slowness
     }
@@ -404,10 +404,10 @@
     let calls: f32 = ranked.iter().map(|e| e.calls(now)).sum();
     let bound = BOUND_RATIO * calls / count + BOUND_SLACK;
     let slowness = median(ranked.iter().map(|e| e.health.slowness(now)).collect());
-    let failures = median(ranked.iter().map(|e| e.health.failures(now)).collect());
+    let failures = median(ranked.iter().map(|e| e.health.failure_rate(now)).collect());
     let fits = |e: &&&Endpoint| {
         let slow = e.health.slowness(now) > SLOW_RATIO * slowness;
-        let failing = e.health.failures(now) > failures + 0.3;
+        let failing = e.health.failure_rate(now) > failures + 0.3;
         e.calls(now) < bound && !slow && !failing
     };
     let first = ranked.iter().find(fits).or_else(|| ranked.first());
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -5,23 +5,23 @@
 //! of all nodes are sent to one owner for each service, which builds the
 //! batches.
 
+pub mod batching;
 pub mod bookings;
 pub mod budget;
 pub mod catalog;
 pub mod catch_up;
-pub mod come_back;
 pub mod crashes;
 pub mod directory;
 pub mod durations;
 pub mod endpoint_loss;
 pub mod events;
+pub mod first_event;
 pub mod freshness;
 pub mod health;
 pub mod owners;
-pub mod pace;
-pub mod pieces;
 pub mod registry_polling;
 pub mod releases;
 pub mod replica;
+pub mod retry_after;
+pub mod shutdown;
 pub mod slices;
-pub mod stopping;
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -95,7 +95,7 @@
     let id: EndpointId = "m0".parse().expect("a name");
     directory.call_started(&id);
     if let Some(health) = directory.health_mut(&id) {
-        health.broke(NOW);
+        health.record_broken(NOW);
     }
     let mut restarted = entry("m0", "d0");
     assert!(!directory.set(restarted.clone()), "the same run");
@@ -111,13 +111,13 @@
     let mut directory = directory();
     let first = choose(&directory, Some(7));
     if let Some(health) = directory.health_mut(&first) {
-        health.broke(NOW);
+        health.record_broken(NOW);
     }
     assert_ne!(choose(&directory, Some(7)), first);
     for n in 0..9 {
         let id = format!("m{n}").parse().expect("a name");
         if let Some(health) = directory.health_mut(&id) {
-            health.broke(NOW);
+            health.record_broken(NOW);
         }
     }
     choose(&directory, Some(7));
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -14,15 +14,15 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::budget::BudgetLimits;
 use snipeyoke_lib::serving::budget::SharedBudget;
-use snipeyoke_lib::serving::come_back::come_back;
-use snipeyoke_lib::serving::come_back::elsewhere;
-use snipeyoke_lib::serving::durations::Ahead;
 use snipeyoke_lib::serving::durations::Durations;
-use snipeyoke_lib::serving::durations::Took;
-use snipeyoke_lib::serving::events::Events;
+use snipeyoke_lib::serving::durations::Remaining;
+use snipeyoke_lib::serving::durations::RequestTiming;
+use snipeyoke_lib::serving::events::EventAssembler;
 use snipeyoke_lib::serving::health::Health;
 use snipeyoke_lib::serving::replica::Record;
 use snipeyoke_lib::serving::replica::Replica;
+use snipeyoke_lib::serving::retry_after::other_node_retry_after;
+use snipeyoke_lib::serving::retry_after::retry_after;
 use snipeyoke_lib::time::Time;
 
 fn record(key: &str, value: Option<&[u8]>, offset: u64) -> Record {
@@ -124,11 +124,11 @@
     let mut spent = 0;
     for _ in 0..6 {
         let mut budget = SharedBudget::new(limits);
-        budget.share(6);
+        budget.set_nodes(6);
         for n in 0..10 {
             let now = Time::from_millis(1_000 + n);
-            budget.earn(now, &service);
-            spent += (0..5).filter(|_| budget.take(now, &service)).count();
+            budget.record_request(now, &service);
+            spent += (0..5).filter(|_| budget.try_spend(now, &service)).count();
         }
     }
     assert!(spent <= 12 + 58, "{spent} repeats");
@@ -138,12 +138,12 @@
 #[test]
 fn broken_connections_pause_an_endpoint_for_growing_times() {
     let mut health = Health::default();
-    health.broke(Time::from_millis(1_000));
+    health.record_broken(Time::from_millis(1_000));
     assert!(health.is_paused(Time::from_millis(1_300)));
     assert!(!health.is_paused(Time::from_millis(1_500)));
-    health.broke(Time::from_millis(1_500));
+    health.record_broken(Time::from_millis(1_500));
     assert!(health.is_paused(Time::from_millis(2_200)));
-    health.answered(Time::from_millis(2_300), 1.0);
+    health.record_response(Time::from_millis(2_300), 1.0);
     assert!(!health.is_paused(Time::from_millis(2_300)));
 }
 
@@ -153,7 +153,7 @@
     // slowness.
     let mut health = Health::default();
     for n in 0..10 {
-        health.answered(Time::from_millis(n), 6.0);
+        health.record_response(Time::from_millis(n), 6.0);
     }
     assert!(health.slowness(Time::from_millis(10)) > 4.0);
     assert!(health.slowness(Time::from_millis(20_000)) < 1.3);
@@ -178,15 +178,15 @@
     let outcome = TestRunner::new_with_rng(config, rng).run(&cuts, |(cuts, repeated, stop)| {
         let first = stream(1);
         let first = &first[..stop % (first.len() + 1)];
-        let mut events = Events::after(None);
+        let mut events = EventAssembler::resume_after(None);
         let mut out = Vec::new();
         for bytes in [first.to_vec(), stream(repeated)] {
             // The second run resumes at or before the last event that was
             // passed on.
-            if bytes != first && events.last().is_none_or(|last| repeated > last + 1) {
+            if bytes != first && events.last_id().is_none_or(|last| repeated > last + 1) {
                 return Ok(());
             }
-            events.drop_rest();
+            events.discard_partial();
             let mut rest = bytes.as_slice();
             let mut sizes = cuts.iter().cycle();
             while !rest.is_empty() {
@@ -209,16 +209,16 @@
     // retry after all of its time would leave none for the answer.
     let [none, second] = [0, 1].map(Duration::from_secs);
     let remaining = 12 * second;
-    assert!(come_back(3 * second, remaining, 0.0) >= 3 * second);
-    assert!(come_back(3 * second, remaining, 0.9) > come_back(3 * second, remaining, 0.1));
-    assert!(come_back(60 * second, remaining, 0.5) <= remaining / 3);
-    let soon = come_back(none, none, 0.5);
+    assert!(retry_after(3 * second, remaining, 0.0) >= 3 * second);
+    assert!(retry_after(3 * second, remaining, 0.9) > retry_after(3 * second, remaining, 0.1));
+    assert!(retry_after(60 * second, remaining, 0.5) <= remaining / 3);
+    let soon = retry_after(none, none, 0.5);
     assert!(soon > none && soon < second);
 }
 
 /// Returns an answer that started as soon as its request was sent.
-fn answer(millis: u64) -> Took {
-    Took {
+fn answer(millis: u64) -> RequestTiming {
+    RequestTiming {
         wait: Duration::ZERO,
         answer: Duration::from_millis(millis),
         tokens: None,
@@ -226,7 +226,7 @@
 }
 
 fn usual_bound(durations: &Durations, route: &str) -> Option<Duration> {
-    durations.bound(route, None, Ahead::All)
+    durations.bound(route, None, Remaining::All)
 }
 
 #[test]
@@ -266,7 +266,7 @@
     // Chats differ in length thirtyfold, and the most recent ones were short.
     let mut durations = Durations::default();
     for n in 0..40_u32 {
-        let observed = Took {
+        let observed = RequestTiming {
             wait: Duration::from_millis(10),
             answer: Duration::from_millis(u64::from(6 * (20 + n % 5) + 200)),
             tokens: Some(20 + n % 5),
@@ -274,12 +274,12 @@
         durations.observe("chat", observed);
     }
     let bound = |tokens| {
-        let bound = durations.bound("chat", Some(tokens), Ahead::Answer);
+        let bound = durations.bound("chat", Some(tokens), Remaining::Answer);
         bound.expect("answers were seen")
     };
     assert!(bound(20) < Duration::from_secs(1));
     assert!(bound(600) > Duration::from_millis(3_600));
-    let without_length = durations.bound("chat", None, Ahead::Answer);
+    let without_length = durations.bound("chat", None, Remaining::Answer);
     assert_eq!(without_length, None, "none without a length was seen");
 }
 
@@ -299,12 +299,12 @@
         // Sums of three samples are around 1.5.
         let mut spread = |factor: f64| factor.powf((0..3).map(|_| sample()).sum::<f64>() - 1.5);
         let length = f64::from(tokens) * spread(2.0) + 40.0;
-        let observed = Took {
+        let observed = RequestTiming {
             wait: Duration::ZERO,
             answer: Duration::from_secs_f64(length * 0.006 * spread(1.5)),
             tokens: Some(tokens),
         };
-        let bound = durations.bound("chat", Some(tokens), Ahead::Answer);
+        let bound = durations.bound("chat", Some(tokens), Remaining::Answer);
         if n >= 20 && bound.expect("answers were seen") < observed.answer {
             exceeded += 1;
         }
@@ -317,7 +317,7 @@
 fn a_request_that_has_waited_is_judged_by_its_answer_alone() {
     let mut durations = Durations::default();
     for _ in 0..50 {
-        let observed = Took {
+        let observed = RequestTiming {
             wait: Duration::from_secs(2),
             answer: Duration::from_millis(500),
             tokens: None,
@@ -328,13 +328,13 @@
         let bound = durations.bound("draft", None, ahead);
         bound.expect("answers were seen")
     };
-    assert!(bound(Ahead::All) >= Duration::from_millis(2_500));
-    assert!(bound(Ahead::Answer) < Duration::from_secs(1));
+    assert!(bound(Remaining::All) >= Duration::from_millis(2_500));
+    assert!(bound(Remaining::Answer) < Duration::from_secs(1));
 }
 
 #[test]
 fn callers_referred_to_other_nodes_do_not_arrive_together() {
-    let waits = [0.0, 0.5, 1.0].map(elsewhere);
+    let waits = [0.0, 0.5, 1.0].map(other_node_retry_after);
     assert!(waits[0] < waits[1] && waits[1] < waits[2]);
     assert!(waits[2] < Duration::from_millis(100));
 }
