--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -6,14 +6,14 @@
 
 use hyper::StatusCode;
 use snipeyoke_lib::ids::EndpointId;
-use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::directory::Choice;
+use snipeyoke_lib::serving::directory::EndpointCriteria;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::directory::Wanted;
 use snipeyoke_lib::serving::durations::Remaining;
-use snipeyoke_lib::serving::ends::Incarnation;
-use snipeyoke_lib::serving::upkeep::Kept;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::flag::Flag;
 
@@ -98,11 +98,11 @@
 
 impl InFlight {
     fn new(ctx: &RequestContext, entry: &Entry, booking: Option<Booking>) -> Self {
-        ctx.shared.directory().began(&entry.id);
+        ctx.shared.directory().call_started(&entry.id);
         Self {
             shared: Arc::clone(&ctx.shared),
             endpoint: entry.id.clone(),
-            started_at: entry.born,
+            started_at: entry.started_at,
             address: entry.address,
             booking,
             request: ctx.fingerprint(),
@@ -119,14 +119,14 @@
     fn incarnation(&self) -> Incarnation {
         Incarnation {
             endpoint: self.endpoint.clone(),
-            born: self.started_at,
+            started_at: self.started_at,
         }
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.shared.directory().ended(&self.endpoint);
+        self.shared.directory().call_ended(&self.endpoint);
         if !self.settled && self.handed_off.is_set() {
             self.shared
                 .dispatcher
@@ -233,12 +233,12 @@
     let has_shared = prompt.shared >= SHARED_TOKENS_MIN;
     let mut avoid = ctx.attempted.clone();
     avoid.extend_from_slice(failed);
-    let placement = Wish {
+    let placement = PlacementRequest {
         prefix: has_shared.then_some(prompt.prefix),
-        shared: prompt.shared,
-        own: prompt.tokens.saturating_sub(prompt.shared),
-        domain: ctx.inputs.as_ref().map(|(domain, _)| domain.clone()),
-        afar: ctx.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
+        shared_tokens: prompt.shared,
+        own_tokens: prompt.tokens.saturating_sub(prompt.shared),
+        input_domain: ctx.inputs.as_ref().map(|(domain, _)| domain.clone()),
+        remote_cost: ctx.inputs.as_ref().map_or(0, |(_, tokens)| *tokens),
         avoid,
     };
     let (booking, endpoint) = shared
@@ -251,7 +251,7 @@
     };
     let endpoint = futures_lite::future::or(placed, timeout).await?;
     let attempted = ctx.attempted.contains(&endpoint) || failed.contains(&endpoint);
-    let choice = shared.directory().booked(shared.now(), &endpoint);
+    let choice = shared.directory().booked_choice(shared.now(), &endpoint);
     let choice = choice.filter(|_| !attempted)?;
     Some((choice, booking))
 }
@@ -281,7 +281,7 @@
     avoid.extend_from_slice(failed);
     let prompt = ctx.request.prompt.filter(|p| p.shared >= SHARED_TOKENS_MIN);
     let required = ctx.domain.as_ref();
-    let wanted = Wanted {
+    let wanted = EndpointCriteria {
         service: &ctx.service,
         avoid: &avoid,
         domain: required.or(Some(&ctx.shared.settings.domain)),
@@ -294,14 +294,18 @@
 fn log_choice(ctx: &RequestContext, choice: &Choice) {
     let endpoint = choice.entry.id.to_string();
     let now = ctx.shared.now();
-    let age = ctx.shared.registry_polling().of(Kept::Endpoints).age(now);
+    let age = ctx
+        .shared
+        .registry_polling()
+        .freshness(ReplicaKind::Endpoints)
+        .age(now);
     log::info!(
         event = "endpoint-chosen",
         request = ctx.request.id.as_str(),
         endpoint = endpoint.as_str(),
         reason = choice.reason.to_string().as_str(),
         calls = choice.calls,
-        report_ms = choice.age.as_millis().min(99_999) as u64,
+        report_ms = choice.report_age.as_millis().min(99_999) as u64,
         known_ms = age.unwrap_or_default().as_millis() as u64,
         left_ms = ctx.remaining().as_millis() as u64;
         ""
@@ -329,7 +333,7 @@
     let now = shared.now();
     let endpoint = flight.endpoint.clone();
     if let Some(load) = head.load {
-        shared.directory().reported(now, &endpoint, load);
+        shared.directory().apply_load(now, &endpoint, load);
     }
     let status = call.head.status;
     if head.verdict != Verdict::Ran {
@@ -366,7 +370,7 @@
     let now = ctx.shared.now();
     let mut directory = ctx.shared.directory();
     if replaced {
-        directory.replaced(endpoint);
+        directory.mark_replaced(endpoint);
         return AttemptResult::NotRun(Refusal::NoEndpoint);
     }
     if status == StatusCode::CONFLICT {
--- a/gateway/src/changes.rs
+++ b/gateway/src/changes.rs
@@ -10,8 +10,8 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Backoff;
-use snipeyoke_lib::serving::freshness::Waits;
-use snipeyoke_lib::serving::upkeep::Kept;
+use snipeyoke_lib::serving::freshness::LongPollWaits;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 
 use crate::follow;
 use crate::polling::poll_topic;
@@ -23,11 +23,12 @@
 /// Follows the configuration until the process ends.
 pub(crate) async fn follow(shared: Arc<Shared>, seed: u64) {
     let mut backoff = Backoff::new(seed);
-    let mut waits = Waits::new(seed);
+    let mut waits = LongPollWaits::new(seed);
     loop {
         follow::read_list(&shared, Topic::Config, &mut backoff).await;
         let wait = wait_for_changes(&shared, &mut backoff, &mut waits);
-        wait.or(poll_topic(&shared, Kept::Config, seed ^ 3)).await;
+        wait.or(poll_topic(&shared, ReplicaKind::Config, seed ^ 3))
+            .await;
     }
 }
 
@@ -35,16 +36,16 @@
 ///
 /// Only the registry reader polls the registry this way; it notifies the other
 /// nodes.
-async fn wait_for_changes(shared: &Shared, backoff: &mut Backoff, waits: &mut Waits) {
+async fn wait_for_changes(shared: &Shared, backoff: &mut Backoff, waits: &mut LongPollWaits) {
     let mut failing = false;
     loop {
         while !shared.is_reader() {
-            let pause = shared.registry_polling().look_pause();
+            let pause = shared.registry_polling().poll_interval();
             Timer::after(pause).await;
         }
         let sent = shared.now();
         let from = shared.next_offset(Topic::Config);
-        let wait = waits.draw();
+        let wait = waits.sample();
         let Some(update) = long_poll(shared, from, wait).await else {
             continue;
         };
@@ -77,7 +78,7 @@
     let update = async { Some(response.await) };
     let update = update.or(received_elsewhere(shared, from));
     let update = update.or(read_lost(shared, from, &receiving)).await;
-    shared.catch_up().ended();
+    shared.catch_up().on_registry_end();
     let elapsed_ms = shared.now().since(started_at).as_millis() as u64;
     let outcome = outcome_name(update.as_ref());
     log::info!(event = "registry-answered", topic = "config", from = from.0, took_ms = elapsed_ms, ended = outcome; "");
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -15,7 +15,7 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::serving::batching::BatchItem;
 use snipeyoke_lib::serving::batching::ItemOutcome;
-use snipeyoke_lib::serving::directory::Load;
+use snipeyoke_lib::serving::directory::LoadReport;
 
 /// What a request declares about its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -122,7 +122,7 @@
     /// Whether the body has a content encoding, which callers never request.
     pub encoded: bool,
     /// The endpoint's load.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// The headers to relay to the caller.
     pub headers: HeaderMap,
 }
--- a/gateway/src/dispatch/calls.rs
+++ b/gateway/src/dispatch/calls.rs
@@ -9,7 +9,7 @@
 use snipeyoke_lib::serving::batching::BatchCall;
 use snipeyoke_lib::serving::batching::CallResult;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_runtime::flag::Flag;
 
 use crate::call::Call;
@@ -59,7 +59,7 @@
 fn report_break(shared: &Shared, batch: &BatchCall) {
     let incarnation = Incarnation {
         endpoint: batch.entry.id.clone(),
-        born: batch.entry.born,
+        started_at: batch.entry.started_at,
     };
     let requests = batch.items.iter().filter_map(|i| i.fingerprint);
     for request in requests.collect::<BTreeSet<_>>() {
--- a/gateway/src/dispatch/config_transfer.rs
+++ b/gateway/src/dispatch/config_transfer.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::serving::slices::Ask;
-use snipeyoke_lib::serving::slices::RECORD_MAX;
+use snipeyoke_lib::serving::slices::RECORD_MAX_BYTES;
 use snipeyoke_lib::serving::slices::Slice;
+use snipeyoke_lib::serving::slices::SliceRequest;
 use snipeyoke_wire::RecordAsk;
 use snipeyoke_wire::RecordSlice;
 use snipeyoke_wire::frame::Body;
@@ -19,7 +19,7 @@
     pub(super) fn request_config(&mut self) {
         let now = self.shared.now();
         let owners = self.shared.owners();
-        let node = self.shared.catch_up().choose(now, owners.live(now));
+        let node = self.shared.catch_up().choose_source(now, owners.live(now));
         drop(owners);
         if let Some(node) = node {
             let from = self.shared.replicas().config.next();
@@ -31,14 +31,14 @@
     /// Repeats the request to a peer whose link has just come up.
     pub(super) fn retry_config_request(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
-        if self.shared.catch_up().moved(now, peer) {
+        if self.shared.catch_up().on_slice(now, peer) {
             self.request_slice(peer);
         }
     }
 
     fn request_slice(&mut self, node: SocketAddr) {
         let from = self.shared.replicas().config.next();
-        let request = self.assembly.ask(from);
+        let request = self.assembly.next_request(from);
         self.send(
             node,
             Body::RecordAsk(RecordAsk {
@@ -56,7 +56,7 @@
         };
         let replicas = self.shared.replicas();
         let next = replicas.config.next().0;
-        let slice = replicas.config.slice(Ask {
+        let slice = replicas.config.slice(SliceRequest {
             from: Offset(request.from),
             offset: Offset(request.offset),
             at: request.at,
@@ -78,14 +78,14 @@
         let now = self.shared.now();
         self.shared.on_peer_config(peer, Offset(frame.next), 0);
         // The peer is no longer the source of the configuration.
-        if !self.shared.catch_up().moved(now, peer) {
+        if !self.shared.catch_up().on_slice(now, peer) {
             return;
         }
         let from = self.shared.replicas().config.next();
-        let previous = self.assembly.ask(from);
-        let record = slice_of(frame).and_then(|slice| self.assembly.take(slice));
+        let previous = self.assembly.next_request(from);
+        let record = slice_of(frame).and_then(|slice| self.assembly.add(slice));
         let Some(record) = record else {
-            if self.assembly.ask(from) == previous {
+            if self.assembly.next_request(from) == previous {
                 self.reject_slice(peer);
             } else {
                 self.request_slice(peer);
@@ -95,7 +95,7 @@
         let next = record.offset.next();
         self.shared
             .extend(Topic::Config, vec![record], next, &peer.to_string());
-        if self.shared.catch_up().moved(now, peer) {
+        if self.shared.catch_up().on_slice(now, peer) {
             self.request_slice(peer);
         }
     }
@@ -103,8 +103,8 @@
     // An immediate retry would receive the same slice, as fast as the link
     // allows. The next poll of the peer returns what it has.
     fn reject_slice(&self, peer: SocketAddr) {
-        log::warn!(event = "config-slice-unusable", node = peer.to_string().as_str(), record_max = RECORD_MAX, remedy = "run the same release on all nodes, keep the configuration below the largest record"; "");
-        self.shared.catch_up().forget(peer);
+        log::warn!(event = "config-slice-unusable", node = peer.to_string().as_str(), record_max = RECORD_MAX_BYTES, remedy = "run the same release on all nodes, keep the configuration below the largest record"; "");
+        self.shared.catch_up().forget_holder(peer);
     }
 }
 
--- a/gateway/src/dispatch/crashes.rs
+++ b/gateway/src/dispatch/crashes.rs
@@ -7,11 +7,11 @@
 use async_channel::Sender;
 use async_io::Timer;
 use snipeyoke_lib::serving::crashes::Fingerprint;
-use snipeyoke_lib::serving::crashes::Learned;
 use snipeyoke_lib::serving::crashes::Verdict;
+use snipeyoke_lib::serving::crashes::VerdictOutcome;
 use snipeyoke_lib::serving::directory::Endpoint;
-use snipeyoke_lib::serving::ends::Broke;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::LossAction;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::link;
 use snipeyoke_wire::EndpointEnd;
@@ -56,13 +56,16 @@
         request: Fingerprint,
     ) {
         let now = self.shared.now();
-        match self.endpoint_loss.broke(now, &incarnation, request) {
-            Broke::Look => {
+        match self
+            .endpoint_loss
+            .on_connection_lost(now, &incarnation, request)
+        {
+            LossAction::Probe => {
                 let probe = probe(incarnation, address, self.inbox.clone());
                 self.scope.spawn(probe);
             }
-            Broke::Ended => self.record_crash(now, &incarnation, request),
-            Broke::Waits | Broke::Lives => {}
+            LossAction::Ended => self.record_crash(now, &incarnation, request),
+            LossAction::AwaitProbe | LossAction::Alive => {}
         }
     }
 
@@ -72,7 +75,7 @@
         address: SocketAddr,
     ) {
         let now = self.shared.now();
-        if self.endpoint_loss.refused(now, &incarnation) {
+        if self.endpoint_loss.on_connection_refused(now, &incarnation) {
             let probe = probe(incarnation, address, self.inbox.clone());
             self.scope.spawn(probe);
         }
@@ -83,7 +86,7 @@
         let leaving = ended && self.is_leaving(incarnation);
         let requests = self
             .endpoint_loss
-            .looked(now, incarnation, ended && !leaving);
+            .on_probe_result(now, incarnation, ended && !leaving);
         if leaving {
             log::info!(event = "endpoint-left", endpoint = incarnation.to_string().as_str(); "");
         } else if !ended {
@@ -98,7 +101,7 @@
     fn is_leaving(&self, incarnation: &Incarnation) -> bool {
         let directory = self.shared.directory();
         let entry = directory.get(&incarnation.endpoint).map(Endpoint::entry);
-        entry.is_some_and(|e| e.born == incarnation.born && e.draining)
+        entry.is_some_and(|e| e.started_at == incarnation.started_at && e.draining)
     }
 
     /// Counts a crash and reports it to the nodes that count for the request.
@@ -122,7 +125,7 @@
     fn send_report(&mut self, report: &Report, to: impl Fn(&SocketAddr) -> bool) {
         let now = self.shared.now();
         let own = self.shared.settings.listen.peers;
-        let counters = self.shared.owners().counters(now, report.request);
+        let counters = self.shared.owners().crash_counters(now, report.request);
         for node in counters.into_iter().filter(|n| *n != own && to(n)) {
             let age = now.since(report.at);
             let frame = convert::endpoint_end_frame(report.request, &report.incarnation, age);
@@ -184,15 +187,18 @@
         let request = *request;
         let now = self.shared.now();
         let mut crashes = self.shared.crashes();
-        let mut endpoints: Vec<String> = crashes.ends(request).map(ToString::to_string).collect();
-        let verdict = crashes.told_end(now, *at, request, incarnation);
+        let mut endpoints: Vec<String> = crashes
+            .lost_endpoints(request)
+            .map(ToString::to_string)
+            .collect();
+        let verdict = crashes.on_reported_end(now, *at, request, incarnation);
         drop(crashes);
         let Some(verdict) = verdict else {
             return;
         };
         endpoints.push(incarnation.to_string());
         metrics::counter!("snipeyoke_quarantines_total").increment(1);
-        log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = endpoints.join(",").as_str(), span_ms = verdict.span.as_millis() as u64, left_ms = verdict.left.as_millis() as u64; "");
+        log::warn!(event = "request-quarantined", fingerprint = request.to_string().as_str(), endpoints = endpoints.join(",").as_str(), span_ms = verdict.first_end_age.as_millis() as u64, left_ms = verdict.remaining.as_millis() as u64; "");
         self.announce_verdict(verdict);
         self.refuse_jobs(request);
     }
@@ -210,22 +216,22 @@
             return;
         };
         let now = self.shared.now();
-        let learned = self.shared.crashes().learn(now, verdict);
+        let learned = self.shared.crashes().apply_verdict(now, verdict);
         match learned {
-            Learned::Known => {}
-            Learned::News => {
+            VerdictOutcome::Known => {}
+            VerdictOutcome::New => {
                 log_learned(&verdict);
-                if !verdict.left.is_zero() {
+                if !verdict.remaining.is_zero() {
                     self.refuse_jobs(verdict.request);
                 }
             }
-            Learned::Objected(lifted) => self.announce_verdict(lifted),
+            VerdictOutcome::Overruled(lifted) => self.announce_verdict(lifted),
         }
     }
 
     /// Announces this node's verdict on a request to all nodes.
     pub(super) fn announce_verdict(&mut self, verdict: Verdict) {
-        if verdict.left.is_zero() {
+        if verdict.remaining.is_zero() {
             log::info!(event = "quarantine-lifted", fingerprint = verdict.request.to_string().as_str(), why = "answered"; "");
         }
         let now = self.shared.now();
@@ -246,11 +252,11 @@
 
 fn log_learned(verdict: &Verdict) {
     let fingerprint = verdict.request.to_string();
-    if verdict.left.is_zero() {
+    if verdict.remaining.is_zero() {
         log::info!(event = "quarantine-lifted", fingerprint = fingerprint.as_str(), why = "told"; "");
         return;
     }
-    log::info!(event = "quarantine-learned", fingerprint = fingerprint.as_str(), left_ms = verdict.left.as_millis() as u64; "");
+    log::info!(event = "quarantine-learned", fingerprint = fingerprint.as_str(), left_ms = verdict.remaining.as_millis() as u64; "");
 }
 
 /// Probes whether an endpoint whose connection broke has ended.
--- a/gateway/src/dispatch/inbound.rs
+++ b/gateway/src/dispatch/inbound.rs
@@ -8,8 +8,8 @@
 use snipeyoke_lib::serving::batching::Job;
 use snipeyoke_lib::serving::batching::JobId;
 use snipeyoke_lib::serving::owners::Owners;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Record;
-use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
 use snipeyoke_wire::KnownNode;
 use snipeyoke_wire::PieceJob;
@@ -222,20 +222,20 @@
             }
         }
         if poll.brief {
-            self.shared.registry_polling().looked_at(now);
+            self.shared.registry_polling().on_polled(now);
         }
         let mut reply = self.sync_reply(Some(poll));
         let Some(inbound) = self.inbound.get_mut(&link) else {
             return;
         };
         let crashes = self.shared.crashes();
-        let (verdicts, last) = crashes.news_since(now, inbound.sent_verdicts, VERDICTS_MAX);
+        let (verdicts, last) = crashes.changes_since(now, inbound.sent_verdicts, VERDICTS_MAX);
         drop(crashes);
         reply.quarantines = verdicts.iter().map(convert::quarantine_frame).collect();
         if !poll.brief {
             let owners = self.shared.owners();
             reply.known = known_nodes(&self.shared, &owners, now, inbound.sent_changes);
-            let changes = owners.news();
+            let changes = owners.last_change();
             drop(owners);
             // The queue is full only if the node is silent; its next link starts
             // over.
@@ -257,24 +257,29 @@
         let polling = *self.shared.registry_polling();
         let mut reply = SyncReply {
             leaving: self.shared.out_of_rotation.is_set(),
-            unread: polling.is_unread(now),
-            config_age_us: polling.of(Kept::Config).age(now).map(micros),
+            unread: polling.cannot_read(now),
+            config_age_us: polling.freshness(ReplicaKind::Config).age(now).map(micros),
             stamp: poll.map_or(0, |p| p.stamp),
             ..SyncReply::default()
         };
         let replicas = self.shared.replicas();
         reply.config_next = replicas.config.next().0;
-        reply.config_bytes = replicas.config.size() as u64;
+        reply.config_bytes = replicas.config.value_bytes() as u64;
         let Some(poll) = poll else {
             return reply;
         };
-        let changes = replicas.endpoints.since(Offset(poll.endpoints_next));
+        let changes = replicas
+            .endpoints
+            .changes_since(Offset(poll.endpoints_next));
         let is_small = |all: &Vec<Record>| all.len() <= CHANGES_MAX && poll.endpoints_next > 0;
         if let Some(changes) = changes.filter(|all| poll.stale || is_small(all)) {
             reply.endpoints = changes.into_iter().map(convert::record_frame).collect();
             reply.endpoints_next = replicas.endpoints.next().0;
-            reply.endpoints_age_us = polling.of(Kept::Endpoints).age(now).map(micros);
-            reply.endpoints_sum = self.shared.directory().sum();
+            reply.endpoints_age_us = polling
+                .freshness(ReplicaKind::Endpoints)
+                .age(now)
+                .map(micros);
+            reply.endpoints_sum = self.shared.directory().checksum();
         }
         reply
     }
@@ -291,7 +296,7 @@
 /// Returns this node and the nodes that changed since the change `sent`.
 fn known_nodes(shared: &Shared, owners: &Owners, now: Time, sent: u64) -> Vec<KnownNode> {
     let own = (shared.settings.listen.peers, Some(shared.settings.power));
-    let all = owners.news_since(now, sent).chain([own]);
+    let all = owners.changes_since(now, sent).chain([own]);
     let known = all.map(|(address, power)| KnownNode {
         address: address.to_string(),
         power: power.map_or(0, |p| p.0),
--- a/gateway/src/dispatch/messages.rs
+++ b/gateway/src/dispatch/messages.rs
@@ -7,10 +7,10 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::batching::CallResult;
 use snipeyoke_lib::serving::batching::Job;
-use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 use snipeyoke_runtime::link::LinkSender;
 use snipeyoke_wire::frame::Body;
 
@@ -43,7 +43,7 @@
     RequestPlacement {
         number: u64,
         service: PoolName,
-        request: Wish,
+        request: PlacementRequest,
         reply: Sender<Option<EndpointId>>,
     },
     /// A booked request of this node has progressed or ended.
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -27,10 +27,10 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::batching::Job;
-use snipeyoke_lib::serving::bookings::Wish;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::crashes::Fingerprint;
 use snipeyoke_lib::serving::crashes::Verdict;
-use snipeyoke_lib::serving::ends::Incarnation;
+use snipeyoke_lib::serving::endpoint_loss::Incarnation;
 
 pub(crate) use self::links::accept;
 pub(crate) use self::messages::Message;
@@ -112,7 +112,7 @@
     pub(crate) fn request_placement(
         &self,
         service: PoolName,
-        request: Wish,
+        request: PlacementRequest,
     ) -> (Booking, Receiver<Option<EndpointId>>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, endpoint) = async_channel::bounded(1);
--- a/gateway/src/dispatch/peers.rs
+++ b/gateway/src/dispatch/peers.rs
@@ -5,7 +5,7 @@
 
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::serving::owners::Owners;
-use snipeyoke_lib::serving::upkeep::Told;
+use snipeyoke_lib::serving::registry_polling::ReplicaStatus;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::MilliCores;
 use snipeyoke_wire::KnownNode;
@@ -39,7 +39,7 @@
         if let Some(link) = self.peers.get_mut(&peer) {
             link.unanswered_since = None;
         }
-        self.shared.owners().heard(now, peer);
+        self.shared.owners().mark_heard(now, peer);
         match body {
             Body::PieceJobEnd(end) => {
                 let pending = self.pending.get(&JobNumber(end.job));
@@ -60,7 +60,7 @@
     pub(super) fn handle_sync_reply(&mut self, peer: SocketAddr, mut reply: SyncReply) {
         let now = self.shared.now();
         let mut owners = self.shared.owners();
-        owners.leaves(peer, reply.leaving);
+        owners.set_peer_leaving(peer, reply.leaving);
         for known in &reply.known {
             learn_node(&mut owners, now, known);
         }
@@ -81,14 +81,14 @@
         }
         let has_config = self.shared.replicas().config.next() >= next;
         let age = |micros: Option<u64>| micros.map(Duration::from_micros);
-        let status = Told {
-            unread: reply.unread,
-            config: age(reply.config_age_us).filter(|_| has_config),
-            endpoints: age(reply.endpoints_age_us).filter(|_| has_endpoints),
+        let status = ReplicaStatus {
+            cannot_read: reply.unread,
+            config_age: age(reply.config_age_us).filter(|_| has_config),
+            endpoints_age: age(reply.endpoints_age_us).filter(|_| has_endpoints),
         };
         let sent = Time::from_micros(reply.stamp);
         let mut polling = self.shared.registry_polling();
-        polling.take(now, &mut self.shared.owners(), (peer, sent), status);
+        polling.apply_status(now, &mut self.shared.owners(), (peer, sent), status);
     }
 
     /// Applies a peer's endpoints; returns whether this node has all of them.
@@ -106,7 +106,7 @@
         }
         let replicas = self.shared.replicas();
         let same = replicas.endpoints.next() == next;
-        let sum = self.shared.directory().sum();
+        let sum = self.shared.directory().checksum();
         drop(replicas);
         // Two replicas at the same offset must be equal. If they differ, the
         // registry decides which one is wrong.
@@ -121,7 +121,7 @@
     /// Polls the registry reader, if its poll is due.
     pub(super) fn poll_reader(&mut self, now: Time) {
         let mut polling = self.shared.registry_polling();
-        let reader = polling.look(now, &mut self.shared.owners());
+        let reader = polling.poll_target(now, &mut self.shared.owners());
         drop(polling);
         if let Some(reader) = reader {
             self.send_poll(reader, true);
@@ -130,7 +130,7 @@
 
     /// Returns the time of the next poll of the registry reader.
     pub(super) fn reader_poll_at(&self) -> Time {
-        self.shared.registry_polling().look_at(self.shared.now())
+        self.shared.registry_polling().next_poll(self.shared.now())
     }
 
     /// Polls the nodes that hold jobs, and one other node in turn.
@@ -241,10 +241,10 @@
         {
             sender.close();
         }
-        self.shared.owners().silent(now, peer);
-        self.shared.registry_polling().lost(peer);
+        self.shared.owners().mark_silent(now, peer);
+        self.shared.registry_polling().on_peer_lost(peer);
         self.decline_placements(peer);
-        self.shared.catch_up().forget(peer);
+        self.shared.catch_up().forget_holder(peer);
         if self.endpoints_request.is_some_and(|(node, _)| node == peer) {
             self.endpoints_request = None;
         }
@@ -269,8 +269,8 @@
     let Ok(address) = known.address.parse() else {
         return;
     };
-    owners.learn(now, address);
+    owners.discover(now, address);
     if known.power > 0 {
-        owners.has_power(address, MilliCores(known.power));
+        owners.set_power(address, MilliCores(known.power));
     }
 }
--- a/gateway/src/dispatch/placement.rs
+++ b/gateway/src/dispatch/placement.rs
@@ -6,8 +6,8 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::serving::bookings::BookingId;
+use snipeyoke_lib::serving::bookings::PlacementRequest;
 use snipeyoke_lib::serving::bookings::Shard;
-use snipeyoke_lib::serving::bookings::Wish;
 use snipeyoke_wire::PlaceAsk;
 use snipeyoke_wire::PlaceNote;
 use snipeyoke_wire::Placed;
@@ -93,7 +93,7 @@
         &mut self,
         number: u64,
         service: PoolName,
-        request: Wish,
+        request: PlacementRequest,
         reply: Sender<Option<EndpointId>>,
     ) {
         let now = self.shared.now();
@@ -101,7 +101,7 @@
             .shared
             .directory()
             .shard(&service, request.prefix.unwrap_or(number));
-        let booker = self.shared.owners().booker(now, &service, shard);
+        let booker = self.shared.owners().booking_owner(now, &service, shard);
         let placement = Placement {
             service,
             shard,
@@ -165,7 +165,7 @@
             if let Some(bookings) = bookings {
                 // This node has already updated its endpoints' health.
                 let _endpoint = match event {
-                    BookingEvent::FirstEvent { .. } => bookings.read(id).cloned(),
+                    BookingEvent::FirstEvent { .. } => bookings.on_prompt_read(id).cloned(),
                     BookingEvent::Ended { .. } => bookings.end(id),
                 };
             }
@@ -186,7 +186,7 @@
         service: &PoolName,
         shard: Shard,
         id: BookingId,
-        request: &Wish,
+        request: &PlacementRequest,
     ) -> Option<EndpointId> {
         let now = self.shared.now();
         let key = (service.clone(), shard);
@@ -230,7 +230,7 @@
             let endpoint = if note.ended {
                 bookings.end(id)
             } else {
-                bookings.read(id).cloned()
+                bookings.on_prompt_read(id).cloned()
             };
             let Some(endpoint) = endpoint else {
                 continue;
@@ -248,28 +248,31 @@
     }
 }
 
-fn place_frame(number: u64, placement: &Placement, request: Wish) -> PlaceAsk {
+fn place_frame(number: u64, placement: &Placement, request: PlacementRequest) -> PlaceAsk {
     PlaceAsk {
         number,
         service: placement.service.to_string(),
         shard: placement.shard.index,
         shards: placement.shard.count,
         prefix: request.prefix,
-        shared: request.shared,
-        own: request.own,
-        domain: request.domain.map(|d| d.to_string()).unwrap_or_default(),
-        afar: request.afar,
+        shared: request.shared_tokens,
+        own: request.own_tokens,
+        domain: request
+            .input_domain
+            .map(|d| d.to_string())
+            .unwrap_or_default(),
+        afar: request.remote_cost,
         avoid: request.avoid.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn request_of(frame: &PlaceAsk) -> Wish {
-    Wish {
+fn request_of(frame: &PlaceAsk) -> PlacementRequest {
+    PlacementRequest {
         prefix: frame.prefix,
-        shared: frame.shared,
-        own: frame.own,
-        domain: frame.domain.parse().ok(),
-        afar: frame.afar,
+        shared_tokens: frame.shared,
+        own_tokens: frame.own,
+        input_domain: frame.domain.parse().ok(),
+        remote_cost: frame.afar,
         avoid: frame.avoid.iter().filter_map(|e| e.parse().ok()).collect(),
     }
 }
--- a/gateway/src/dispatch/queues.rs
+++ b/gateway/src/dispatch/queues.rs
@@ -56,7 +56,7 @@
         origin: Origin,
     ) -> Option<JobId> {
         let now = self.shared.now();
-        let quarantined = |r| !self.shared.crashes().may_go_on(now, r);
+        let quarantined = |r| !self.shared.crashes().may_continue(now, r);
         if job.fingerprint.is_some_and(quarantined) {
             return None;
         }
--- a/gateway/src/dispatch/run.rs
+++ b/gateway/src/dispatch/run.rs
@@ -17,9 +17,9 @@
 use snipeyoke_lib::serving::batching::JobId;
 use snipeyoke_lib::serving::bookings::Bookings;
 use snipeyoke_lib::serving::bookings::Shard;
-use snipeyoke_lib::serving::ends::Ends;
-use snipeyoke_lib::serving::returned::Results;
-use snipeyoke_lib::serving::returned::Returned;
+use snipeyoke_lib::serving::endpoint_loss::EndpointLoss;
+use snipeyoke_lib::serving::releases::HeldResults;
+use snipeyoke_lib::serving::releases::RecentReleases;
 use snipeyoke_lib::serving::slices::Assembly;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::link::LinkSender;
@@ -135,12 +135,12 @@
         departed: BTreeMap::new(),
         polled_at: Time::ZERO,
         poll_index: 0,
-        released: Returned::default(),
+        released: RecentReleases::default(),
         placements: BTreeMap::new(),
         bookings: BTreeMap::new(),
         assembly: Assembly::default(),
         endpoints_request: None,
-        endpoint_loss: Ends::default(),
+        endpoint_loss: EndpointLoss::default(),
         reports: VecDeque::new(),
     };
     loop {
@@ -185,13 +185,13 @@
     /// Bookings of the shards that this node owns.
     pub(super) bookings: BTreeMap<(PoolName, Shard), Bookings>,
     /// Released results that their owners may have missed.
-    pub(super) released: Returned,
+    pub(super) released: RecentReleases,
     /// The configuration record being received in slices from a peer.
     pub(super) assembly: Assembly,
     /// The peer that the full list of endpoints was requested from, and when.
     pub(super) endpoints_request: Option<(SocketAddr, Time)>,
     /// Endpoints whose connections broke recently.
-    pub(super) endpoint_loss: Ends,
+    pub(super) endpoint_loss: EndpointLoss,
     /// Endpoint crashes that this node reported recently.
     pub(super) reports: VecDeque<Report>,
 }
@@ -241,7 +241,8 @@
                 request,
             } => {
                 let now = self.shared.now();
-                self.endpoint_loss.given_up(now, &incarnation, request);
+                self.endpoint_loss
+                    .on_request_abandoned(now, &incarnation, request);
             }
             Message::ConnectionRefused {
                 incarnation,
@@ -417,7 +418,7 @@
         }
     }
 
-    pub(super) fn release_results(&mut self, service: &PoolName, results: Results) {
+    pub(super) fn release_results(&mut self, service: &PoolName, results: HeldResults) {
         let now = self.shared.now();
         let owner = self.shared.owners().owner(now, service);
         if owner == self.shared.settings.listen.peers {
@@ -428,7 +429,7 @@
             }
             return;
         }
-        self.released.note(now, owner, service, &results);
+        self.released.record(now, owner, service, &results);
         let results = results
             .into_iter()
             .map(|(endpoint, handle)| snipeyoke_wire::PieceResult {
@@ -446,7 +447,7 @@
     /// Releases results once more that a node may have missed, at the current owner.
     pub(super) fn release_missed(&mut self, peer: SocketAddr) {
         let now = self.shared.now();
-        let heard_at = self.shared.owners().heard_at(peer);
+        let heard_at = self.shared.owners().last_heard(peer);
         let missed = self.released.take_missed(now, peer, heard_at);
         for (service, results) in missed {
             log::info!(event = "results-given-back-again", peer = peer.to_string().as_str(), service = service.as_str(), results = results.len(); "");
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -7,8 +7,8 @@
 use async_io::Timer;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Backoff;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Record;
-use snipeyoke_lib::serving::upkeep::Kept;
 use snipeyoke_lib::time::Time;
 
 use crate::polling::poll_topic;
@@ -40,7 +40,7 @@
     loop {
         read_list(&shared, Topic::Endpoints, &mut backoff).await;
         shared.must_relist.store(false, Ordering::Relaxed);
-        poll_topic(&shared, Kept::Endpoints, seed ^ 5).await;
+        poll_topic(&shared, ReplicaKind::Endpoints, seed ^ 5).await;
     }
 }
 
@@ -53,19 +53,19 @@
         let sent = shared.now();
         let list = read_pages(shared, topic).await;
         if topic == Topic::Config {
-            shared.catch_up().ended();
+            shared.catch_up().on_registry_end();
         }
         match list {
             Ok((records, end)) => {
                 backoff.succeeded();
-                shared.registry_polling().read(shared.now(), true);
+                shared.registry_polling().on_read(shared.now(), true);
                 shared.replace(topic, records, end);
                 confirm_read(shared, topic, sent);
                 return;
             }
             Err(error) => {
-                shared.registry_polling().read(shared.now(), false);
-                shared.catch_up().registry_fails(true);
+                shared.registry_polling().on_read(shared.now(), false);
+                shared.catch_up().set_registry_failed(true);
                 log::warn!(event = "registry-failed", topic = topic.to_string().as_str(), call = "list", why = error.to_string().as_str(); "");
             }
         }
@@ -112,8 +112,8 @@
 ) -> bool {
     match update {
         Update::Records { records, next, end } => {
-            shared.registry_polling().read(shared.now(), true);
-            shared.catch_up().registry_fails(false);
+            shared.registry_polling().on_read(shared.now(), true);
+            shared.catch_up().set_registry_failed(false);
             if std::mem::take(failing) {
                 log::info!(event = "registry-regained", topic = topic.to_string().as_str(); "");
                 shared.registry_regained.notify(usize::MAX);
@@ -130,8 +130,8 @@
             false
         }
         Update::Failed(error) => {
-            shared.registry_polling().read(shared.now(), false);
-            shared.catch_up().registry_fails(true);
+            shared.registry_polling().on_read(shared.now(), false);
+            shared.catch_up().set_registry_failed(true);
             if !std::mem::replace(failing, true) {
                 let from = shared.next_offset(topic).0;
                 log::warn!(event = "registry-lost", topic = topic.to_string().as_str(), from, why = error.to_string().as_str(); "");
@@ -157,15 +157,15 @@
 /// Records that more of a response has arrived.
 pub(crate) fn record_progress(shared: &Shared, topic: Topic) {
     if topic == Topic::Config {
-        shared.catch_up().came(shared.now());
+        shared.catch_up().on_registry_data(shared.now());
     }
 }
 
 /// Records that all records up to the time `sent` have been received.
 fn confirm_read(shared: &Shared, topic: Topic, sent: Time) {
     let kind = match topic {
-        Topic::Config => Kept::Config,
-        Topic::Endpoints => Kept::Endpoints,
+        Topic::Config => ReplicaKind::Config,
+        Topic::Endpoints => ReplicaKind::Endpoints,
         Topic::Nodes => return,
     };
     shared.registry_polling().confirm(kind, sent);
--- a/gateway/src/polling.rs
+++ b/gateway/src/polling.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Backoff;
-use snipeyoke_lib::serving::upkeep::Kept;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::time::Time;
 
 use crate::follow;
@@ -19,7 +19,7 @@
 ///
 /// A long poll gives no information while it waits: the registry may have lost
 /// or skipped it. These reads don't wait.
-pub(crate) async fn poll_topic(shared: &Shared, kind: Kept, seed: u64) {
+pub(crate) async fn poll_topic(shared: &Shared, kind: ReplicaKind, seed: u64) {
     let topic = Topic::from(kind);
     let mut backoff = Backoff::new(seed);
     let mut staleness = StalenessLog::default();
@@ -28,7 +28,7 @@
     loop {
         let not_before = shared.now() + pause;
         wait_until_due(shared, kind, &mut staleness, not_before).await;
-        if kind == Kept::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
+        if kind == ReplicaKind::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
             return;
         }
         let sent = shared.now();
@@ -55,14 +55,14 @@
         let response = shared.registry.read(topic, from, Duration::ZERO, &|| ());
         return Some(response.await);
     }
-    shared.catch_up().reads();
+    shared.catch_up().on_registry_read();
     let on_progress = || follow::record_progress(shared, topic);
     let response = shared
         .registry
         .read(topic, from, Duration::ZERO, &on_progress);
     let update = async { Some(response.await) };
     let update = update.or(received_elsewhere(shared, from)).await;
-    shared.catch_up().ended();
+    shared.catch_up().on_registry_end();
     update
 }
 
@@ -83,7 +83,7 @@
 /// Waits until a topic has to be read.
 async fn wait_until_due(
     shared: &Shared,
-    kind: Kept,
+    kind: ReplicaKind,
     staleness: &mut StalenessLog,
     not_before: Time,
 ) {
@@ -94,11 +94,12 @@
         staleness.update(shared, kind);
         let now = shared.now();
         let at = next_read(shared, kind).max(not_before);
-        if at <= now || kind == Kept::Endpoints && shared.must_relist.load(Ordering::Relaxed) {
+        if at <= now || kind == ReplicaKind::Endpoints && shared.must_relist.load(Ordering::Relaxed)
+        {
             return;
         }
         // The registry reader may change at any time.
-        let max_sleep = shared.registry_polling().look_pause();
+        let max_sleep = shared.registry_polling().poll_interval();
         let timer = async {
             Timer::after(at.since(now).min(max_sleep)).await;
         };
@@ -106,10 +107,10 @@
     }
 }
 
-fn next_read(shared: &Shared, kind: Kept) -> Time {
+fn next_read(shared: &Shared, kind: ReplicaKind) -> Time {
     let reader = shared.is_reader();
     let scheduled = shared.registry_polling().read_at(kind, reader);
-    if kind == Kept::Endpoints {
+    if kind == ReplicaKind::Endpoints {
         return scheduled;
     }
     let catch_up = shared.catch_up();
@@ -117,7 +118,7 @@
     // saturated.
     scheduled
         .min(catch_up.read_at())
-        .max(catch_up.coming_until())
+        .max(catch_up.registry_active_until())
 }
 
 /// Tracks a replica's staleness for logs and metrics.
@@ -127,26 +128,26 @@
 }
 
 impl StalenessLog {
-    fn update(&mut self, shared: &Shared, kind: Kept) {
+    fn update(&mut self, shared: &Shared, kind: ReplicaKind) {
         let now = shared.now();
-        let freshness = *shared.registry_polling().of(kind);
+        let freshness = *shared.registry_polling().freshness(kind);
         let age = freshness.age(now).unwrap_or_default();
         let gauge = match kind {
-            Kept::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
-            Kept::Endpoints => metrics::gauge!("snipeyoke_endpoints_age_seconds"),
+            ReplicaKind::Config => metrics::gauge!("snipeyoke_config_age_seconds"),
+            ReplicaKind::Endpoints => metrics::gauge!("snipeyoke_endpoints_age_seconds"),
         };
         gauge.set(age.as_secs_f64());
-        let lost = freshness.is_lost(now);
+        let lost = freshness.is_expired(now);
         if lost == self.lost {
             return;
         }
         self.lost = lost;
         let age_ms = age.as_millis() as u64;
         let event = match (kind, lost) {
-            (Kept::Config, true) => "config-unconfirmed",
-            (Kept::Config, false) => "config-confirmed",
-            (Kept::Endpoints, true) => "endpoints-unconfirmed",
-            (Kept::Endpoints, false) => "endpoints-confirmed",
+            (ReplicaKind::Config, true) => "config-unconfirmed",
+            (ReplicaKind::Config, false) => "config-confirmed",
+            (ReplicaKind::Endpoints, true) => "endpoints-unconfirmed",
+            (ReplicaKind::Endpoints, false) => "endpoints-confirmed",
         };
         if lost {
             log::warn!(event, age_ms, remedy = "check the network path to the registry and to the other nodes"; "");
--- a/gateway/src/records.rs
+++ b/gateway/src/records.rs
@@ -13,7 +13,7 @@
 impl Shared {
     fn on_config_records(&self, changes: &[Record], source: &str) {
         let next = self.replicas().config.next();
-        self.catch_up().has(next);
+        self.catch_up().advance_to(next);
         self.apply_config(changes, source);
         self.config_grown.notify(usize::MAX);
         // The other nodes poll this one soon; a notification reaches them at once.
@@ -147,9 +147,9 @@
         let nodes = values.filter_map(|v| self.registry.parse_node(v));
         let mut owners = self.owners();
         for node in nodes {
-            owners.learn(self.now(), node.address);
+            owners.discover(self.now(), node.address);
             if let Some(power) = node.power {
-                owners.has_power(node.address, power);
+                owners.set_power(node.address, power);
             }
         }
         self.budget().set_nodes(owners.count());
--- a/gateway/src/request_context.rs
+++ b/gateway/src/request_context.rs
@@ -134,18 +134,19 @@
         let now = self.shared.now();
         let request = self.fingerprint();
         let crashes = self.shared.crashes();
-        let remaining = crashes.quarantined(now, request);
-        remaining.filter(|_| !self.trial || !crashes.may_go_on(now, request))
+        let remaining = crashes.quarantine_remaining(now, request);
+        remaining.filter(|_| !self.trial || !crashes.may_continue(now, request))
     }
 
     /// Starts the trial attempt after a quarantine, if this node may run it.
     pub(crate) fn start_trial(&mut self) -> bool {
         let now = self.shared.now();
         let request = self.fingerprint();
-        let counters = self.shared.owners().counters(now, request);
+        let counters = self.shared.owners().crash_counters(now, request);
         let own = self.shared.settings.listen.peers;
         // A trial on each node could crash as many endpoints as there are nodes.
-        self.trial = counters.first() == Some(&own) && self.shared.crashes().may_try(now, request);
+        self.trial =
+            counters.first() == Some(&own) && self.shared.crashes().try_start_trial(now, request);
         if self.trial {
             log::info!(event = "quarantine-trial", request = self.request.id.as_str(), fingerprint = request.to_string().as_str(); "");
         }
@@ -258,7 +259,7 @@
                 };
                 self.shared.durations().observe(&self.route.name, timing);
             }
-            let lifted = self.shared.crashes().answered(now, self.fingerprint());
+            let lifted = self.shared.crashes().on_answered(now, self.fingerprint());
             if let Some(lifted) = lifted {
                 self.shared.dispatcher.announce_verdict(lifted);
             }
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -15,15 +15,15 @@
 use snipeyoke_lib::serving::budget::SharedBudget;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::catch_up::CatchUp;
-use snipeyoke_lib::serving::crashes::Crashes;
+use snipeyoke_lib::serving::crashes::CrashTracker;
 use snipeyoke_lib::serving::directory::Directory;
 use snipeyoke_lib::serving::durations::Durations;
 use snipeyoke_lib::serving::first_event::FirstEventTimes;
 use snipeyoke_lib::serving::owners::Owners;
+use snipeyoke_lib::serving::registry_polling::RegistryPolling;
+use snipeyoke_lib::serving::registry_polling::ReplicaKind;
 use snipeyoke_lib::serving::replica::Replica;
 use snipeyoke_lib::serving::shutdown::Shutdown;
-use snipeyoke_lib::serving::upkeep::Kept;
-use snipeyoke_lib::serving::upkeep::Upkeep;
 use snipeyoke_lib::time::Time;
 use snipeyoke_runtime::board::Fact;
 use snipeyoke_runtime::clock::Clock;
@@ -86,8 +86,8 @@
     durations: Mutex<Durations>,
     replicas: Mutex<Replicas>,
     catch_up: Mutex<CatchUp>,
-    crashes: Mutex<Crashes>,
-    polling: Mutex<Upkeep>,
+    crashes: Mutex<CrashTracker>,
+    polling: Mutex<RegistryPolling>,
 }
 
 /// The replicas of the registry's topics.
@@ -114,7 +114,7 @@
             crashes: Mutex::default(),
             durations: Mutex::default(),
             replicas: Mutex::default(),
-            polling: Mutex::new(Upkeep::new(settings.change, settings.notice)),
+            polling: Mutex::new(RegistryPolling::new(settings.change, settings.notice)),
             catch_up: Mutex::new(CatchUp::new(settings.listen.peers)),
             catalog: Fact::new(None),
             endpoints_changed: Event::new(),
@@ -168,11 +168,11 @@
         lock(&self.catch_up)
     }
 
-    pub(crate) fn crashes(&self) -> MutexGuard<'_, Crashes> {
+    pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         lock(&self.crashes)
     }
 
-    pub(crate) fn registry_polling(&self) -> MutexGuard<'_, Upkeep> {
+    pub(crate) fn registry_polling(&self) -> MutexGuard<'_, RegistryPolling> {
         lock(&self.polling)
     }
 
@@ -181,12 +181,12 @@
         let now = self.now();
         // Lock order: `polling` before `owners`.
         let mut polling = self.registry_polling();
-        polling.is_first(now, &mut self.owners())
+        polling.is_reader(now, &mut self.owners())
     }
 
     /// Handles a replica of the endpoints that differs from a peer's.
     pub(crate) fn on_endpoints_differ(&self) {
-        if self.registry_polling().differs(self.now()) {
+        if self.registry_polling().on_mismatch(self.now()) {
             self.must_relist.store(true, Ordering::Relaxed);
             self.registry_regained.notify(usize::MAX);
         }
@@ -196,7 +196,7 @@
     ///
     /// `size` is the size of its configuration in bytes.
     pub(crate) fn on_peer_config(&self, node: SocketAddr, next: Offset, size: u64) {
-        if self.catch_up().told(self.now(), node, next, size) {
+        if self.catch_up().on_peer_offset(self.now(), node, next, size) {
             log::info!(event = "config-behind", node = node.to_string().as_str(), next = next.0; "");
             self.config_behind.notify(usize::MAX);
         }
@@ -213,7 +213,7 @@
     /// Returns whether to request all endpoints from a peer.
     pub(crate) fn lacks_endpoints(&self) -> bool {
         self.registry_polling()
-            .is_cut_off(self.now(), Kept::Endpoints)
+            .is_registry_unreachable(self.now(), ReplicaKind::Endpoints)
     }
 
     /// Returns whether the node can serve callers.
--- a/lib/src/serving/batching/queue.rs
+++ b/lib/src/serving/batching/queue.rs
@@ -258,8 +258,9 @@
             endpoint.present = false;
         }
         for entry in entries {
-            let is_same =
-                |e: &StageEndpoint| e.entry.born == entry.born && e.entry.address == entry.address;
+            let is_same = |e: &StageEndpoint| {
+                e.entry.started_at == entry.started_at && e.entry.address == entry.address
+            };
             match self.endpoints.get_mut(&entry.id) {
                 Some(endpoint) if is_same(endpoint) => {
                     endpoint.present = true;
--- a/lib/src/serving/catch_up.rs
+++ b/lib/src/serving/catch_up.rs
@@ -1,10 +1,11 @@
-//! Where a node that lacks the newest configuration gets it from.
+//! Selection of the source from which a node gets a configuration that it
+//! lacks.
 //!
-//! Every node reads the registry, and is told by its neighbours up to which
-//! offset they are complete. A configuration may have a megabyte: over a link of
-//! 10 Mbit/s one copy takes a second, and several at once come late together.
-//! So a copy is asked of a neighbour only if the registry's answer is not on its
-//! way, and of one neighbour at a time.
+//! Every node reads the registry, and its peers report up to which offset they
+//! are complete. A configuration may have a megabyte: over a link of 10 Mbit/s
+//! one copy takes a second, and several concurrent copies all arrive late. A
+//! copy is therefore requested from a peer only if no response of the registry
+//! is in transit, and from one peer at a time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,193 +14,212 @@
 use rapidhash::v3::RapidSecrets;
 use rapidhash::v3::rapidhash_v3_seeded;
 
-use super::slices::SLICE_MAX;
+use super::slices::SLICE_MAX_BYTES;
 use crate::ids::Offset;
 use crate::time::Time;
 use crate::units::MilliCores;
 
-/// How long a node that lacks something waits for the answer of the read that
-/// waits for changes, before it reads anew.
+/// How long a node that is behind waits for the response to its long poll
+/// before it sends a new read.
 ///
-/// All nodes' waiting reads are answered together; the word of a neighbour may
-/// come before this node's own answer.
-pub const GRACE: Duration = Duration::from_millis(200);
+/// The long polls of all nodes are answered together, and the report of a peer
+/// may arrive before this node's own response.
+pub const REGISTRY_GRACE: Duration = Duration::from_millis(200);
 
-/// How long the registry may take to begin its answer before a neighbour is
-/// asked.
+/// How long the registry may take to start its response before a peer is used.
 ///
-/// Neighbours tell of a change within some hundred milliseconds of it. The
-/// registry's own answer begins within milliseconds, and within some hundred
-/// when it is slow.
-pub const PATIENCE: Duration = Duration::from_millis(600);
+/// Peers report a change within several hundred milliseconds. The registry's
+/// own response starts within milliseconds, and within several hundred when it
+/// is slow.
+pub const REGISTRY_PATIENCE: Duration = Duration::from_millis(600);
 
-/// The same for a node that has no configuration at all.
+/// The same limit for a node that has no configuration at all.
 ///
-/// It refuses every caller until it has one, and its first read went out before
-/// it heard of any neighbour.
-pub const PATIENCE_EMPTY: Duration = Duration::from_millis(100);
+/// Such a node refuses every caller, and it sent its first read before it
+/// discovered any peer.
+pub const EMPTY_REGISTRY_PATIENCE: Duration = Duration::from_millis(100);
 
-/// How long a copy may come no further before another source is tried.
+/// How long a copy may make no progress before another source is used.
 ///
-/// As long as a neighbour may be silent: a slice takes 52 ms over an idle link
-/// of 10 Mbit/s.
-pub const STALL: Duration = Duration::from_millis(750);
+/// This equals the silence limit of a peer: a slice takes 52 ms over an idle
+/// link of 10 Mbit/s.
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// The largest configuration that is asked of a neighbour at once, in bytes.
+/// The largest configuration that is requested from a peer without delay, in
+/// bytes.
 ///
-/// One slice: it takes a round trip, and no call to the registry.
-pub const SMALL: u64 = SLICE_MAX as u64;
+/// This is one slice: it takes one round trip, and no call to the registry.
+pub const SMALL_CONFIG_BYTES: u64 = SLICE_MAX_BYTES as u64;
 
 const SECRETS: RapidSecrets = RapidSecrets::seed(0);
 
-/// A copy on its way from a neighbour.
+/// A copy that is being received from a peer.
 #[derive(Debug, Clone, Copy)]
-struct Copy {
+struct Transfer {
     node: SocketAddr,
-    moved: Time,
+    last_progress: Time,
 }
 
-/// A neighbour that has more than this node.
+/// A peer that is complete up to a later offset than this node.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     next: Offset,
-    /// Whether what it has is small.
-    small: bool,
+    /// Whether its configuration fits into one slice.
+    fits_in_slice: bool,
 }
 
-/// Decides whom to ask for the newest configuration, and when.
+/// Decides when to request the newest configuration, and from which peer.
 #[derive(Debug, Clone)]
 pub struct CatchUp {
     own: SocketAddr,
-    have: Offset,
-    /// Up to where each neighbour said that it is complete, if that is further.
+    complete_to: Offset,
+    /// The peers that reported a later offset than this node has.
     holders: BTreeMap<SocketAddr, Holder>,
-    behind: Option<Time>,
-    /// When more of an answer last came from the registry.
-    came: Option<Time>,
+    behind_since: Option<Time>,
+    /// When a part of the registry's response last arrived.
+    last_registry_data: Option<Time>,
     /// Whether the registry's last call failed.
-    failed: bool,
-    /// Whether the registry was read since this node lacks something.
-    read: bool,
-    copy: Option<Copy>,
+    registry_failed: bool,
+    /// Whether the registry was read since this node fell behind.
+    registry_read: bool,
+    transfer: Option<Transfer>,
 }
 
 impl CatchUp {
-    /// Starts without a configuration.
+    /// Creates the state of a node without a configuration.
     #[must_use]
     pub const fn new(own: SocketAddr) -> Self {
         Self {
             own,
-            have: Offset(0),
+            complete_to: Offset(0),
             holders: BTreeMap::new(),
-            behind: None,
-            came: None,
-            failed: false,
-            read: false,
-            copy: None,
+            behind_since: None,
+            last_registry_data: None,
+            registry_failed: false,
+            registry_read: false,
+            transfer: None,
         }
     }
 
-    /// Notes the offset up to which this node is complete.
-    pub fn has(&mut self, have: Offset) {
-        self.have = self.have.max(have);
-        self.holders.retain(|_, h| h.next > self.have);
+    /// Records the offset up to which this node is complete.
+    pub fn advance_to(&mut self, complete_to: Offset) {
+        self.complete_to = self.complete_to.max(complete_to);
+        self.holders.retain(|_, h| h.next > self.complete_to);
         if self.holders.is_empty() {
-            self.behind = None;
-            self.copy = None;
+            self.behind_since = None;
+            self.transfer = None;
         }
     }
 
-    /// Notes up to where a neighbour is complete, and the bytes that it has;
-    /// tells whether this node has just learned that it lacks something.
-    pub fn told(&mut self, now: Time, node: SocketAddr, next: Offset, size: u64) -> bool {
-        if next <= self.have {
-            self.forget(node);
+    /// Records the offset up to which a peer is complete, and the size of its
+    /// configuration in bytes. Returns whether this node has just learned that
+    /// it is behind.
+    pub fn on_peer_offset(&mut self, now: Time, node: SocketAddr, next: Offset, size: u64) -> bool {
+        if next <= self.complete_to {
+            self.forget_holder(node);
             return false;
         }
-        let small = (1..=SMALL).contains(&size);
-        self.holders.insert(node, Holder { next, small });
-        if self.behind.is_some() {
+        let fits_in_slice = (1..=SMALL_CONFIG_BYTES).contains(&size);
+        self.holders.insert(
+            node,
+            Holder {
+                next,
+                fits_in_slice,
+            },
+        );
+        if self.behind_since.is_some() {
             return false;
         }
-        self.behind = Some(now);
-        self.read = false;
+        self.behind_since = Some(now);
+        self.registry_read = false;
         true
     }
 
-    /// Notes that more of an answer came from the registry.
-    pub const fn came(&mut self, now: Time) {
-        self.came = Some(now);
-        self.failed = false;
+    /// Records that a part of the registry's response arrived.
+    pub const fn on_registry_data(&mut self, now: Time) {
+        self.last_registry_data = Some(now);
+        self.registry_failed = false;
     }
 
-    /// Notes that the registry's answer has ended, or is given up.
-    pub const fn ended(&mut self) {
-        self.came = None;
+    /// Records that the registry's response has ended or was abandoned.
+    pub const fn on_registry_end(&mut self) {
+        self.last_registry_data = None;
     }
 
-    /// Notes that the registry is read for what this node may lack.
-    pub const fn reads(&mut self) {
-        self.read = true;
+    /// Records that a read was sent to the registry for what this node may
+    /// lack.
+    pub const fn on_registry_read(&mut self) {
+        self.registry_read = true;
     }
 
-    /// Returns when the registry is to be read for what this node lacks.
+    /// Returns when to read the registry for what this node lacks.
     ///
-    /// Once for each time that it falls behind; [`Self::coming_until`] bounds it.
+    /// It does so once each time that it falls behind;
+    /// [`Self::registry_active_until`] is a lower bound.
     #[must_use]
     pub fn read_at(&self) -> Time {
-        let behind = self.behind.filter(|_| !self.read);
-        let grace = if self.is_small() { PATIENCE } else { GRACE };
-        behind.map_or(Time::NEVER, |at| at + grace)
+        let behind_since = self.behind_since.filter(|_| !self.registry_read);
+        let grace = if self.fits_in_slice() {
+            REGISTRY_PATIENCE
+        } else {
+            REGISTRY_GRACE
+        };
+        behind_since.map_or(Time::NEVER, |at| at + grace)
     }
 
-    /// Notes whether a call to the registry failed.
-    pub const fn registry_fails(&mut self, fails: bool) {
-        self.failed = fails;
+    /// Records whether a call to the registry failed.
+    pub const fn set_registry_failed(&mut self, failed: bool) {
+        self.registry_failed = failed;
     }
 
-    /// Notes that a neighbour is lost or holds nothing newer.
-    pub fn forget(&mut self, node: SocketAddr) {
+    /// Records that a peer is lost or holds nothing newer.
+    pub fn forget_holder(&mut self, node: SocketAddr) {
         self.holders.remove(&node);
-        if self.copy.is_some_and(|c| c.node == node) {
-            self.copy = None;
+        if self.transfer.is_some_and(|t| t.node == node) {
+            self.transfer = None;
         }
         if self.holders.is_empty() {
-            self.behind = None;
+            self.behind_since = None;
         }
     }
 
-    /// Notes that a slice came from a neighbour; tells whether it was asked.
-    pub fn moved(&mut self, now: Time, node: SocketAddr) -> bool {
-        let Some(copy) = self.copy.as_mut().filter(|c| c.node == node) else {
+    /// Records a slice from a peer. Returns whether the peer is the current
+    /// source.
+    pub fn on_slice(&mut self, now: Time, node: SocketAddr) -> bool {
+        let Some(transfer) = self.transfer.as_mut().filter(|t| t.node == node) else {
             return false;
         };
-        copy.moved = now;
+        transfer.last_progress = now;
         true
     }
 
-    /// Returns until when an answer of the registry counts as on its way.
+    /// Returns the time until which a response of the registry counts as in
+    /// transit.
     #[must_use]
-    pub fn coming_until(&self) -> Time {
-        self.came.map_or(Time::ZERO, |at| at + STALL)
+    pub fn registry_active_until(&self) -> Time {
+        self.last_registry_data
+            .map_or(Time::ZERO, |at| at + STALL_TIMEOUT)
     }
 
-    /// Returns when to ask for the next decision; never, if nothing is missing.
+    /// Returns when the next decision is due; [`Time::NEVER`] if nothing is
+    /// missing.
     #[must_use]
     pub fn wake(&self) -> Time {
-        let Some(behind) = self.behind else {
+        let Some(behind_since) = self.behind_since else {
             return Time::NEVER;
         };
-        let patience = behind + self.patience();
-        let came = self.coming_until();
-        let moved = self.copy.map_or(Time::ZERO, |c| c.moved + STALL);
-        patience.max(came).max(moved)
+        let patience = behind_since + self.registry_patience();
+        let registry = self.registry_active_until();
+        let transfer = self
+            .transfer
+            .map_or(Time::ZERO, |t| t.last_progress + STALL_TIMEOUT);
+        patience.max(registry).max(transfer)
     }
 
-    /// Returns the neighbour to ask for a copy now, if one is to be asked.
+    /// Returns the peer from which to request a copy now, if any.
     ///
-    /// `live` are the nodes that answer and their hosts' power.
-    pub fn choose(
+    /// `live` yields the nodes that respond, with the power of their hosts.
+    pub fn choose_source(
         &mut self,
         now: Time,
         live: impl Iterator<Item = (SocketAddr, Option<MilliCores>)>,
@@ -207,36 +227,39 @@
         if self.wake() > now {
             return None;
         }
-        let stalled = self.copy.take().map(|c| c.node);
-        let Some(node) = self.best(live, stalled) else {
-            // None of them answers. They say anew what they have once they do.
+        let stalled = self.transfer.take().map(|t| t.node);
+        let Some(node) = self.best_holder(live, stalled) else {
+            // No holder responds. They report their offsets again once they do.
             self.holders.clear();
-            self.behind = None;
+            self.behind_since = None;
             return None;
         };
-        self.copy = Some(Copy { node, moved: now });
+        self.transfer = Some(Transfer {
+            node,
+            last_progress: now,
+        });
         Some(node)
     }
 
-    fn patience(&self) -> Duration {
-        match (self.failed, self.have.0) {
+    fn registry_patience(&self) -> Duration {
+        match (self.registry_failed, self.complete_to.0) {
             (true, _) => Duration::ZERO,
-            (false, 0) => PATIENCE_EMPTY,
-            (false, _) if self.is_small() => Duration::ZERO,
-            (false, _) => PATIENCE,
+            (false, 0) => EMPTY_REGISTRY_PATIENCE,
+            (false, _) if self.fits_in_slice() => Duration::ZERO,
+            (false, _) => REGISTRY_PATIENCE,
         }
     }
 
-    /// Tells whether what is missing comes from a neighbour in one slice.
-    fn is_small(&self) -> bool {
-        self.holders.values().any(|h| h.small)
+    /// Returns whether a peer can send what is missing in one slice.
+    fn fits_in_slice(&self) -> bool {
+        self.holders.values().any(|h| h.fits_in_slice)
     }
 
-    /// Returns the strongest holder, the one that stalled last of all.
+    /// Returns the strongest holder; one that has just stalled ranks last.
     ///
-    /// Among equals each node has an order of its own, so that nodes that lag
-    /// together don't all ask the same one.
-    fn best(
+    /// Among equals each node has its own order, so that nodes that are behind
+    /// together don't all use the same source.
+    fn best_holder(
         &self,
         live: impl Iterator<Item = (SocketAddr, Option<MilliCores>)>,
         stalled: Option<SocketAddr>,
--- a/lib/src/serving/crashes.rs
+++ b/lib/src/serving/crashes.rs
@@ -1,8 +1,9 @@
-//! Requests under which endpoints end, and which therefore are refused.
+//! Quarantine of requests that crash endpoints.
 //!
-//! Each node tells the end of an endpoint under a request to the nodes that count
-//! for this request. After the third end the request is quarantined: the node
-//! that finds this tells all others. See `docs/design/crashing-requests.md`.
+//! Each node reports the loss of an endpoint under a request to the nodes that
+//! count for this request. After the third loss the request is quarantined: the
+//! node that detects this notifies all others. See
+//! `docs/design/crashing-requests.md`.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,57 +13,60 @@
 
 use derive_more::Display;
 
-use super::ends::Incarnation;
+use super::endpoint_loss::Incarnation;
 use crate::time::Time;
 
-/// The ends after which a request is quarantined.
+/// The number of lost endpoints after which a request is quarantined.
 ///
-/// A host or a rack that fails takes one or two endpoints of a request with it.
-const ENDS: usize = 3;
+/// A failing host or rack takes down one or two endpoints of a request.
+const END_THRESHOLD: usize = 3;
 
-/// How long an end counts, and a quarantine that is over is remembered.
+/// How long a lost endpoint counts, and how long an expired quarantine is
+/// remembered.
 ///
-/// Long against the pace at which callers come back.
-const REMEMBERED: Duration = Duration::from_mins(10);
+/// This is long compared to the retry interval of callers.
+const RETENTION: Duration = Duration::from_mins(10);
 
 /// The shortest and the longest quarantine.
 ///
-/// It lasts three times as long as the request has ended endpoints for: a
-/// request that is not the cause is soon tried again, one that is rarely.
-const LASTS: [Duration; 2] = [Duration::from_mins(1), Duration::from_hours(1)];
+/// A quarantine lasts three times as long as the request has been losing
+/// endpoints: a harmless request is soon retried, a harmful one rarely.
+const QUARANTINE_RANGE: [Duration; 2] = [Duration::from_mins(1), Duration::from_hours(1)];
 
-/// How long a trial after a quarantine may take before there is another.
-const TRIAL: Duration = Duration::from_secs(10);
+/// How long a trial after a quarantine may take before the next one may start.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The most trials of a request until it is answered or forgotten.
+/// The maximum number of trials of a request until it is answered or forgotten.
 const TRIALS_MAX: u32 = 3;
 
-/// How much longer the next trial waits than the last one that had no verdict.
+/// The factor by which the wait grows after each trial without a verdict.
 const TRIAL_GROWTH: u32 = 4;
 
-/// What is told to be left of a quarantine that is over.
-const LEAST: Duration = Duration::from_millis(1);
+/// The remaining time that is reported for an expired quarantine.
+const EXPIRED_REMAINING: Duration = Duration::from_millis(1);
 
-/// The difference that one more end makes to how long a quarantine lasts.
+/// The smallest extension of a quarantine that counts as a change.
 ///
-/// Each node that passes a verdict on adds the time of its way.
-const LONGER: Duration = Duration::from_secs(5);
+/// Each node that forwards a verdict adds the transit time.
+const EXTENSION_MIN: Duration = Duration::from_secs(5);
 
-/// How much too late the first end of a verdict may seem to be.
+/// The tolerance for the first loss of a verdict appearing too late.
 ///
-/// Its age is told, and each way from node to node makes it younger.
-const WAYS: Duration = Duration::from_millis(500);
+/// Its age is what is sent, and each hop between nodes makes the loss appear
+/// more recent.
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// The most requests whose ends are counted.
+/// The maximum number of requests whose lost endpoints are counted.
 const SUSPECTS_MAX: usize = 2_048;
 
-/// The most requests of which it is known that they are, or were, quarantined.
+/// The maximum number of requests with a current or past quarantine that are
+/// remembered.
 const RECORDS_MAX: usize = 1_024;
 
-/// The most answered requests that are remembered.
+/// The maximum number of answered requests that are remembered.
 const ANSWERED_MAX: usize = 4_096;
 
-/// The hash of what makes two attempts the same request.
+/// The hash that identifies a request across attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Display)]
 #[display("{_0:032x}")]
@@ -76,34 +80,35 @@
     }
 }
 
-/// What a node tells others of a request.
+/// The quarantine state of a request, as nodes send it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Verdict {
     /// The request.
     pub request: Fingerprint,
-    /// Counts the verdicts on this request; the highest is in force.
+    /// The version of the verdict on this request; the highest takes effect.
     pub version: u32,
-    /// How long it is quarantined from now on; zero if that is lifted.
-    pub left: Duration,
-    /// How long ago the first end was that led to it.
-    pub span: Duration,
+    /// The remaining time of the quarantine; zero if it was lifted.
+    pub remaining: Duration,
+    /// The time since the first loss that led to the verdict.
+    pub first_end_age: Duration,
 }
 
-/// What became of a verdict that another node told.
+/// The effect of a verdict received from another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Learned {
-    /// It was known.
+pub enum VerdictOutcome {
+    /// The verdict was already known.
     Known,
-    /// It is in force now.
-    News,
-    /// The request was answered since its first end: all are to be told this.
-    Objected(Verdict),
+    /// The verdict is new and now in effect.
+    New,
+    /// The request was answered after its first loss: the lifting verdict has
+    /// to be sent to all nodes.
+    Overruled(Verdict),
 }
 
 #[derive(Debug, Clone)]
 struct End {
     at: Time,
-    run: Incarnation,
+    incarnation: Incarnation,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -111,211 +116,232 @@
     version: u32,
     /// `None` if the quarantine was lifted.
     until: Option<Time>,
-    first: Time,
-    /// When it was last changed, and the number of that change.
+    first_end: Time,
+    /// When the record last changed, and the number of that change.
     at: Time,
-    news: u64,
-    /// When this node may try the request again, once it is over.
-    trial: Time,
-    /// The trials that this node knows of.
+    last_change: u64,
+    /// When this node may start the next trial after the quarantine has
+    /// expired.
+    next_trial: Time,
+    /// The trials known to this node.
     trials: u32,
 }
 
-/// What one node knows of requests under which endpoints end.
+/// Tracks the requests under which endpoints are lost, as known to one node.
 #[derive(Debug, Clone, Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     suspects: BTreeMap<Fingerprint, Vec<End>>,
     records: BTreeMap<Fingerprint, Record>,
     answered: BTreeMap<Fingerprint, Time>,
-    order: VecDeque<(Time, Fingerprint)>,
-    news: u64,
+    answer_order: VecDeque<(Time, Fingerprint)>,
+    last_change: u64,
 }
 
-impl Crashes {
-    /// Notes that an endpoint has just ended under a request.
+impl CrashTracker {
+    /// Records that an endpoint has just ended under a request.
     ///
-    /// Returns a verdict that all other nodes are to be told.
-    pub fn ended(&mut self, now: Time, request: Fingerprint, run: &Incarnation) -> Option<Verdict> {
-        self.told_end(now, now, request, run)
+    /// Returns a verdict to be sent to all other nodes.
+    pub fn on_end(
+        &mut self,
+        now: Time,
+        request: Fingerprint,
+        incarnation: &Incarnation,
+    ) -> Option<Verdict> {
+        self.on_reported_end(now, now, request, incarnation)
     }
 
-    /// Notes that an endpoint ended under a request at `at`, as it is told now.
+    /// Records a reported loss of an endpoint under a request at `at`.
     ///
-    /// Returns a verdict that all other nodes are to be told.
-    pub fn told_end(
+    /// Returns a verdict to be sent to all other nodes.
+    pub fn on_reported_end(
         &mut self,
         now: Time,
         at: Time,
         request: Fingerprint,
-        run: &Incarnation,
+        incarnation: &Incarnation,
     ) -> Option<Verdict> {
         self.sweep(now);
-        if now.since(at) >= REMEMBERED || self.is_cleared(at, request) {
+        if now.since(at) >= RETENTION || self.is_cleared(at, request) {
             return None;
         }
         if let Some(record) = self.records.get(&request).copied()
             && let Some(until) = record.until
         {
-            // It was under way when it was quarantined, or was tried after it.
-            let again = until <= at;
-            let longer = until.max(at + lasts(at, record.first));
-            if longer == until {
+            // The request was in flight when it was quarantined, or was retried
+            // later.
+            let is_retry = until <= at;
+            let extended = until.max(at + quarantine_duration(at, record.first_end));
+            if extended == until {
                 return None;
             }
-            let version = record.version + u32::from(again);
-            let verdict = self.set(now, request, version, Some(longer), record.first);
-            return again.then_some(verdict);
+            let version = record.version + u32::from(is_retry);
+            let verdict = self.set_record(now, request, version, Some(extended), record.first_end);
+            return is_retry.then_some(verdict);
         }
         let ends = self.suspects.entry(request).or_default();
-        ends.retain(|e| now.since(e.at) < REMEMBERED);
-        if ends.iter().all(|e| e.run != *run) {
-            let run = run.clone();
-            ends.push(End { at, run });
+        ends.retain(|e| now.since(e.at) < RETENTION);
+        if ends.iter().all(|e| e.incarnation != *incarnation) {
+            let incarnation = incarnation.clone();
+            ends.push(End { at, incarnation });
         }
-        if ends.len() < ENDS {
+        if ends.len() < END_THRESHOLD {
             self.bound_suspects();
             return None;
         }
-        let first = ends.iter().map(|e| e.at).min().unwrap_or(at);
+        let first_end = ends.iter().map(|e| e.at).min().unwrap_or(at);
         let version = self.records.get(&request).map_or(1, |r| r.version + 1);
-        let until = now + lasts(now, first);
-        Some(self.set(now, request, version, Some(until), first))
+        let until = now + quarantine_duration(now, first_end);
+        Some(self.set_record(now, request, version, Some(until), first_end))
     }
 
-    /// Tells whether a request was answered whole, here or as others told,
-    /// after an end at `at`.
+    /// Returns whether a request got a complete response after a loss at `at`,
+    /// here or as reported by other nodes.
     fn is_cleared(&self, at: Time, request: Fingerprint) -> bool {
         let answered = self.answered.get(&request).copied();
         let lifted = self.records.get(&request).filter(|r| r.until.is_none());
         answered.max(lifted.map(|r| r.at)).is_some_and(|a| a > at)
     }
 
-    /// Notes that a request was answered whole.
+    /// Records that a request got a complete response.
     ///
-    /// Returns a verdict that all other nodes are to be told.
-    pub fn answered(&mut self, now: Time, request: Fingerprint) -> Option<Verdict> {
+    /// Returns a verdict to be sent to all other nodes.
+    pub fn on_answered(&mut self, now: Time, request: Fingerprint) -> Option<Verdict> {
         self.suspects.remove(&request);
         self.answered.insert(request, now);
-        self.order.push_back((now, request));
-        if self.order.len() > ANSWERED_MAX
-            && let Some((at, oldest)) = self.order.pop_front()
+        self.answer_order.push_back((now, request));
+        if self.answer_order.len() > ANSWERED_MAX
+            && let Some((at, oldest)) = self.answer_order.pop_front()
             && self.answered.get(&oldest) == Some(&at)
         {
             self.answered.remove(&oldest);
         }
         let record = self.records.get(&request).filter(|r| r.until.is_some())?;
         let version = record.version + 1;
-        Some(self.set(now, request, version, None, now))
+        Some(self.set_record(now, request, version, None, now))
     }
 
-    /// Takes in a verdict that another node told.
-    pub fn learn(&mut self, now: Time, told: Verdict) -> Learned {
+    /// Applies a verdict that was received from another node.
+    pub fn apply_verdict(&mut self, now: Time, received: Verdict) -> VerdictOutcome {
         self.sweep(now);
-        let request = told.request;
-        let left = told.left.min(LASTS[1]);
-        let until = (!left.is_zero()).then(|| now + left);
+        let request = received.request;
+        let remaining = received.remaining.min(QUARANTINE_RANGE[1]);
+        let until = (!remaining.is_zero()).then(|| now + remaining);
         let held = self.records.get(&request);
         let (version, held_until) = held.map_or((0, None), |r| (r.version, r.until));
-        // Nodes whose verdicts have the same number found it at the same time.
-        let least = held_until.map(|u| u + LONGER);
-        if (told.version, until) <= (version, least) {
-            return Learned::Known;
+        // Verdicts with the same version were reached by several nodes at the
+        // same time.
+        let threshold = held_until.map(|u| u + EXTENSION_MIN);
+        if (received.version, until) <= (version, threshold) {
+            return VerdictOutcome::Known;
         }
-        let known = told.version == version && held_until.is_some();
-        let first = now - told.span;
+        let known = received.version == version && held_until.is_some();
+        let first_end = now - received.first_end_age;
         let answered = self.answered.get(&request);
-        let answered = answered.is_some_and(|&at| at + WAYS > first);
+        let answered = answered.is_some_and(|&at| at + TRANSIT_ALLOWANCE > first_end);
         if until.is_some() && answered {
-            let lifted = self.set(now, request, told.version + 1, None, now);
-            return Learned::Objected(lifted);
+            let lifted = self.set_record(now, request, received.version + 1, None, now);
+            return VerdictOutcome::Overruled(lifted);
         }
-        let tried = held_until.is_some() && !known;
-        self.set(now, request, told.version, until, first);
-        if tried && let Some(record) = self.records.get_mut(&request) {
-            // The other node's trial ended an endpoint.
+        let was_trial = held_until.is_some() && !known;
+        self.set_record(now, request, received.version, until, first_end);
+        if was_trial && let Some(record) = self.records.get_mut(&request) {
+            // A trial on the other node ended an endpoint.
             record.trials += 1;
         }
-        if known { Learned::Known } else { Learned::News }
+        if known {
+            VerdictOutcome::Known
+        } else {
+            VerdictOutcome::New
+        }
     }
 
     /// Returns for how much longer a request is refused.
     ///
-    /// Once the quarantine is over it is refused until a trial was answered.
+    /// After the quarantine has expired, the request is refused until a trial
+    /// was answered.
     #[must_use]
-    pub fn quarantined(&self, now: Time, request: Fingerprint) -> Option<Duration> {
+    pub fn quarantine_remaining(&self, now: Time, request: Fingerprint) -> Option<Duration> {
         let record = self.records.get(&request)?;
         let until = record.until?;
-        if now.since(until) >= REMEMBERED {
+        if now.since(until) >= RETENTION {
             return None;
         }
-        let left = until.since(now);
-        Some(match left {
-            Duration::ZERO if record.trials < TRIALS_MAX => TRIAL,
-            Duration::ZERO => (until + REMEMBERED).since(now),
-            _ => left,
+        let remaining = until.since(now);
+        Some(match remaining {
+            Duration::ZERO if record.trials < TRIALS_MAX => TRIAL_TIMEOUT,
+            Duration::ZERO => (until + RETENTION).since(now),
+            _ => remaining,
         })
     }
 
-    /// Tells whether a request whose quarantine is over may be tried now.
+    /// Starts a trial of a request whose quarantine has expired; returns
+    /// whether it may be sent.
     ///
-    /// To be asked at one node alone, once for each request that comes.
-    pub fn may_try(&mut self, now: Time, request: Fingerprint) -> bool {
+    /// Call this on one node only, once for each request that arrives.
+    pub fn try_start_trial(&mut self, now: Time, request: Fingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        let over = record.until.is_some_and(|u| u <= now);
-        let free = over && record.trial <= now && record.trials < TRIALS_MAX;
-        if free {
-            record.trial = now + TRIAL * TRIAL_GROWTH.pow(record.trials);
+        let expired = record.until.is_some_and(|u| u <= now);
+        let allowed = expired && record.next_trial <= now && record.trials < TRIALS_MAX;
+        if allowed {
+            record.next_trial = now + TRIAL_TIMEOUT * TRIAL_GROWTH.pow(record.trials);
             record.trials += 1;
         }
-        free
+        allowed
     }
 
-    /// Tells whether a request that is under way may go on, a trial included.
+    /// Returns whether a request in flight may continue, including a trial.
     #[must_use]
-    pub fn may_go_on(&self, now: Time, request: Fingerprint) -> bool {
+    pub fn may_continue(&self, now: Time, request: Fingerprint) -> bool {
         let until = self.records.get(&request).and_then(|r| r.until);
         until.is_none_or(|u| u <= now)
     }
 
-    /// Returns the endpoints that ended under a request that is not quarantined.
-    pub fn ends(&self, request: Fingerprint) -> impl Iterator<Item = &Incarnation> {
+    /// Returns the endpoints lost under a request that is not quarantined.
+    pub fn lost_endpoints(&self, request: Fingerprint) -> impl Iterator<Item = &Incarnation> {
         self.suspects
             .get(&request)
             .into_iter()
             .flatten()
-            .map(|e| &e.run)
+            .map(|e| &e.incarnation)
     }
 
-    /// Returns the verdicts since the one numbered `since`, oldest first, `most`
-    /// of them at most, and the number to ask for the next ones.
+    /// Returns the verdicts since the change numbered `since`, oldest first and
+    /// at most `most`, and the number from which to continue.
     #[must_use]
-    pub fn news_since(&self, now: Time, since: u64, most: usize) -> (Vec<Verdict>, u64) {
-        if since >= self.news {
-            return (Vec::new(), self.news);
+    pub fn changes_since(&self, now: Time, since: u64, most: usize) -> (Vec<Verdict>, u64) {
+        if since >= self.last_change {
+            return (Vec::new(), self.last_change);
         }
-        let newer = self.records.iter().filter(|(_, r)| r.news > since);
-        let mut newer: Vec<(&Fingerprint, &Record)> = newer.collect();
-        newer.sort_unstable_by_key(|(_, r)| r.news);
-        let more = newer.len() > most;
-        newer.truncate(most);
-        let last = newer.last().map_or(self.news, |(_, r)| r.news);
-        let verdicts = newer.iter().map(|(request, r)| verdict(now, **request, r));
-        (verdicts.collect(), if more { last } else { self.news })
+        let changed = self.records.iter().filter(|(_, r)| r.last_change > since);
+        let mut changed: Vec<(&Fingerprint, &Record)> = changed.collect();
+        changed.sort_unstable_by_key(|(_, r)| r.last_change);
+        let more = changed.len() > most;
+        changed.truncate(most);
+        let last = changed
+            .last()
+            .map_or(self.last_change, |(_, r)| r.last_change);
+        let verdicts = changed
+            .iter()
+            .map(|(request, r)| verdict(now, **request, r));
+        (
+            verdicts.collect(),
+            if more { last } else { self.last_change },
+        )
     }
 
-    /// Returns the latest verdicts, `most` of them at most.
+    /// Returns the latest verdicts, at most `most`.
     #[must_use]
     pub fn latest(&self, now: Time, most: usize) -> Vec<Verdict> {
-        let mut news: Vec<u64> = self.records.values().map(|r| r.news).collect();
-        news.sort_unstable_by(|a, b| b.cmp(a));
-        let since = news.get(most).copied().unwrap_or_default();
-        self.news_since(now, since, most).0
+        let mut changes: Vec<u64> = self.records.values().map(|r| r.last_change).collect();
+        changes.sort_unstable_by(|a, b| b.cmp(a));
+        let since = changes.get(most).copied().unwrap_or_default();
+        self.changes_since(now, since, most).0
     }
 
-    /// Returns the number of requests that are quarantined, and of those whose
-    /// ends are counted.
+    /// Returns the number of quarantined requests, and of requests whose lost
+    /// endpoints are counted.
     #[must_use]
     pub fn counts(&self, now: Time) -> (usize, usize) {
         let active = |r: &&Record| r.until.is_some_and(|u| u > now);
@@ -323,25 +349,25 @@
         (quarantined, self.suspects.len())
     }
 
-    fn set(
+    fn set_record(
         &mut self,
         now: Time,
         request: Fingerprint,
         version: u32,
         until: Option<Time>,
-        first: Time,
+        first_end: Time,
     ) -> Verdict {
         self.suspects.remove(&request);
-        self.news += 1;
+        self.last_change += 1;
         let held = self.records.get(&request).filter(|r| r.until.is_some());
         let trials = held.map_or(0, |r| r.trials);
         let record = Record {
             version,
             until,
-            first,
+            first_end,
             at: now,
-            news: self.news,
-            trial: Time::ZERO,
+            last_change: self.last_change,
+            next_trial: Time::ZERO,
             trials,
         };
         self.records.insert(request, record);
@@ -354,10 +380,11 @@
         verdict(now, request, &record)
     }
 
-    /// Forgets what has long been over. Until then one more end puts it back.
+    /// Removes records that expired long ago. Until then one more loss restores
+    /// the quarantine.
     fn sweep(&mut self, now: Time) {
         self.records
-            .retain(|_, r| now.since(r.until.unwrap_or(r.at)) < REMEMBERED);
+            .retain(|_, r| now.since(r.until.unwrap_or(r.at)) < RETENTION);
     }
 
     fn bound_suspects(&mut self) {
@@ -372,20 +399,22 @@
     }
 }
 
-/// Returns how long a request is quarantined whose first end was at `first`.
-fn lasts(now: Time, first: Time) -> Duration {
-    let [least, most] = LASTS;
-    now.since(first).saturating_mul(3).clamp(least, most)
+/// Returns the duration of a quarantine whose first loss was at `first_end`.
+fn quarantine_duration(now: Time, first_end: Time) -> Duration {
+    let [shortest, longest] = QUARANTINE_RANGE;
+    now.since(first_end)
+        .saturating_mul(3)
+        .clamp(shortest, longest)
 }
 
 fn verdict(now: Time, request: Fingerprint, record: &Record) -> Verdict {
     Verdict {
         request,
         version: record.version,
-        // One that is over is still refused, but for trials: it is not lifted.
-        left: record
+        // An expired quarantine still refuses all but trials: it is not lifted.
+        remaining: record
             .until
-            .map_or(Duration::ZERO, |u| u.since(now).max(LEAST)),
-        span: now.since(record.first),
+            .map_or(Duration::ZERO, |u| u.since(now).max(EXPIRED_REMAINING)),
+        first_end_age: now.since(record.first_end),
     }
 }
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -1,8 +1,9 @@
-//! Decisions of a node that fronts endpoints directly, without agents.
+//! Decisions of a node that calls endpoints directly, without agents.
 //!
 //! A node keeps two replicas of the platform's records, the configuration and
-//! the endpoints, and owns each client attempt that reaches it. Stage pieces of
-//! all nodes meet at one owner for each service, which fills the calls.
+//! the endpoints, and owns each client attempt that reaches it. The batch items
+//! of all nodes are sent to one owner for each service, which builds the
+//! batches.
 
 pub mod batching;
 pub mod bookings;
@@ -12,15 +13,15 @@
 pub mod crashes;
 pub mod directory;
 pub mod durations;
-pub mod ends;
+pub mod endpoint_loss;
 pub mod events;
 pub mod first_event;
 pub mod freshness;
 pub mod health;
 pub mod owners;
+pub mod registry_polling;
+pub mod releases;
 pub mod replica;
 pub mod retry_after;
-pub mod returned;
 pub mod shutdown;
 pub mod slices;
-pub mod upkeep;
--- a/lib/tests/test_batching.rs
+++ b/lib/tests/test_batching.rs
@@ -38,7 +38,7 @@
 fn entry(name: &str, domain: &str) -> Entry {
     Entry {
         id: name.parse().expect("a name"),
-        born: None,
+        started_at: None,
         service: "prep".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: domain.parse().expect("a name"),
@@ -341,7 +341,7 @@
     let first = queue.poll(at(0));
     queue.on_call_ended(at(278), first[0].id, produced(&first[0]));
     let mut restarted = entry("p1", "a");
-    restarted.born = Some(7);
+    restarted.started_at = Some(7);
     queue.set_endpoints(std::iter::once(&restarted));
     large.request = "r1".to_owned();
     queue.submit(large);
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -2,8 +2,8 @@
 
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_lib::serving::directory::Directory;
+use snipeyoke_lib::serving::directory::EndpointCriteria;
 use snipeyoke_lib::serving::directory::Entry;
-use snipeyoke_lib::serving::directory::Wanted;
 use snipeyoke_lib::time::Time;
 
 const NOW: Time = Time::from_millis(1_000);
@@ -11,7 +11,7 @@
 fn entry(name: &str, domain: &str) -> Entry {
     Entry {
         id: name.parse().expect("a name"),
-        born: Some(1),
+        started_at: Some(1),
         service: "llm".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
         domain: domain.parse().expect("a name"),
@@ -31,7 +31,7 @@
 fn choose(directory: &Directory, prefix: Option<u64>) -> EndpointId {
     let service = "llm".parse().expect("a name");
     let domain = "d1".parse().expect("a name");
-    let wanted = Wanted {
+    let criteria = EndpointCriteria {
         service: &service,
         avoid: &[],
         domain: Some(&domain),
@@ -39,7 +39,7 @@
         prefix,
     };
     directory
-        .choose(NOW, wanted)
+        .choose(NOW, criteria)
         .expect("nine are there")
         .entry
         .id
@@ -47,24 +47,25 @@
 
 #[test]
 fn a_prefix_keeps_to_its_endpoint_while_nothing_is_wrong() {
-    // Every node ranks alike, so a shared prefix is read once and not nine times.
+    // Every node ranks alike, so a shared prefix is read once and not nine
+    // times.
     let mut directory = directory();
-    let home = choose(&directory, Some(7));
+    let first = choose(&directory, Some(7));
     for _ in 0..3 {
-        directory.began(&home);
-        assert_eq!(choose(&directory, Some(7)), home);
+        directory.call_started(&first);
+        assert_eq!(choose(&directory, Some(7)), first);
     }
 }
 
 #[test]
 fn a_hot_prefix_spills_to_its_next_endpoint_only() {
-    // One key gets much of the traffic. What its endpoint can't take goes to
-    // the next of its rank, not to all: each would read the prefix again.
+    // One key gets much of the traffic. The overflow of its endpoint goes to
+    // the next one by rank, not to all: each would read the prefix again.
     let mut directory = directory();
     let mut used = Vec::new();
     for _ in 0..16 {
         let id = choose(&directory, Some(7));
-        directory.began(&id);
+        directory.call_started(&id);
         if !used.contains(&id) {
             used.push(id);
         }
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn plain_calls_spread_by_load_and_stay_near() {
+fn calls_without_a_prefix_spread_by_load_and_stay_local() {
     let mut directory = directory();
     let first = choose(&directory, None);
     assert_eq!(
@@ -81,38 +82,38 @@
         Some("d1")
     );
     for _ in 0..2 {
-        directory.began(&first);
+        directory.call_started(&first);
     }
     assert_ne!(choose(&directory, None), first);
 }
 
 #[test]
-fn a_reborn_endpoint_is_a_new_one() {
-    // It crashed under load and is back under its name: neither its calls nor
-    // its failures of before count.
+fn a_restarted_endpoint_is_a_new_one() {
+    // The endpoint crashed under load and restarted under its name: neither its
+    // earlier calls nor its earlier failures count.
     let mut directory = directory();
     let id: EndpointId = "m0".parse().expect("a name");
-    directory.began(&id);
+    directory.call_started(&id);
     if let Some(health) = directory.health_mut(&id) {
         health.record_connection_failure(NOW);
     }
-    let mut again = entry("m0", "d0");
-    assert!(!directory.set(again.clone()), "the same life");
-    again.born = Some(2);
-    assert!(directory.set(again));
+    let mut restarted = entry("m0", "d0");
+    assert!(!directory.set(restarted.clone()), "the same run");
+    restarted.started_at = Some(2);
+    assert!(directory.set(restarted));
     let endpoint = directory.get(&id).expect("it is there");
     assert!(!endpoint.health().is_paused(NOW));
     assert!(endpoint.calls(NOW) < 0.5);
 }
 
 #[test]
-fn failing_and_paused_endpoints_are_left_while_others_are_well() {
+fn failing_and_paused_endpoints_are_avoided_while_others_are_healthy() {
     let mut directory = directory();
-    let home = choose(&directory, Some(7));
-    if let Some(health) = directory.health_mut(&home) {
+    let first = choose(&directory, Some(7));
+    if let Some(health) = directory.health_mut(&first) {
         health.record_connection_failure(NOW);
     }
-    assert_ne!(choose(&directory, Some(7)), home);
+    assert_ne!(choose(&directory, Some(7)), first);
     for n in 0..9 {
         let id = format!("m{n}").parse().expect("a name");
         if let Some(health) = directory.health_mut(&id) {
--- a/lib/tests/test_owners.rs
+++ b/lib/tests/test_owners.rs
@@ -1,4 +1,4 @@
-//! Which node owns the pieces of a service.
+//! Selection of the owner of a service.
 
 use std::net::SocketAddr;
 
@@ -19,14 +19,15 @@
 fn owners(own: u16, nodes: u16) -> Owners {
     let mut owners = Owners::new(node(own), MilliCores(190));
     for n in 1..=nodes {
-        owners.learn(Time::ZERO, node(n));
+        owners.discover(Time::ZERO, node(n));
     }
     owners
 }
 
 #[test]
 fn all_nodes_name_the_same_owner() {
-    // Pieces of one service fill calls only if they meet at one node.
+    // The batch items of one service fill batches only if they meet at one
+    // node.
     let all: Vec<Owners> = (1..=6).map(|n| owners(n, 6)).collect();
     for n in 0..20 {
         let named: Vec<SocketAddr> = all
@@ -38,9 +39,9 @@
 }
 
 #[test]
-fn a_silent_owner_is_passed_over_and_comes_back() {
-    // The owner was killed. Its callers' jobs go to the next node at once, and
-    // back to it once it answers again; other services stay where they are.
+fn a_silent_owner_is_skipped_until_it_responds() {
+    // The owner is killed. Jobs go to the next node at once, and back to the
+    // owner when it responds again; other services keep their owners.
     let mut owners = owners(1, 6);
     let first = (0..20)
         .map(service)
@@ -50,18 +51,18 @@
         .map(service)
         .find(|s| owners.owner(Time::ZERO, s) == node(4));
     let other = other.expect("six nodes share twenty services");
-    owners.silent(Time::from_millis(10), node(3));
+    owners.mark_silent(Time::from_millis(10), node(3));
     let next = owners.owner(Time::from_millis(11), &first);
     assert_ne!(next, node(3));
     assert_eq!(owners.owner(Time::from_millis(11), &other), node(4));
-    owners.heard(Time::from_millis(900), node(3));
+    owners.mark_heard(Time::from_millis(900), node(3));
     assert_eq!(owners.owner(Time::from_millis(901), &first), node(3));
 }
 
 #[test]
 fn a_leaving_node_owns_nothing() {
-    // A node that was told to stop hands its jobs to others while it still
-    // serves: what it owned at its end would be lost with it.
+    // A node that shuts down hands its jobs to others while it still serves:
+    // anything it owned at its end would be lost.
     let mut owners = owners(3, 6);
     let own = (0..20)
         .map(service)
@@ -74,21 +75,21 @@
     assert_eq!(alone.owner(Time::ZERO, &own), node(3), "nobody else can");
 }
 
-/// Guards against nodes that all leave and each count the ends of endpoints under a
-/// request alone.
+/// Guards against leaving nodes that each count the ends of endpoints under a
+/// request on their own.
 #[test]
-fn nodes_that_all_leave_count_for_a_request_at_the_same_nodes() {
+fn nodes_that_all_leave_agree_on_the_crash_counters() {
     let mut all: Vec<Owners> = (1..=6).map(|n| owners(n, 6)).collect();
     for owners in &mut all {
         owners.leave();
         for n in 1..=6 {
-            owners.leaves(node(n), true);
+            owners.set_peer_leaving(node(n), true);
         }
     }
     for request in 0..20 {
         let named = all
             .iter()
-            .map(|o| o.counters(Time::ZERO, Fingerprint(request)));
+            .map(|o| o.crash_counters(Time::ZERO, Fingerprint(request)));
         let named: Vec<Vec<SocketAddr>> = named.collect();
         assert_eq!(named[0].len(), 2);
         assert!(named.iter().all(|n| *n == named[0]), "{named:?}");
@@ -96,16 +97,16 @@
 }
 
 #[test]
-fn strong_hosts_own_services_while_one_of_them_lives() {
-    // Most hosts have a fifth of the others' power. One of them that owned a
-    // service would be late with every call of it; all nodes, weak ones too,
-    // name a strong one, and a weak one only when no strong one is left.
+fn strong_hosts_own_services_while_one_of_them_is_alive() {
+    // Most hosts have a fifth of the others' power, and a weak owner would be
+    // late with every call of its service. All nodes, weak ones included,
+    // select a strong owner, and a weak one only when no strong one remains.
     let power = |n: u16| MilliCores(if n <= 2 { 500 } else { 90 });
     let mut all: Vec<Owners> = (1..=6).map(|n| Owners::new(node(n), power(n))).collect();
     for owners in &mut all {
         for n in 1..=6 {
-            owners.learn(Time::ZERO, node(n));
-            owners.has_power(node(n), power(n));
+            owners.discover(Time::ZERO, node(n));
+            owners.set_power(node(n), power(n));
         }
     }
     for n in 0..20 {
@@ -115,8 +116,8 @@
         assert!(named.iter().all(|&a| a == named[0]));
     }
     let weak = &mut all[5];
-    weak.silent(Time::from_millis(10), node(1));
-    weak.silent(Time::from_millis(10), node(2));
+    weak.mark_silent(Time::from_millis(10), node(1));
+    weak.mark_silent(Time::from_millis(10), node(2));
     let named = weak.owner(Time::from_millis(11), &service(0));
     assert!(named != node(1) && named != node(2));
 }
--- a/lib/tests/test_slices.rs
+++ b/lib/tests/test_slices.rs
@@ -1,4 +1,5 @@
-//! Records in slices: from several holders, lost on the way and overtaken.
+//! Records in slices: from several holders, with lost responses and newer
+//! records.
 
 use std::sync::Arc;
 
@@ -12,17 +13,17 @@
 use snipeyoke_lib::serving::replica::Record;
 use snipeyoke_lib::serving::replica::Replica;
 use snipeyoke_lib::serving::slices::Assembly;
-use snipeyoke_lib::serving::slices::RECORD_MAX;
-use snipeyoke_lib::serving::slices::SLICE_MAX;
+use snipeyoke_lib::serving::slices::RECORD_MAX_BYTES;
+use snipeyoke_lib::serving::slices::SLICE_MAX_BYTES;
 use snipeyoke_lib::serving::slices::Slice;
 
-/// The records of the topic.
+/// The number of records of the topic.
 const RECORDS: u64 = 12;
 
 /// Returns the topic: two keys, values of none to three slices, some dropped.
 fn topic() -> Vec<Record> {
     let record = |offset: u64| {
-        let bytes = (offset as usize * 7_919 * 5) % (3 * SLICE_MAX);
+        let bytes = (offset as usize * 7_919 * 5) % (3 * SLICE_MAX_BYTES);
         let byte = offset as u8;
         let value: Option<Arc<[u8]>> = Some(vec![byte; bytes].into());
         Record {
@@ -34,7 +35,7 @@
     (0..RECORDS).map(record).collect()
 }
 
-/// Returns the copies of those who have read the topic up to each offset.
+/// Returns the replicas of readers that have read the topic up to each offset.
 fn copies(topic: &[Record]) -> Vec<Replica> {
     let copy = |next: u64| {
         let mut replica = Replica::default();
@@ -44,7 +45,7 @@
     (0..=RECORDS).map(copy).collect()
 }
 
-/// A slice asked of a holder, and whether its answer is lost.
+/// A slice requested from a holder, and whether its response is lost.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     holder: u64,
@@ -56,17 +57,18 @@
     (0..=RECORDS, lost).prop_map(|(holder, lost)| Step { holder, lost })
 }
 
-/// The reader's copy must be that of someone who read the topic itself.
+/// Checks that the reader's replica equals that of a reader of the topic
+/// itself.
 fn check(topic: &[Record], copies: &[Replica], steps: &[Step]) -> Result<(), TestCaseError> {
     let mut reader = Replica::default();
     let mut assembly = Assembly::default();
     for &Step { holder, lost } in steps {
-        let slice = copies[holder as usize].slice(assembly.ask(reader.next()));
+        let slice = copies[holder as usize].slice(assembly.next_request(reader.next()));
         let Some(slice) = slice.filter(|_| !lost) else {
             continue;
         };
-        prop_assert!(slice.data.len() <= SLICE_MAX);
-        if let Some(record) = assembly.take(slice) {
+        prop_assert!(slice.data.len() <= SLICE_MAX_BYTES);
+        if let Some(record) = assembly.add(slice) {
             let next = record.offset.next();
             reader.extend(vec![record], next);
         }
@@ -75,18 +77,18 @@
             let same = held.map(|h| &topic[h.offset.0 as usize]);
             prop_assert_eq!(held, same);
             let newest = copies[RECORDS as usize].get(key);
-            let passed = newest.filter(|r| r.offset < reader.next());
-            prop_assert!(passed.is_none_or(|r| Some(r) == held));
+            let covered = newest.filter(|r| r.offset < reader.next());
+            prop_assert!(covered.is_none_or(|r| Some(r) == held));
         }
     }
     Ok(())
 }
 
 #[test]
-fn a_copy_from_several_holders_is_that_of_the_topic() {
-    // Holders are complete up to different offsets, answers are lost, and a
-    // record is overtaken by a newer one while it comes. Slices of two records
-    // never mix, and no record that was passed by is missing.
+fn a_copy_from_several_holders_matches_the_topic() {
+    // Holders are complete up to different offsets, responses are lost, and a
+    // record is replaced during its transfer. Slices of two records must never
+    // mix, and no record may be skipped.
     let runs = Runs {
         cases: 2_000,
         failure_persistence: None,
@@ -101,11 +103,11 @@
 }
 
 #[test]
-fn another_holder_goes_on_where_a_lost_one_stopped() {
-    // The first holder dies when half of a large record has come. The rest
-    // comes from the second one; nothing comes twice.
+fn another_holder_continues_where_a_lost_one_stopped() {
+    // The first holder fails when half of a large record was received. The rest
+    // comes from the second one, and no byte is sent twice.
     let mut holder = Replica::default();
-    let value: Arc<[u8]> = (0..4 * SLICE_MAX).map(|n| (n % 251) as u8).collect();
+    let value: Arc<[u8]> = (0..4 * SLICE_MAX_BYTES).map(|n| (n % 251) as u8).collect();
     let record = Record {
         key: "config".to_owned(),
         value: Some(value),
@@ -114,29 +116,31 @@
     holder.extend(vec![record.clone()], Offset(5));
     let other = holder.clone();
     let mut assembly = Assembly::default();
-    let mut come = 0;
-    let mut taken = None;
+    let mut received = 0;
+    let mut assembled = None;
     for holder in [&holder, &holder, &other, &other] {
-        let slice = holder.slice(assembly.ask(Offset(3))).expect("it is newer");
-        come += slice.data.len();
-        taken = assembly.take(slice);
+        let slice = holder
+            .slice(assembly.next_request(Offset(3)))
+            .expect("it is newer");
+        received += slice.data.len();
+        assembled = assembly.add(slice);
     }
-    assert_eq!(taken, Some(record));
-    assert_eq!(come, 4 * SLICE_MAX);
+    assert_eq!(assembled, Some(record));
+    assert_eq!(received, 4 * SLICE_MAX_BYTES);
 }
 
 #[test]
-fn a_record_beyond_the_bound_is_not_begun() {
-    // A faulty sender names a size that would take the reader's memory.
+fn a_record_above_the_maximum_size_is_not_started() {
+    // A faulty sender announces a size that would exhaust the reader's memory.
     let mut assembly = Assembly::default();
-    let before = assembly.ask(Offset(0));
+    let before = assembly.next_request(Offset(0));
     let slice = Slice {
         key: "config".to_owned(),
         offset: Offset(1),
         at: 0,
-        total: Some(RECORD_MAX + 1),
-        data: vec![0; SLICE_MAX],
+        total: Some(RECORD_MAX_BYTES + 1),
+        data: vec![0; SLICE_MAX_BYTES],
     };
-    assert_eq!(assembly.take(slice), None);
-    assert_eq!(assembly.ask(Offset(0)), before);
+    assert_eq!(assembly.add(slice), None);
+    assert_eq!(assembly.next_request(Offset(0)), before);
 }
