--- a/agent/src/node.rs
+++ b/agent/src/node.rs
@@ -15,8 +15,8 @@
 use derive_more::Error;
 use snipeyoke_lib::drain::Drain;
 use snipeyoke_lib::drain::DrainAction;
+use snipeyoke_lib::drain::DrainBlockers;
 use snipeyoke_lib::drain::DrainSettings;
-use snipeyoke_lib::drain::Held;
 use snipeyoke_lib::drain::Phase;
 use snipeyoke_lib::drain::Source;
 use snipeyoke_lib::ids::Incarnation;
@@ -323,7 +323,7 @@
         while drain.phase() != Phase::Done {
             for action in &actions {
                 match action {
-                    DrainAction::Stop => told = self.refuse_new(),
+                    DrainAction::RefuseWork => told = self.refuse_new(),
                     // Only now: a successor may run a key at once after the
                     // release.
                     DrainAction::HandOver => self.hand_over().await,
@@ -340,11 +340,11 @@
             }
             Timer::after(DRAIN_LOOK).await;
             let owned = node.owner.as_ref().map(|o| o.slots().len());
-            let held = Held {
+            let held = DrainBlockers {
                 calls: node.gate.admitted().active as usize,
                 unaware: node.unaware(told),
                 slots: owned.unwrap_or_default(),
-                ..Held::default()
+                ..DrainBlockers::default()
             };
             actions = drain.update(node.clock.now(), held);
         }
--- a/agent/src/owner.rs
+++ b/agent/src/owner.rs
@@ -16,9 +16,9 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::FencingNumber;
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::lease::Held;
-use snipeyoke_lib::lease::Holder;
+use snipeyoke_lib::lease::HeldLease;
 use snipeyoke_lib::lease::LeaseHolder;
+use snipeyoke_lib::lease::LeaseManager;
 use snipeyoke_lib::lease::LeaseRecord;
 use snipeyoke_lib::lease::LeaseTerm;
 use snipeyoke_lib::log::Append;
@@ -89,7 +89,7 @@
 
 #[derive(Debug)]
 struct State {
-    holder: Holder,
+    holder: LeaseManager,
     share: SlotShare,
     gate: OnceGate,
 }
@@ -99,7 +99,7 @@
         let seed = me.incarnation.0;
         let share = SlotShare::new(&own.endpoint.pool, &me);
         let state = State {
-            holder: Holder::new(me, term, Offset(0), seed),
+            holder: LeaseManager::new(me, term, Offset(0), seed),
             share,
             gate: OnceGate::new(TableLimits::default()),
         };
@@ -125,7 +125,7 @@
         let verdict = state.gate.admit(Clock::wall(), key, held);
         if verdict == Verdict::Run {
             let lease = key.slot().lease(state.share.pool());
-            state.holder.note_used(&lease, key.issued());
+            state.holder.record_key(&lease, key.issued());
         }
         verdict
     }
@@ -147,7 +147,7 @@
     }
 
     pub(crate) fn ask(&self, key: &OnceKey) -> Verdict {
-        self.state().gate.ask(key)
+        self.state().gate.lookup(key)
     }
 
     /// Returns what wakes up when any call ends.
@@ -171,7 +171,7 @@
         state.share.owned(&state.holder, self.clock.now())
     }
 
-    fn held(&self, state: &State, key: &OnceKey) -> Option<Held> {
+    fn held(&self, state: &State, key: &OnceKey) -> Option<HeldLease> {
         let lease = key.slot().lease(state.share.pool());
         state.holder.held(self.clock.now(), &lease)
     }
@@ -213,7 +213,7 @@
             let end = log.append(append).await;
             log::debug!(target: "lease", event = "lease-append", step = kind, end = format!("{end:?}").as_str(); "");
             let now = self.clock.now();
-            self.state().holder.answered(now, record.id, &end);
+            self.state().holder.on_append_end(now, record.id, &end);
             reader.soon();
             if matches!(record.body, Body::Lease(LeaseRecord::Release { .. })) {
                 self.moved.notify(usize::MAX);
@@ -243,9 +243,9 @@
         let wanted = if self.leaving.is_set() {
             BTreeSet::new()
         } else {
-            share.wanted(holder, now)
+            share.wanted_leases(holder, now)
         };
-        holder.want(wanted);
+        holder.set_wanted(wanted);
         holder.poll(now, Clock::wall(), RecordId(Uuid::now_v7()))
     }
 
@@ -267,7 +267,7 @@
             }
             ReadEnd::Gone { first } => {
                 log::warn!(target: "lease", event = "lease-behind", first = first.0, remedy = "keep the log's records for hours"; "");
-                self.state().holder.behind(first);
+                self.state().holder.reset(first);
                 reader.answered(now, true);
             }
             ReadEnd::Failed => reader.failed(now),
@@ -281,7 +281,7 @@
         for (offset, bytes) in (from.0..).map(Offset).zip(records) {
             // A record of another release still takes its place in the order.
             let record = Record::try_from(bytes.as_slice()).ok();
-            state.holder.read(now, offset, record.as_ref());
+            state.holder.apply(now, offset, record.as_ref());
         }
         let after = state.share.owned(&state.holder, now);
         if before != after {
@@ -298,7 +298,7 @@
         let now = self.clock.now();
         let starting = now < Time::ZERO + START;
         let waiting = state.holder.is_waiting() || !state.holder.is_complete(now);
-        starting || waiting || state.share.is_short()
+        starting || waiting || state.share.lacks_slots()
     }
 }
 
--- a/lib/examples/capacity.rs
+++ b/lib/examples/capacity.rs
@@ -36,8 +36,8 @@
 use snipeyoke_lib::journal::Choice;
 use snipeyoke_lib::journal::Decision;
 use snipeyoke_lib::journal::Journal;
-use snipeyoke_lib::lease::Held;
-use snipeyoke_lib::limits::AccountUse;
+use snipeyoke_lib::lease::HeldLease;
+use snipeyoke_lib::limits::AccountDemand;
 use snipeyoke_lib::limits::Limiter;
 use snipeyoke_lib::once::Answer;
 use snipeyoke_lib::once::OnceEnd;
@@ -311,13 +311,13 @@
     let before = resident();
     let now = Time::from_millis(10);
     let all = accounts(count);
-    let mut limiter = Limiter::begin(now, peers + 1);
-    limiter.set(now, &all);
+    let mut limiter = Limiter::new(now, peers + 1);
+    limiter.set_accounts(now, &all);
     let mut heard = Duration::ZERO;
     for seq in 1..3 {
         heard = Duration::ZERO;
         for n in 0..peers {
-            let uses = all.keys().map(|name| AccountUse {
+            let uses = all.keys().map(|name| AccountDemand {
                 account: name.clone(),
                 requests: seq as f64,
                 tokens: 100.0,
@@ -326,7 +326,7 @@
             let uses = uses.collect();
             let peer: NodeId = name(&format!("router-{n:03}"));
             let started = Instant::now();
-            limiter.on_peer(now, &peer, seq, uses);
+            limiter.on_report(now, &peer, seq, uses);
             heard += started.elapsed();
         }
     }
@@ -350,7 +350,7 @@
         bytes: Bytes(1 << 34),
     };
     let mut gate = OnceGate::new(limits);
-    let held = Held {
+    let held = HeldLease {
         fence: FencingNumber(1),
         before: WallTime::from_millis(1),
         until: Time::NEVER,
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -51,7 +51,7 @@
         total += f64::from(best);
     }
     let left = spec.deadline.since(now).as_secs_f64();
-    let allowed = left * FILL * shared.fair.part(now, &spec.account);
+    let allowed = left * FILL * shared.fair.budget_fraction(now, &spec.account);
     if total > allowed {
         let missing = Duration::try_from_secs_f64(total - allowed).unwrap_or(AFTER_MAX);
         return Err(Refusal {
@@ -60,7 +60,7 @@
         });
     }
     let share = shared.share(&spec.account);
-    shared.fair.note(now, &spec.account, share, total);
+    shared.fair.record(now, &spec.account, share, total);
     Ok(Duration::try_from_secs_f64(total).unwrap_or_default())
 }
 
--- a/lib/src/chain/ending.rs
+++ b/lib/src/chain/ending.rs
@@ -55,7 +55,7 @@
         // number of attempts. All else draws from the budget: without it, each
         // failure would add calls to a pool that fails because of its calls.
         let free = reason == Reason::Draining;
-        if !free && !turn.shared.retry.take(&self.current().pool) {
+        if !free && !turn.shared.retry.try_spend(&self.current().pool) {
             self.refuse(Reason::RetryBudget, after, turn);
             return;
         }
--- a/lib/src/chain/progress.rs
+++ b/lib/src/chain/progress.rs
@@ -64,7 +64,10 @@
             attempt.first = Some(turn.now);
             let took = turn.now.since(attempt.began);
             let times = &mut turn.shared.times;
-            times.entry(&self.spec.name, self.stage).first.observe(took);
+            times
+                .entry(&self.spec.name, self.stage)
+                .first_token
+                .observe(took);
         }
     }
 
--- a/lib/src/chain/select.rs
+++ b/lib/src/chain/select.rs
@@ -74,7 +74,9 @@
 
 fn expected_output(spec: &Spec, index: usize, held: u32, times: &StageTimes) -> f32 {
     let max = (spec.prompt.max.0 as f32).max(1.0);
-    let usual = times.get(&spec.name, index).and_then(StageTime::output);
+    let usual = times
+        .get(&spec.name, index)
+        .and_then(StageTime::output_tokens);
     let whole = usual.unwrap_or(max * OUTPUT_FIRST).min(max);
     (whole - held as f32).max(1.0)
 }
@@ -186,10 +188,10 @@
         note_drag(now, attempt, pool, shared);
     }
     let entry = shared.times.entry(&chain.spec.name, chain.stage);
-    entry.seen(now);
-    entry.took.observe(now.since(chain.entered));
+    entry.mark_seen(now);
+    entry.elapsed.observe(now.since(chain.entered));
     if attempt.first.is_none() {
-        entry.first.observe(took);
+        entry.first_token.observe(took);
     }
     if usage.output.0 > 0 {
         entry.observe_output(usage.output.0);
--- a/lib/src/chain/timing.rs
+++ b/lib/src/chain/timing.rs
@@ -59,7 +59,9 @@
 /// Returns the time that stages from `from` on take.
 pub(super) fn rest(now: Time, chain: &Chain, shared: &Shared, from: usize, part: f32) -> Duration {
     let count = chain.spec.pipeline.stages.len();
-    shared.times.rest(now, &chain.spec.name, from..count, part)
+    shared
+        .times
+        .remaining(now, &chain.spec.name, from..count, part)
 }
 
 pub(super) fn priority(now: Time, chain: &Chain, shared: &Shared) -> u8 {
@@ -87,9 +89,9 @@
 // deadline; by the missing answer it would be found too late.
 fn usually_late(chain: &Chain, predicted: Duration, known: &StageTime) -> Option<Duration> {
     if select::generates(chain.current()) {
-        return known.first.at(LATE);
+        return known.first_token.quantile(LATE);
     }
-    let usual = known.took.at(LATE)?;
+    let usual = known.elapsed.quantile(LATE)?;
     Some(usual.max(predicted.mul_f32(LATE_RATIO)))
 }
 
--- a/lib/src/chain/watch.rs
+++ b/lib/src/chain/watch.rs
@@ -37,7 +37,7 @@
         };
         let alone = self.open().count() == 1;
         let more = self.here().count() < ATTEMPTS_MAX;
-        if alone && more && turn.shared.retry.take(&self.current().pool) {
+        if alone && more && turn.shared.retry.try_spend(&self.current().pool) {
             self.drop_attempt(index, turn);
             self.send(turn);
         } else {
@@ -56,7 +56,10 @@
         select::note_overdue(turn.now, &self.attempts[index], self, turn.shared);
         self.attempts[index].hedge = Time::NEVER;
         let may_send = self.here().count() < ATTEMPTS_MAX;
-        if may_send && select::has_other(turn.now, self, turn.shared) && turn.shared.hedge.take() {
+        if may_send
+            && select::has_other(turn.now, self, turn.shared)
+            && turn.shared.hedge.try_spend()
+        {
             self.send(turn);
         }
     }
--- a/lib/src/deadline.rs
+++ b/lib/src/deadline.rs
@@ -65,7 +65,7 @@
     ///
     /// Returns `None` while there are too few of them.
     #[must_use]
-    pub fn at(&self, part: f32) -> Option<Duration> {
+    pub fn quantile(&self, part: f32) -> Option<Duration> {
         if self.total < TRUSTED {
             return None;
         }
@@ -87,22 +87,22 @@
 #[derive(Debug, Clone, Default)]
 pub struct StageTime {
     /// The time from choosing an endpoint to the answer.
-    pub took: Quantiles,
+    pub elapsed: Quantiles,
     /// The time to the first token, or to the answer where there are none.
-    pub first: Quantiles,
+    pub first_token: Quantiles,
     output: Option<f32>,
     seen: Time,
 }
 
 impl StageTime {
     /// Notes that a stage was done now.
-    pub const fn seen(&mut self, now: Time) {
+    pub const fn mark_seen(&mut self, now: Time) {
         self.seen = now;
     }
 
     /// Returns the usual number of output tokens, if any were seen.
     #[must_use]
-    pub const fn output(&self) -> Option<f32> {
+    pub const fn output_tokens(&self) -> Option<f32> {
         self.output
     }
 
@@ -148,7 +148,7 @@
     /// After an outage the times learned in it would condemn every request, so
     /// that no newer ones could be learned.
     #[must_use]
-    pub fn rest(
+    pub fn remaining(
         &self,
         now: Time,
         pipeline: &PipelineName,
@@ -160,7 +160,7 @@
             if now.since(known.seen) > STALE {
                 return None;
             }
-            known.took.at(part)
+            known.elapsed.quantile(part)
         };
         stages.filter_map(known).sum()
     }
--- a/lib/src/drain.rs
+++ b/lib/src/drain.rs
@@ -47,7 +47,7 @@
 
 /// What keeps a drain from being done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Held {
+pub struct DrainBlockers {
     /// Requests or calls in flight.
     pub calls: usize,
     /// Connections of callers on which an answer is being written.
@@ -60,7 +60,7 @@
     pub slots: usize,
 }
 
-impl Held {
+impl DrainBlockers {
     const fn has_work(&self) -> bool {
         self.calls > 0 || self.connections > 0 || self.unaware > 0
     }
@@ -70,7 +70,7 @@
     }
 }
 
-impl fmt::Display for Held {
+impl fmt::Display for DrainBlockers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "calls={} connections={}", self.calls, self.connections)?;
         write!(f, " unaware={} leases={}", self.unaware, self.leases)?;
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
     /// Refuse new work as not run, and tell peers, balancer and callers so.
-    Stop,
+    RefuseWork,
     /// Take new work again, and tell so.
     Resume,
     /// Move what runs and can be resumed elsewhere; never cut it.
@@ -140,7 +140,7 @@
     /// Log what holds the drain.
     Report {
         /// What is held.
-        held: Held,
+        held: DrainBlockers,
         /// Whether the deadline has passed, which changes nothing else.
         overdue: bool,
     },
@@ -157,7 +157,7 @@
     /// Who asked, and whether the process is to leave for it.
     sources: BTreeMap<Source, bool>,
     phase: Phase,
-    held: Held,
+    held: DrainBlockers,
     began: Time,
     moved: bool,
     report_due: Time,
@@ -172,7 +172,7 @@
             settings,
             sources: BTreeMap::new(),
             phase: Phase::Serving,
-            held: Held::default(),
+            held: DrainBlockers::default(),
             began: Time::ZERO,
             moved: false,
             report_due: Time::NEVER,
@@ -197,13 +197,13 @@
 
     /// Returns what was last known to be held.
     #[must_use]
-    pub const fn held(&self) -> Held {
+    pub const fn held(&self) -> DrainBlockers {
         self.held
     }
 
     /// Tells whether new work is taken.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.phase == Phase::Serving
     }
 
@@ -225,7 +225,7 @@
         self.began = now;
         self.moved = false;
         self.report_due = now + self.settings.deadline;
-        vec![DrainAction::Stop]
+        vec![DrainAction::RefuseWork]
     }
 
     /// Withdraws one source's wish; service resumes when no other is left.
@@ -256,7 +256,7 @@
     }
 
     /// Takes in what is held now and moves on as far as that allows.
-    pub fn update(&mut self, now: Time, held: Held) -> Vec<DrainAction> {
+    pub fn update(&mut self, now: Time, held: DrainBlockers) -> Vec<DrainAction> {
         self.held = held;
         self.step(now)
     }
--- a/lib/src/hedge.rs
+++ b/lib/src/hedge.rs
@@ -28,7 +28,7 @@
     }
 
     /// Takes one hedge out, if there is one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/lib/src/lease/fold.rs
+++ b/lib/src/lease/fold.rs
@@ -5,11 +5,11 @@
 
 use crate::ids::FencingNumber;
 use crate::ids::Offset;
-use crate::lease::Claimed;
+use crate::lease::LeaseClaim;
 use crate::lease::LeaseHolder;
 use crate::lease::LeaseName;
 use crate::lease::LeaseRecord;
-use crate::lease::Released;
+use crate::lease::LeaseRelease;
 use crate::lease::record::wait_for;
 use crate::time::Time;
 use crate::time::WallTime;
@@ -151,7 +151,7 @@
         true
     }
 
-    fn claim(&mut self, offset: Offset, holder: &LeaseHolder, claimed: &Claimed, free_at: Time) {
+    fn claim(&mut self, offset: Offset, holder: &LeaseHolder, claimed: &LeaseClaim, free_at: Time) {
         let newest = self.leases.get(&claimed.lease).map(|s| s.newest);
         let known = claimed.after >= self.start;
         let won = known && newest.is_none_or(|n| n < claimed.after);
@@ -184,7 +184,7 @@
         state
     }
 
-    fn release(&mut self, offset: Offset, released: &Released) {
+    fn release(&mut self, offset: Offset, released: &LeaseRelease) {
         let state = self.touch(&released.lease, offset, Time::ZERO);
         // A former holder that wakes up may release what is no longer its own.
         if state
--- a/lib/src/lease/holder.rs
+++ b/lib/src/lease/manager.rs
@@ -53,7 +53,7 @@
 
 /// A lease that is held at this moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     /// The fencing number: the offset of the claim.
     pub fence: FencingNumber,
     /// No key issued later can have been taken in by an earlier holder.
@@ -66,19 +66,19 @@
 struct Sent {
     record: LeaseRecord,
     at: Time,
-    /// For each lease of a claim, what [`Held::before`] will be.
+    /// For each lease of a claim, what [`HeldLease::before`] will be.
     before: BTreeMap<LeaseName, WallTime>,
 }
 
 /// The leases of one incarnation of a process.
 #[derive(Debug, Clone)]
-pub struct Holder {
+pub struct LeaseManager {
     pub(super) me: LeaseHolder,
     pub(super) term: LeaseTerm,
     guards: LeaseGuards,
     pub(super) fold: LeaseFold,
     pub(super) wanted: BTreeSet<LeaseName>,
-    pub(super) held: BTreeMap<LeaseName, Held>,
+    pub(super) held: BTreeMap<LeaseName, HeldLease>,
     /// The newest issue of a key taken in under each lease held.
     pub(super) used: BTreeMap<LeaseName, WallTime>,
     sent: BTreeMap<RecordId, Sent>,
@@ -88,7 +88,7 @@
     backoff: Backoff,
 }
 
-impl Holder {
+impl LeaseManager {
     /// Starts without a lease, reading the log from an offset.
     #[must_use]
     pub fn new(me: LeaseHolder, term: LeaseTerm, start: Offset, seed: u64) -> Self {
@@ -136,7 +136,7 @@
     ///
     /// A lease that is no longer wanted stops being held at once, before its
     /// release is even sent, so a successor finds it unused.
-    pub fn want(&mut self, wanted: BTreeSet<LeaseName>) {
+    pub fn set_wanted(&mut self, wanted: BTreeSet<LeaseName>) {
         self.wanted = wanted;
     }
 
@@ -146,7 +146,7 @@
     /// at work. Its clock went on meanwhile, so this check finds out, as long
     /// as nothing comes between it and the effect.
     #[must_use]
-    pub fn held(&self, now: Time, lease: &LeaseName) -> Option<Held> {
+    pub fn held(&self, now: Time, lease: &LeaseName) -> Option<HeldLease> {
         let held = self.held.get(lease)?;
         let wanted = self.wanted.contains(lease);
         let valid = now < held.until || !self.guards.expiry;
@@ -160,13 +160,13 @@
     }
 
     /// Returns all leases that are held at this moment.
-    pub fn all_held(&self, now: Time) -> impl Iterator<Item = (&LeaseName, Held)> {
+    pub fn all_held(&self, now: Time) -> impl Iterator<Item = (&LeaseName, HeldLease)> {
         let names = self.held.keys();
         names.filter_map(move |lease| Some((lease, self.held(now, lease)?)))
     }
 
     /// Takes what was read at an offset of the log.
-    pub fn read(&mut self, now: Time, offset: Offset, record: Option<&Record>) {
+    pub fn apply(&mut self, now: Time, offset: Offset, record: Option<&Record>) {
         let step = record.and_then(|r| match &r.body {
             Body::Lease(step) => Some(step),
             _ => None,
@@ -184,7 +184,7 @@
     ///
     /// A claim of a successor may be among them. What was held has run out long
     /// before, since retention is longer than any term.
-    pub fn behind(&mut self, first: Offset) {
+    pub fn reset(&mut self, first: Offset) {
         self.fold = LeaseFold::new(first);
         self.held.clear();
         self.sent.clear();
@@ -245,7 +245,7 @@
         let won = tenure.is_some_and(|t| t.fence == fence && t.holder == self.me);
         if won || !self.guards.read_back {
             let before = sent.before.get(lease).copied();
-            let held = Held {
+            let held = HeldLease {
                 fence,
                 before: before.unwrap_or(WallTime::from_millis(u64::MAX)),
                 until,
@@ -257,7 +257,7 @@
 
     /// Returns when [`Self::poll`] may next have a record.
     #[must_use]
-    pub fn wake(&self) -> Time {
+    pub fn next_wake(&self) -> Time {
         if self.flying.is_some() {
             return Time::NEVER;
         }
@@ -289,7 +289,7 @@
     /// The caller sends it once. A record without an answer isn't repeated: the
     /// next one is built on what was read since, and counts from its own send.
     pub fn poll(&mut self, now: Time, wall: WallTime, id: RecordId) -> Option<Record> {
-        if self.wake() > now {
+        if self.next_wake() > now {
             return None;
         }
         let step = self.release();
@@ -313,7 +313,7 @@
     }
 
     /// Notes that a key is taken in under a lease that is held.
-    pub fn note_used(&mut self, lease: &LeaseName, issued: WallTime) {
+    pub fn record_key(&mut self, lease: &LeaseName, issued: WallTime) {
         if self.guards.used {
             let newest = self.used.entry(lease.clone()).or_default();
             *newest = issued.max(*newest);
@@ -344,8 +344,8 @@
     /// Takes the end of the append of a record.
     ///
     /// [`AppendEnd::Done`] proves no lease: another claim may stand before it.
-    /// The record counts when [`Self::read`] sees it.
-    pub fn answered(&mut self, now: Time, id: RecordId, end: &AppendEnd) {
+    /// The record counts when [`Self::apply`] sees it.
+    pub fn on_append_end(&mut self, now: Time, id: RecordId, end: &AppendEnd) {
         if self.flying != Some(id) {
             return;
         }
--- a/lib/src/lease/record.rs
+++ b/lib/src/lease/record.rs
@@ -83,7 +83,7 @@
 /// One lease that a claim asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Claimed {
+pub struct LeaseClaim {
     /// The lease.
     pub lease: LeaseName,
     /// The claim wins if no record names the lease from this offset on.
@@ -93,7 +93,7 @@
 /// One lease under the claim that won it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Hold {
+pub struct LeaseHold {
     /// The lease.
     pub lease: LeaseName,
     /// The offset of the claim.
@@ -103,7 +103,7 @@
 /// One lease that its holder gives up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Released {
+pub struct LeaseRelease {
     /// The lease.
     pub lease: LeaseName,
     /// The offset of the claim.
@@ -122,7 +122,7 @@
         /// The claimant.
         holder: LeaseHolder,
         /// The leases.
-        leases: Vec<Claimed>,
+        leases: Vec<LeaseClaim>,
         /// The term, in milliseconds.
         term_ms: u64,
     },
@@ -131,7 +131,7 @@
         /// The holder.
         holder: LeaseHolder,
         /// The leases.
-        leases: Vec<Hold>,
+        leases: Vec<LeaseHold>,
         /// The term, in milliseconds.
         term_ms: u64,
     },
@@ -140,7 +140,7 @@
         /// The holder.
         holder: LeaseHolder,
         /// The leases.
-        leases: Vec<Released>,
+        leases: Vec<LeaseRelease>,
     },
 }
 
--- a/lib/src/lease/steps.rs
+++ b/lib/src/lease/steps.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeMap;
 
-use super::holder::Held;
-use super::holder::Holder;
-use super::holder::RENEWALS;
-use crate::lease::Claimed;
-use crate::lease::Hold;
+use super::manager::HeldLease;
+use super::manager::LeaseManager;
+use super::manager::RENEWALS;
+use crate::lease::LeaseClaim;
+use crate::lease::LeaseHold;
 use crate::lease::LeaseName;
 use crate::lease::LeaseRecord;
-use crate::lease::Released;
+use crate::lease::LeaseRelease;
 use crate::once::after_skew;
 use crate::time::Time;
 use crate::time::WallTime;
 
-impl Holder {
+impl LeaseManager {
     pub(super) fn release(&mut self) -> Option<LeaseRecord> {
         let wanted = &self.wanted;
         let surplus = self
@@ -32,9 +32,9 @@
         })
     }
 
-    pub(super) fn released(&self, (lease, held): (&LeaseName, &Held)) -> Released {
+    pub(super) fn released(&self, (lease, held): (&LeaseName, &HeldLease)) -> LeaseRelease {
         let used = self.used.get(lease).copied().unwrap_or_default();
-        Released {
+        LeaseRelease {
             lease: lease.clone(),
             fence: held.fence,
             used: used.max(held.before),
@@ -54,7 +54,7 @@
         let missing = self.wanted.iter().filter(|l| !self.held.contains_key(*l));
         let free = missing.filter(|lease| self.claim_at(lease) <= now);
         let leases: Vec<_> = free
-            .map(|lease| Claimed {
+            .map(|lease| LeaseClaim {
                 lease: lease.clone(),
                 after: self.fold.next(),
             })
@@ -101,8 +101,8 @@
     }
 }
 
-fn hold((lease, held): (&LeaseName, &Held)) -> Hold {
-    Hold {
+fn hold((lease, held): (&LeaseName, &HeldLease)) -> LeaseHold {
+    LeaseHold {
         lease: lease.clone(),
         fence: held.fence,
     }
--- a/lib/src/limits/bucket.rs
+++ b/lib/src/limits/bucket.rs
@@ -26,7 +26,7 @@
     }
 
     /// Changes rate and burst; what was saved above the new burst is lost.
-    pub fn set(&mut self, now: Time, rate: f64, burst: f64) {
+    pub fn set_rate(&mut self, now: Time, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
         self.burst = burst;
@@ -46,7 +46,7 @@
     }
 
     /// Takes an amount, into debt if need be; a negative one is given back.
-    pub fn take(&mut self, now: Time, amount: f64) {
+    pub fn spend(&mut self, now: Time, amount: f64) {
         self.fill(now);
         self.level = (self.level - amount).min(self.burst);
     }
--- a/lib/src/limits/fair.rs
+++ b/lib/src/limits/fair.rs
@@ -36,7 +36,7 @@
 
 impl Fairness {
     /// Notes work admitted for an account that has a share under contention.
-    pub fn note(&mut self, now: Time, account: &ClientAccount, share: f64, work: f64) {
+    pub fn record(&mut self, now: Time, account: &ClientAccount, share: f64, work: f64) {
         self.uses.retain(|_, u| u.work(now) > FORGET);
         let known = self.uses.get(account).map_or(0.0, |u| u.work(now));
         let entry = Use {
@@ -52,7 +52,7 @@
     /// An account above its share is refused while the queue is still short, so
     /// that it can't fill the queue up to where those below theirs are refused.
     #[must_use]
-    pub fn part(&self, now: Time, account: &ClientAccount) -> f64 {
+    pub fn budget_fraction(&self, now: Time, account: &ClientAccount) -> f64 {
         let Some(own) = self.uses.get(account) else {
             return 1.0;
         };
--- a/lib/src/limits/limiter.rs
+++ b/lib/src/limits/limiter.rs
@@ -42,7 +42,7 @@
 /// These are rates and levels, not counts since the last report: a report that
 /// is lost, doubled or overtaken does no harm once the next one comes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AccountUse {
+pub struct AccountDemand {
     /// The account.
     pub account: ClientAccount,
     /// The requests a second asked for, refused ones included.
@@ -118,7 +118,7 @@
     /// share. A restart would otherwise admit a whole limit before its first
     /// news of the others.
     #[must_use]
-    pub const fn begin(now: Time, routers: usize) -> Self {
+    pub const fn new(now: Time, routers: usize) -> Self {
         Self {
             accounts: BTreeMap::new(),
             peers: Peers::new(),
@@ -136,7 +136,7 @@
     }
 
     /// Takes over the accounts of the configuration in force.
-    pub fn set(&mut self, now: Time, accounts: &BTreeMap<ClientAccount, Account>) {
+    pub fn set_accounts(&mut self, now: Time, accounts: &BTreeMap<ClientAccount, Account>) {
         self.accounts.retain(|name, _| accounts.contains_key(name));
         for (name, account) in accounts {
             if let Some(state) = self.accounts.get_mut(name) {
@@ -149,7 +149,7 @@
     }
 
     /// Takes in what another router is asked for.
-    pub fn on_peer(&mut self, now: Time, peer: &NodeId, seq: u64, uses: Vec<AccountUse>) {
+    pub fn on_report(&mut self, now: Time, peer: &NodeId, seq: u64, uses: Vec<AccountDemand>) {
         self.peers.hear(now, peer, seq, uses);
     }
 
@@ -157,7 +157,7 @@
     ///
     /// An account that is not told counts as not asked for: the shares of those
     /// that tell of it then still add up to one, with the even parts.
-    pub fn tick(&mut self, now: Time) -> Vec<AccountUse> {
+    pub fn tick(&mut self, now: Time) -> Vec<AccountDemand> {
         self.peers.forget(now);
         let routers = self.routers(now);
         let complete = routers == self.peers.count() + 1;
@@ -235,8 +235,8 @@
         if after > Duration::ZERO {
             return Err(LimitError::Rate { after });
         }
-        state.requests.take(now, 1.0);
-        state.tokens.take(now, tokens);
+        state.requests.spend(now, 1.0);
+        state.tokens.spend(now, tokens);
         state.active += 1;
         Ok(())
     }
@@ -248,7 +248,7 @@
         };
         state.active = state.active.saturating_sub(1);
         let more = f64::from(used.0) - f64::from(expected.0);
-        state.tokens.take(now, more);
+        state.tokens.spend(now, more);
     }
 
     /// Returns this router's present share of an account's limits, from 0 to 1.
@@ -289,9 +289,9 @@
         self.share = share;
         let rate = self.limits.requests.0 * share;
         self.requests
-            .set(now, rate, request_burst(self.limits, share));
+            .set_rate(now, rate, request_burst(self.limits, share));
         let rate = self.limits.tokens.0 * share;
-        self.tokens.set(now, rate, rate * BURST);
+        self.tokens.set_rate(now, rate, rate * BURST);
     }
 
     // Returns the part of its limit that the account is asked for here, or `None`
@@ -302,8 +302,8 @@
         busy.then(|| own / self.limits.requests.0.max(IDLE))
     }
 
-    fn told(&self, now: Time, name: &ClientAccount) -> AccountUse {
-        AccountUse {
+    fn told(&self, now: Time, name: &ClientAccount) -> AccountDemand {
+        AccountDemand {
             account: name.clone(),
             requests: self.asked.rate(now),
             tokens: self.asked_tokens.rate(now),
--- a/lib/src/limits/mod.rs
+++ b/lib/src/limits/mod.rs
@@ -11,6 +11,6 @@
 
 pub use bucket::Bucket;
 pub use fair::Fairness;
-pub use limiter::AccountUse;
+pub use limiter::AccountDemand;
 pub use limiter::LimitError;
 pub use limiter::Limiter;
--- a/lib/src/limits/peers.rs
+++ b/lib/src/limits/peers.rs
@@ -4,7 +4,7 @@
 use std::collections::btree_map::Iter;
 use std::iter::Peekable;
 
-use super::AccountUse;
+use super::AccountDemand;
 use super::limiter::SILENT;
 use crate::ids::ClientAccount;
 use crate::ids::NodeId;
@@ -59,7 +59,7 @@
     }
 
     /// Takes in the report of a peer, unless it is an old one.
-    pub(super) fn hear(&mut self, now: Time, peer: &NodeId, seq: u64, uses: Vec<AccountUse>) {
+    pub(super) fn hear(&mut self, now: Time, peer: &NodeId, seq: u64, uses: Vec<AccountDemand>) {
         if let Some(known) = self.peers.get(peer)
             && seq <= known.seq
             && now.since(known.heard) < SILENT
--- a/lib/src/once/gate.rs
+++ b/lib/src/once/gate.rs
@@ -2,13 +2,13 @@
 
 use derive_more::Display;
 
-use crate::lease::Held;
+use crate::lease::HeldLease;
 use crate::once::KeyError;
 use crate::once::OnceEnd;
 use crate::once::OnceKey;
 use crate::once::table::Answer;
 use crate::once::table::Entry;
-use crate::once::table::KeyRef;
+use crate::once::table::KeyId;
 use crate::once::table::KeyState;
 use crate::once::table::KeyTable;
 use crate::once::table::TableLimits;
@@ -123,15 +123,15 @@
     ///
     /// [`Verdict::Run`] enters the key into the table: end it with
     /// [`Self::end`], whatever happens, and tell the holder of the lease by
-    /// [`crate::lease::Holder::note_used`] under the same lock.
-    pub fn admit(&mut self, wall: WallTime, key: &OnceKey, held: Option<Held>) -> Verdict {
-        let name = KeyRef::from(key);
+    /// [`crate::lease::LeaseManager::record_key`] under the same lock.
+    pub fn admit(&mut self, wall: WallTime, key: &OnceKey, held: Option<HeldLease>) -> Verdict {
+        let name = KeyId::from(key);
         if let Some(entry) = self.table.get(&name) {
             return known(entry, key);
         }
         // The caller's clock may run ahead. Taken in now, the key would look
         // issued after the next owner began, which would run it again.
-        if self.guards.future && key.check_issue(wall) == Err(KeyError::Future) {
+        if self.guards.future && key.check_issue_time(wall) == Err(KeyError::Future) {
             return Verdict::NotRun(NotRun::FutureKey);
         }
         if let Err(refused) = self.vouch(key, held) {
@@ -152,7 +152,7 @@
     }
 
     /// Checks that this incarnation would know the key if it had run anywhere.
-    fn vouch(&self, key: &OnceKey, held: Option<Held>) -> Result<(), Verdict> {
+    fn vouch(&self, key: &OnceKey, held: Option<HeldLease>) -> Result<(), Verdict> {
         let Some(held) = held else {
             if self.guards.lease {
                 return Err(Verdict::NotRun(NotRun::NoLease));
@@ -176,7 +176,7 @@
     ///
     /// Returns [`NotRun::NoLease`], and forgets the key, if the lease ran out
     /// while the call waited.
-    pub fn start(&mut self, key: &OnceKey, held: Option<Held>) -> Result<(), NotRun> {
+    pub fn start(&mut self, key: &OnceKey, held: Option<HeldLease>) -> Result<(), NotRun> {
         if held.is_none() && self.guards.lease {
             self.table.end(key, OnceEnd::NotRun);
             return Err(NotRun::NoLease);
@@ -194,8 +194,8 @@
     /// Other agents of the pool are asked too when the owner answers
     /// [`Verdict::Unknown`]: a former owner that still lives has the answer.
     #[must_use]
-    pub fn ask(&self, key: &OnceKey) -> Verdict {
-        let entry = self.table.get(&KeyRef::from(key));
+    pub fn lookup(&self, key: &OnceKey) -> Verdict {
+        let entry = self.table.get(&KeyId::from(key));
         entry.map_or(Verdict::Unknown, |entry| known(entry, key))
     }
 }
--- a/lib/src/once/key.rs
+++ b/lib/src/once/key.rs
@@ -17,13 +17,13 @@
 ///
 /// A pool of plain services has a few agents, so that each owns some and a
 /// joining agent can take its share; a pool of 64 agents still has one each.
-pub const SLOTS: u16 = 64;
+pub const SLOTS_PER_POOL: u16 = 64;
 
 /// The most by which the times of day of any two hosts may differ.
 ///
 /// Keys carry their caller's time of day, and an owner compares it with its
 /// own. Hosts that follow any time source stay well within this.
-pub const SKEW: Duration = Duration::from_secs(2);
+pub const CLOCK_SKEW_MAX: Duration = Duration::from_secs(2);
 
 /// The age at which a key is refused unseen.
 ///
@@ -90,7 +90,7 @@
     #[must_use]
     pub fn slot(&self) -> KeySlot {
         let text = format!("{}/{}", self.account, self.key);
-        let hash = rapidhash_v3(text.as_bytes()) % u64::from(SLOTS);
+        let hash = rapidhash_v3(text.as_bytes()) % u64::from(SLOTS_PER_POOL);
         KeySlot(u16::try_from(hash).unwrap_or(0))
     }
 
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Returns [`KeyError::Future`] or [`KeyError::Old`].
-    pub fn check_issue(&self, wall: WallTime) -> Result<(), KeyError> {
+    pub fn check_issue_time(&self, wall: WallTime) -> Result<(), KeyError> {
         if self.issued() > after_skew(wall) {
             return Err(KeyError::Future);
         }
@@ -118,7 +118,7 @@
 
 /// Returns a time of day with the skew added.
 pub(crate) fn after_skew(wall: WallTime) -> WallTime {
-    let skew = u64::try_from(SKEW.as_millis()).unwrap_or(u64::MAX);
+    let skew = u64::try_from(CLOCK_SKEW_MAX.as_millis()).unwrap_or(u64::MAX);
     WallTime::from_millis(wall.as_millis().saturating_add(skew))
 }
 
@@ -130,13 +130,13 @@
 /// The reason why a number is no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
-#[display("a key slot is 0 to {}: look for a sender of another release", SLOTS - 1)]
+#[display("a key slot is 0 to {}: look for a sender of another release", SLOTS_PER_POOL - 1)]
 pub struct SlotError;
 
 impl KeySlot {
     /// Returns every slot of a pool.
     pub fn all() -> impl Iterator<Item = Self> {
-        (0..SLOTS).map(Self)
+        (0..SLOTS_PER_POOL).map(Self)
     }
 
     /// Returns the number.
@@ -157,7 +157,9 @@
 
     fn try_from(number: u32) -> Result<Self, SlotError> {
         let number = u16::try_from(number).map_err(|_large| SlotError)?;
-        (number < SLOTS).then_some(Self(number)).ok_or(SlotError)
+        (number < SLOTS_PER_POOL)
+            .then_some(Self(number))
+            .ok_or(SlotError)
     }
 }
 
--- a/lib/src/once/share.rs
+++ b/lib/src/once/share.rs
@@ -8,8 +8,8 @@
 
 use crate::ids::FencingNumber;
 use crate::ids::PoolName;
-use crate::lease::Holder;
 use crate::lease::LeaseHolder;
+use crate::lease::LeaseManager;
 use crate::lease::LeaseName;
 use crate::once::KeySlot;
 use crate::time::Time;
@@ -41,12 +41,16 @@
     /// Describes the share of an agent in a pool.
     #[must_use]
     pub fn new(pool: &PoolName, me: &LeaseHolder) -> Self {
-        Self::among(KeySlot::all(), pool, me)
+        Self::from_slots(KeySlot::all(), pool, me)
     }
 
     /// Describes the share of an agent in some slots of a pool.
     #[must_use]
-    pub fn among(slots: impl Iterator<Item = KeySlot>, pool: &PoolName, me: &LeaseHolder) -> Self {
+    pub fn from_slots(
+        slots: impl Iterator<Item = KeySlot>,
+        pool: &PoolName,
+        me: &LeaseHolder,
+    ) -> Self {
         // Each agent looks for free slots in an order of its own, so that
         // agents that start together seldom claim the same.
         let mut order: Vec<_> = slots.collect();
@@ -78,7 +82,7 @@
     /// Until the agent has held its seat for a moment it wants no more than
     /// that: others see the seat and make room first.
     #[must_use]
-    pub fn wanted(&mut self, holder: &Holder, now: Time) -> BTreeSet<LeaseName> {
+    pub fn wanted_leases(&mut self, holder: &LeaseManager, now: Time) -> BTreeSet<LeaseName> {
         let own: Vec<_> = self.order.iter().filter(|l| holder.has(l)).collect();
         let mut wanted = BTreeSet::from([self.seat.clone()]);
         if holder.held(now, &self.seat).is_none() {
@@ -103,13 +107,13 @@
 
     /// Tells whether the agent still waits for slots that are its due.
     #[must_use]
-    pub const fn is_short(&self) -> bool {
+    pub const fn lacks_slots(&self) -> bool {
         self.short
     }
 
     /// Returns the slots that are held at this moment, with their claims.
     #[must_use]
-    pub fn owned(&self, holder: &Holder, now: Time) -> BTreeMap<KeySlot, FencingNumber> {
+    pub fn owned(&self, holder: &LeaseManager, now: Time) -> BTreeMap<KeySlot, FencingNumber> {
         let held = self.slots.iter().filter_map(|(slot, lease)| {
             let held = holder.held(now, lease)?;
             Some((*slot, held.fence))
--- a/lib/src/once/table.rs
+++ b/lib/src/once/table.rs
@@ -13,14 +13,14 @@
 
 /// Names a key within its client account.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KeyRef {
+pub struct KeyId {
     /// The client account.
     pub account: ClientAccount,
     /// The caller's key.
     pub key: Uuid,
 }
 
-impl From<&OnceKey> for KeyRef {
+impl From<&OnceKey> for KeyId {
     fn from(key: &OnceKey) -> Self {
         Self {
             account: key.account.clone(),
@@ -101,8 +101,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct KeyTable {
     limits: TableLimits,
-    entries: BTreeMap<KeyRef, Entry>,
-    ended: BTreeSet<(WallTime, KeyRef)>,
+    entries: BTreeMap<KeyId, Entry>,
+    ended: BTreeSet<(WallTime, KeyId)>,
     bytes: u64,
     floor: Option<WallTime>,
     raises: bool,
@@ -128,7 +128,7 @@
         Bytes(self.bytes)
     }
 
-    pub(crate) fn get(&self, key: &KeyRef) -> Option<&Entry> {
+    pub(crate) fn get(&self, key: &KeyId) -> Option<&Entry> {
         self.entries.get(key)
     }
 
@@ -147,7 +147,7 @@
         true
     }
 
-    pub(crate) fn begin(&mut self, key: KeyRef, digest: Digest) {
+    pub(crate) fn begin(&mut self, key: KeyId, digest: Digest) {
         let entry = Entry {
             digest,
             state: KeyState::Running,
@@ -156,7 +156,7 @@
     }
 
     pub(crate) fn end(&mut self, key: &OnceKey, end: OnceEnd) {
-        let name = KeyRef::from(key);
+        let name = KeyId::from(key);
         let Some(entry) = self.entries.get_mut(&name) else {
             return;
         };
--- a/lib/src/retry.rs
+++ b/lib/src/retry.rs
@@ -33,7 +33,7 @@
     }
 
     /// Takes one retry out, if there is one.
-    pub fn take(&mut self, pool: &PoolName) -> bool {
+    pub fn try_spend(&mut self, pool: &PoolName) -> bool {
         match self.saved.get_mut(pool) {
             Some(saved) if *saved >= 1.0 => {
                 *saved -= 1.0;
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -89,9 +89,9 @@
     flood.account = "flood".parse().expect("a name");
     let now = world.now;
     for _ in 0..10 {
-        world.shared.fair.note(now, &flood.account, 1.0, 1.0);
+        world.shared.fair.record(now, &flood.account, 1.0, 1.0);
     }
-    world.shared.fair.note(now, &small.account, 1.0, 1.0);
+    world.shared.fair.record(now, &small.account, 1.0, 1.0);
     let refused = admit(now, &flood, &mut world.shared);
     assert_matches!(
         refused,
--- a/lib/tests/test_chain.rs
+++ b/lib/tests/test_chain.rs
@@ -126,9 +126,9 @@
         let took = Duration::from_millis(arg(case, "took").expect("took="));
         let name = "p".parse().expect("a name");
         let entry = self.world.shared.times.entry(&name, stage);
-        entry.seen(self.world.now);
+        entry.mark_seen(self.world.now);
         for _ in 0..20 {
-            entry.took.observe(took);
+            entry.elapsed.observe(took);
         }
         String::new()
     }
--- a/lib/tests/test_drain.rs
+++ b/lib/tests/test_drain.rs
@@ -12,8 +12,8 @@
 use proptest::test_runner::TestRunner;
 use snipeyoke_lib::drain::Drain;
 use snipeyoke_lib::drain::DrainAction;
+use snipeyoke_lib::drain::DrainBlockers;
 use snipeyoke_lib::drain::DrainSettings;
-use snipeyoke_lib::drain::Held;
 use snipeyoke_lib::drain::Phase;
 use snipeyoke_lib::drain::Source;
 use snipeyoke_lib::time::Time;
@@ -48,7 +48,7 @@
             Err(error) => return format!("{error}\n"),
         },
         "held" => {
-            let held = Held {
+            let held = DrainBlockers {
                 calls: count("calls"),
                 connections: count("connections"),
                 unaware: count("unaware"),
@@ -106,7 +106,7 @@
 #[derive(Default)]
 struct Node {
     now: Time,
-    held: Held,
+    held: DrainBlockers,
     said_bye: bool,
     exited: bool,
 }
@@ -115,7 +115,7 @@
     fn carry(&mut self, actions: Vec<DrainAction>) {
         for action in actions {
             match action {
-                DrainAction::Stop => self.held.unaware = 2,
+                DrainAction::RefuseWork => self.held.unaware = 2,
                 DrainAction::HandOver => {
                     assert_eq!(
                         self.held.calls, 0,
@@ -125,7 +125,7 @@
                 DrainAction::Goodbye => {
                     assert_eq!(
                         self.held,
-                        Held::default(),
+                        DrainBlockers::default(),
                         "goodbye is said while something is held"
                     );
                     self.said_bye = true;
@@ -147,7 +147,7 @@
             Op::Start => {
                 // Peers that don't know yet send on; the gate refuses those,
                 // so only a serving node takes work.
-                self.held.calls += usize::from(drain.takes_work());
+                self.held.calls += usize::from(drain.accepts_work());
                 Vec::new()
             }
             Op::Finish => {
@@ -193,9 +193,9 @@
     let check = |ops: Vec<Op>| {
         let mut drain = Drain::new(DrainSettings::default());
         let mut node = Node {
-            held: Held {
+            held: DrainBlockers {
                 leases: 2,
-                ..Held::default()
+                ..DrainBlockers::default()
             },
             ..Node::default()
         };
--- a/lib/tests/test_limits.rs
+++ b/lib/tests/test_limits.rs
@@ -11,7 +11,7 @@
 use snipeyoke_lib::config::Limits;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::NodeId;
-use snipeyoke_lib::limits::AccountUse;
+use snipeyoke_lib::limits::AccountDemand;
 use snipeyoke_lib::limits::LimitError;
 use snipeyoke_lib::limits::Limiter;
 use snipeyoke_lib::time::Time;
@@ -54,13 +54,13 @@
     }
 }
 
-fn tell(routers: &mut [Limiter], now: Time, seq: u64) -> Vec<Vec<AccountUse>> {
+fn tell(routers: &mut [Limiter], now: Time, seq: u64) -> Vec<Vec<AccountDemand>> {
     let reports: Vec<_> = routers.iter_mut().map(|r| r.tick(now)).collect();
     for (from, uses) in reports.iter().enumerate() {
         let name: NodeId = format!("router-{from}").parse().expect("a name");
         for (to, router) in routers.iter_mut().enumerate() {
             if to != from {
-                router.on_peer(now, &name, seq, uses.clone());
+                router.on_report(now, &name, seq, uses.clone());
             }
         }
     }
@@ -69,8 +69,8 @@
 
 impl Site {
     fn new(count: usize) -> Self {
-        let mut router = Limiter::begin(Time::ZERO, count);
-        router.set(Time::ZERO, &limits(1_000_000));
+        let mut router = Limiter::new(Time::ZERO, count);
+        router.set_accounts(Time::ZERO, &limits(1_000_000));
         Self {
             routers: vec![router; count],
             sides: vec![0; count],
@@ -114,7 +114,7 @@
             let name: NodeId = format!("router-{from}").parse().expect("a name");
             for to in 0..self.routers.len() {
                 if to != from && self.sides[to] == self.sides[from] {
-                    self.routers[to].on_peer(self.now, &name, self.steps, uses.clone());
+                    self.routers[to].on_report(self.now, &name, self.steps, uses.clone());
                 }
             }
         }
@@ -162,8 +162,8 @@
         .map(|n| format!("account-{n:04}").parse().expect("a name"))
         .collect();
     let accounts = names.iter().map(|n| (n.clone(), with(100))).collect();
-    let mut router = Limiter::begin(Time::ZERO, 20);
-    router.set(Time::ZERO, &accounts);
+    let mut router = Limiter::new(Time::ZERO, 20);
+    router.set_accounts(Time::ZERO, &accounts);
     let mut routers = vec![router; 20];
     let mut rng = Pcg32::new(7, 20);
     let now = Time::from_millis(500);
@@ -191,7 +191,7 @@
 #[test]
 fn concurrency_counts_what_is_in_flight() {
     let mut router = Limiter::default();
-    router.set(Time::ZERO, &limits(2));
+    router.set_accounts(Time::ZERO, &limits(2));
     let ask = |router: &mut Limiter| router.admit(Time::ZERO, &account(), Tokens(1));
     assert_matches!(ask(&mut router), Ok(()));
     assert_matches!(ask(&mut router), Ok(()));
@@ -203,7 +203,7 @@
 #[test]
 fn tokens_beyond_the_expected_are_paid_for_afterwards() {
     let mut router = Limiter::default();
-    router.set(Time::ZERO, &limits(100));
+    router.set_accounts(Time::ZERO, &limits(100));
     router
         .admit(Time::ZERO, &account(), Tokens(10))
         .expect("room");
--- a/lib/testutils/src/world/agent.rs
+++ b/lib/testutils/src/world/agent.rs
@@ -6,9 +6,9 @@
 use snipeyoke_lib::ids::Incarnation;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::ids::PoolName;
-use snipeyoke_lib::lease::Held;
-use snipeyoke_lib::lease::Holder;
+use snipeyoke_lib::lease::HeldLease;
 use snipeyoke_lib::lease::LeaseHolder;
+use snipeyoke_lib::lease::LeaseManager;
 use snipeyoke_lib::lease::LeaseTerm;
 use snipeyoke_lib::once::KeySlot;
 use snipeyoke_lib::once::OnceGate;
@@ -46,7 +46,7 @@
     /// Whether a read is under way.
     pub reading: bool,
     /// Its leases.
-    pub holder: Holder,
+    pub holder: LeaseManager,
     /// Its gate.
     pub gate: OnceGate,
     share: SlotShare,
@@ -77,8 +77,8 @@
             cut: 0,
             leaving: false,
             reading: false,
-            share: SlotShare::among(slots(), &pool(), &me),
-            holder: Holder::with_guards(me, term, from, index, guards.lease),
+            share: SlotShare::from_slots(slots(), &pool(), &me),
+            holder: LeaseManager::with_guards(me, term, from, index, guards.lease),
             gate: OnceGate::with_guards(limits, guards.once),
             index,
         }
@@ -98,7 +98,7 @@
 
     /// Returns the lease of a key's slot, if it is held.
     #[must_use]
-    pub fn held(&self, real: u64, key: &OnceKey) -> Option<Held> {
+    pub fn held(&self, real: u64, key: &OnceKey) -> Option<HeldLease> {
         self.holder
             .held(self.clock(real), &key.slot().lease(&pool()))
     }
@@ -108,9 +108,9 @@
         let wanted = if self.leaving {
             BTreeSet::new()
         } else {
-            self.share.wanted(&self.holder, self.clock(real))
+            self.share.wanted_leases(&self.holder, self.clock(real))
         };
-        self.holder.want(wanted);
+        self.holder.set_wanted(wanted);
     }
 }
 
--- a/lib/testutils/src/world/mod.rs
+++ b/lib/testutils/src/world/mod.rs
@@ -298,7 +298,7 @@
             Event::AppendAnswer(index, inc, id, end) => {
                 if !self.stale(index, inc) {
                     let now = self.agents[index].clock(self.now);
-                    self.agents[index].holder.answered(now, id, &end);
+                    self.agents[index].holder.on_append_end(now, id, &end);
                 }
             }
             Event::ReadArrives(index, inc, from) => self.read_arrives(index, inc, from),
@@ -387,10 +387,10 @@
         match records {
             Some(records) => {
                 for (offset, record) in records {
-                    agent.holder.read(now, offset, Some(&record));
+                    agent.holder.apply(now, offset, Some(&record));
                 }
             }
-            None => agent.holder.behind(first),
+            None => agent.holder.reset(first),
         }
         self.check_leases();
     }
@@ -412,7 +412,7 @@
         match verdict {
             Verdict::Run => {
                 let lease = key.slot().lease(&pool());
-                agent.holder.note_used(&lease, key.issued());
+                agent.holder.record_key(&lease, key.issued());
                 let delay = self.delay();
                 self.after(delay, Event::Start(index, inc, caller, number));
             }
--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -14,7 +14,7 @@
 use snipeyoke_lib::chain::Spec;
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::ids::NodeId;
-use snipeyoke_lib::limits::AccountUse;
+use snipeyoke_lib::limits::AccountDemand;
 use snipeyoke_lib::limits::Limiter;
 use snipeyoke_lib::outcome::Reason;
 use snipeyoke_lib::time::Time;
@@ -39,13 +39,13 @@
     /// Begins at a router among `routers` in all.
     pub(crate) const fn new(now: Time, routers: usize) -> Self {
         Self {
-            limiter: Mutex::new(Limiter::begin(now, routers)),
+            limiter: Mutex::new(Limiter::new(now, routers)),
         }
     }
 
     /// Takes over the accounts of the configuration in force.
     pub(crate) fn set(&self, now: Time, config: &Config) {
-        self.limiter().set(now, &config.accounts);
+        self.limiter().set_accounts(now, &config.accounts);
     }
 
     /// Takes a request on, or says why not and when to come back.
@@ -70,7 +70,7 @@
     /// Takes in what another router is asked for.
     pub(crate) fn on_usage(&self, now: Time, peer: &NodeId, usage: &Usage) {
         let uses = usage.accounts.iter().filter_map(heard).collect();
-        self.limiter().on_peer(now, peer, usage.seq, uses);
+        self.limiter().on_report(now, peer, usage.seq, uses);
     }
 
     /// Notes the end of a request that was taken on.
@@ -105,7 +105,7 @@
     }
 }
 
-fn told(own: &AccountUse) -> AccountUsage {
+fn told(own: &AccountDemand) -> AccountUsage {
     AccountUsage {
         account: own.account.to_string(),
         requests: own.requests,
@@ -116,10 +116,10 @@
 
 // A peer of another release, or a broken one, may tell of names or numbers that
 // no router can have; one of these in the sum would void the share of all.
-fn heard(theirs: &AccountUsage) -> Option<AccountUse> {
+fn heard(theirs: &AccountUsage) -> Option<AccountDemand> {
     let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
     let account = theirs.account.parse().ok()?;
-    (sound(theirs.requests) && sound(theirs.tokens)).then_some(AccountUse {
+    (sound(theirs.requests) && sound(theirs.tokens)).then_some(AccountDemand {
         account,
         requests: theirs.requests,
         tokens: theirs.tokens,
--- a/router/src/door/intake.rs
+++ b/router/src/door/intake.rs
@@ -161,7 +161,8 @@
             key: lib::OnceKey::parse(text.trim().trim_matches('"')).map_err(DoorError::Key)?,
             digest: Sha256::digest(body).into(),
         };
-        key.check_issue(Clock::wall()).map_err(DoorError::Key)?;
+        key.check_issue_time(Clock::wall())
+            .map_err(DoorError::Key)?;
         let slot = key.slot();
         let key = OnceKey {
             key: Bytes::copy_from_slice(key.key.as_bytes()),
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -17,8 +17,8 @@
 use snipeyoke_lib::chain::Spec;
 use snipeyoke_lib::drain::Drain;
 use snipeyoke_lib::drain::DrainAction;
+use snipeyoke_lib::drain::DrainBlockers;
 use snipeyoke_lib::drain::DrainSettings;
-use snipeyoke_lib::drain::Held;
 use snipeyoke_lib::drain::Phase;
 use snipeyoke_lib::drain::Source;
 use snipeyoke_lib::ids::EndpointId;
@@ -287,9 +287,9 @@
         while drain.phase() != Phase::Done {
             self.carry(&actions);
             Timer::after(DRAIN_LOOK).await;
-            let held = Held {
+            let held = DrainBlockers {
                 calls: self.node.in_flight(),
-                ..Held::default()
+                ..DrainBlockers::default()
             };
             actions = drain.update(self.node.clock.now(), held);
         }
@@ -300,7 +300,7 @@
     fn carry(&self, actions: &[DrainAction]) {
         for action in actions {
             match action {
-                DrainAction::Stop => self.node.board.drain.set(),
+                DrainAction::RefuseWork => self.node.board.drain.set(),
                 DrainAction::Goodbye => {
                     let incarnation = self.node.incarnation.0;
                     let reason = "drain".to_owned();
