--- a/agent/src/node.rs
+++ b/agent/src/node.rs
@@ -323,7 +323,7 @@
         while drain.phase() != Phase::Done {
             for action in &actions {
                 match action {
-                    DrainAction::RefuseWork => told = self.refuse_new(),
+                    DrainAction::Stop => told = self.refuse_new(),
                     // Only now: a successor may run a key at once after the
                     // release.
                     DrainAction::HandOver => self.hand_over().await,
--- a/agent/src/owner.rs
+++ b/agent/src/owner.rs
@@ -178,7 +178,7 @@
 
     /// Refuses new keys; those in the table are still answered.
     pub(crate) fn drain(&self) {
-        self.state().gate.drain(true);
+        self.state().gate.set_draining(true);
     }
 
     /// Gives the slots up, once nothing runs any more.
@@ -233,7 +233,7 @@
     fn is_empty(&self) -> bool {
         let state = self.state();
         let now = self.clock.now();
-        !state.holder.is_waiting() && state.holder.all_held(now).next().is_none()
+        !state.holder.has_append_in_flight() && state.holder.all_held(now).next().is_none()
     }
 
     fn due(&self) -> Option<Record> {
@@ -297,7 +297,7 @@
         let state = self.state();
         let now = self.clock.now();
         let starting = now < Time::ZERO + START;
-        let waiting = state.holder.is_waiting() || !state.holder.is_complete(now);
+        let waiting = state.holder.has_append_in_flight() || !state.holder.is_complete(now);
         starting || waiting || state.share.lacks_slots()
     }
 }
--- a/lib/examples/capacity.rs
+++ b/lib/examples/capacity.rs
@@ -352,8 +352,8 @@
     let mut gate = OnceGate::new(limits);
     let held = HeldLease {
         fence: FencingNumber(1),
-        before: WallTime::from_millis(1),
-        until: Time::NEVER,
+        issue_floor: WallTime::from_millis(1),
+        expires_at: Time::NEVER,
     };
     let started = Instant::now();
     for n in 0..count as u64 {
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -14,13 +14,13 @@
 /// predicted (docs/BENCHMARKS.md). Held to the time left, every request that
 /// would just fit is refused; those that don't fit after all are given up by
 /// the chain before they cost a generation.
-const FILL: f64 = 1.25;
+const TIME_FACTOR: f64 = 1.25;
 
 /// The least time that a refused caller is asked to stay away.
-const AFTER_MIN: Duration = Duration::from_millis(500);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 
 /// The longest time that a refused caller is asked to stay away.
-const AFTER_MAX: Duration = Duration::from_secs(10);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
 
 /// A refusal before anything ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,19 +44,19 @@
 pub fn admit(now: Time, spec: &Spec, shared: &mut Shared) -> Result<Duration, Refusal> {
     let mut total = 0.0;
     for index in 0..spec.pipeline.stages.len() {
-        let best = best(now, spec, index, shared).ok_or(Refusal {
+        let predicted = predict_stage(now, spec, index, shared).ok_or(Refusal {
             reason: Reason::NoEndpoint,
-            retry_after: AFTER_MIN * 2,
+            retry_after: RETRY_AFTER_MIN * 2,
         })?;
-        total += f64::from(best);
+        total += f64::from(predicted);
     }
-    let left = spec.deadline.since(now).as_secs_f64();
-    let allowed = left * FILL * shared.fair.budget_fraction(now, &spec.account);
+    let remaining = spec.deadline.since(now).as_secs_f64();
+    let allowed = remaining * TIME_FACTOR * shared.fair.budget_fraction(now, &spec.account);
     if total > allowed {
-        let missing = Duration::try_from_secs_f64(total - allowed).unwrap_or(AFTER_MAX);
+        let excess = Duration::try_from_secs_f64(total - allowed).unwrap_or(RETRY_AFTER_MAX);
         return Err(Refusal {
             reason: Reason::Overload,
-            retry_after: missing.clamp(AFTER_MIN, AFTER_MAX),
+            retry_after: excess.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX),
         });
     }
     let share = shared.share(&spec.account);
@@ -64,7 +64,7 @@
     Ok(Duration::try_from_secs_f64(total).unwrap_or_default())
 }
 
-fn best(now: Time, spec: &Spec, index: usize, shared: &mut Shared) -> Option<f32> {
+fn predict_stage(now: Time, spec: &Spec, index: usize, shared: &mut Shared) -> Option<f32> {
     let pool = shared.fleet.pool_mut(&spec.pipeline.stages[index].pool)?;
     let need = stage_need(spec, index, 0, &shared.times, pool)?;
     pool.best(now, &need)
--- a/lib/src/deadline.rs
+++ b/lib/src/deadline.rs
@@ -8,34 +8,34 @@
 use crate::time::Time;
 
 /// The buckets of a histogram.
-const BUCKETS: usize = 128;
+const BUCKET_COUNT: usize = 128;
 
 /// The lower end of the first bucket, in seconds.
-const FIRST: f32 = 0.000_5;
+const FIRST_BUCKET_SECS: f32 = 0.000_5;
 
 /// The ratio between two buckets; all of them reach past the longest deadline.
-const GROWTH: f32 = 1.12;
+const BUCKET_RATIO: f32 = 1.12;
 
 /// The observations after which old ones weigh half as much.
-const MEMORY: f32 = 500.0;
+const FADE_COUNT: f32 = 500.0;
 
 /// The age after which the times of a stage say nothing any more.
-const STALE: Duration = Duration::from_secs(10);
+const STALE_AGE: Duration = Duration::from_secs(10);
 
 /// The observations below which a histogram says nothing.
-const TRUSTED: f32 = 8.0;
+const MIN_COUNT: f32 = 8.0;
 
 /// A histogram of durations in which old observations fade.
 #[derive(Debug, Clone)]
 pub struct Quantiles {
-    counts: [f32; BUCKETS],
+    counts: [f32; BUCKET_COUNT],
     total: f32,
 }
 
 impl Default for Quantiles {
     fn default() -> Self {
         Self {
-            counts: [0.0; BUCKETS],
+            counts: [0.0; BUCKET_COUNT],
             total: 0.0,
         }
     }
@@ -43,18 +43,18 @@
 
 impl Quantiles {
     /// Adds an observation.
-    pub fn observe(&mut self, took: Duration) {
-        if self.total >= MEMORY {
-            self.fade();
+    pub fn observe(&mut self, elapsed: Duration) {
+        if self.total >= FADE_COUNT {
+            self.halve();
         }
-        let steps = (took.as_secs_f32() / FIRST).max(1.0).ln() / GROWTH.ln();
-        let index = (steps as usize).min(BUCKETS - 1);
+        let steps = (elapsed.as_secs_f32() / FIRST_BUCKET_SECS).max(1.0).ln() / BUCKET_RATIO.ln();
+        let index = (steps as usize).min(BUCKET_COUNT - 1);
         self.counts[index] += 1.0;
         self.total += 1.0;
     }
 
     // Halving now and then costs less than a decay on each observation.
-    fn fade(&mut self) {
+    fn halve(&mut self) {
         for count in &mut self.counts {
             *count *= 0.5;
         }
@@ -65,19 +65,19 @@
     ///
     /// Returns `None` while there are too few of them.
     #[must_use]
-    pub fn quantile(&self, part: f32) -> Option<Duration> {
-        if self.total < TRUSTED {
+    pub fn quantile(&self, fraction: f32) -> Option<Duration> {
+        if self.total < MIN_COUNT {
             return None;
         }
-        let wanted = part * self.total;
-        let mut seen = 0.0;
-        let mut middle = FIRST * GROWTH.sqrt();
+        let rank = fraction * self.total;
+        let mut cumulative = 0.0;
+        let mut midpoint = FIRST_BUCKET_SECS * BUCKET_RATIO.sqrt();
         for &count in &self.counts {
-            seen += count;
-            if seen >= wanted && count > 0.0 {
-                return Some(Duration::from_secs_f32(middle));
+            cumulative += count;
+            if cumulative >= rank && count > 0.0 {
+                return Some(Duration::from_secs_f32(midpoint));
             }
-            middle *= GROWTH;
+            midpoint *= BUCKET_RATIO;
         }
         None
     }
@@ -90,28 +90,28 @@
     pub elapsed: Quantiles,
     /// The time to the first token, or to the answer where there are none.
     pub first_token: Quantiles,
-    output: Option<f32>,
-    seen: Time,
+    output_tokens: Option<f32>,
+    last_seen: Time,
 }
 
 impl StageTime {
     /// Notes that a stage was done now.
     pub const fn mark_seen(&mut self, now: Time) {
-        self.seen = now;
+        self.last_seen = now;
     }
 
     /// Returns the usual number of output tokens, if any were seen.
     #[must_use]
     pub const fn output_tokens(&self) -> Option<f32> {
-        self.output
+        self.output_tokens
     }
 
     /// Notes the output tokens of an answer.
     pub fn observe_output(&mut self, tokens: u32) {
         const WEIGHT: f32 = 0.05;
         let tokens = tokens as f32;
-        let known = self.output.unwrap_or(tokens);
-        self.output = Some(known + WEIGHT * (tokens - known));
+        let known = self.output_tokens.unwrap_or(tokens);
+        self.output_tokens = Some(known + WEIGHT * (tokens - known));
     }
 }
 
@@ -153,14 +153,14 @@
         now: Time,
         pipeline: &PipelineName,
         stages: Range<usize>,
-        part: f32,
+        fraction: f32,
     ) -> Duration {
         let known = |stage| {
             let known = self.get(pipeline, stage)?;
-            if now.since(known.seen) > STALE {
+            if now.since(known.last_seen) > STALE_AGE {
                 return None;
             }
-            known.elapsed.quantile(part)
+            known.elapsed.quantile(fraction)
         };
         stages.filter_map(known).sum()
     }
--- a/lib/src/drain.rs
+++ b/lib/src/drain.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
     /// Refuse new work as not run, and tell peers, balancer and callers so.
-    RefuseWork,
+    Stop,
     /// Take new work again, and tell so.
     Resume,
     /// Move what runs and can be resumed elsewhere; never cut it.
@@ -157,10 +157,10 @@
     /// Who asked, and whether the process is to leave for it.
     sources: BTreeMap<Source, bool>,
     phase: Phase,
-    held: DrainBlockers,
-    began: Time,
+    blockers: DrainBlockers,
+    started_at: Time,
     moved: bool,
-    report_due: Time,
+    next_report: Time,
     linger_end: Time,
 }
 
@@ -172,10 +172,10 @@
             settings,
             sources: BTreeMap::new(),
             phase: Phase::Serving,
-            held: DrainBlockers::default(),
-            began: Time::ZERO,
+            blockers: DrainBlockers::default(),
+            started_at: Time::ZERO,
             moved: false,
-            report_due: Time::NEVER,
+            next_report: Time::NEVER,
             linger_end: Time::NEVER,
         }
     }
@@ -191,14 +191,14 @@
         self.sources.keys().copied()
     }
 
-    fn leaves(&self) -> bool {
-        self.sources.values().any(|l| *l)
+    fn should_exit(&self) -> bool {
+        self.sources.values().any(|leave| *leave)
     }
 
     /// Returns what was last known to be held.
     #[must_use]
-    pub const fn held(&self) -> DrainBlockers {
-        self.held
+    pub const fn blockers(&self) -> DrainBlockers {
+        self.blockers
     }
 
     /// Tells whether new work is taken.
@@ -212,20 +212,20 @@
     /// A second call, such as a second SIGTERM, starts nothing anew and cuts
     /// nothing: the next update reports what holds the drain.
     pub fn begin(&mut self, now: Time, source: Source, leave: bool) -> Vec<DrainAction> {
-        let rested = self.phase == Phase::Done && !self.leaves();
+        let was_done = self.phase == Phase::Done && !self.should_exit();
         *self.sources.entry(source).or_default() |= leave;
-        if rested && leave {
+        if was_done && leave {
             return vec![DrainAction::Goodbye, DrainAction::Exit];
         }
         if self.phase != Phase::Serving {
-            self.report_due = now;
+            self.next_report = now;
             return Vec::new();
         }
         self.phase = Phase::Draining;
-        self.began = now;
+        self.started_at = now;
         self.moved = false;
-        self.report_due = now + self.settings.deadline;
-        vec![DrainAction::RefuseWork]
+        self.next_report = now + self.settings.deadline;
+        vec![DrainAction::Stop]
     }
 
     /// Withdraws one source's wish; service resumes when no other is left.
@@ -239,7 +239,7 @@
         match self.phase {
             Phase::Serving => return Err(DrainError::NotDraining),
             // Goodbye was said: peers have forgotten this life.
-            Phase::Done if self.leaves() => return Err(DrainError::TooLate),
+            Phase::Done if self.should_exit() => return Err(DrainError::TooLate),
             _ => {}
         }
         if source == Source::Operator {
@@ -250,14 +250,14 @@
             return Ok(Vec::new());
         }
         self.phase = Phase::Serving;
-        self.report_due = Time::NEVER;
+        self.next_report = Time::NEVER;
         self.linger_end = Time::NEVER;
         Ok(vec![DrainAction::Resume])
     }
 
     /// Takes in what is held now and moves on as far as that allows.
-    pub fn update(&mut self, now: Time, held: DrainBlockers) -> Vec<DrainAction> {
-        self.held = held;
+    pub fn update(&mut self, now: Time, blockers: DrainBlockers) -> Vec<DrainAction> {
+        self.blockers = blockers;
         self.step(now)
     }
 
@@ -270,9 +270,9 @@
         let moving = if self.moved {
             Time::NEVER
         } else {
-            self.began + self.settings.move_after
+            self.started_at + self.settings.move_after
         };
-        self.report_due.min(self.linger_end).min(moving)
+        self.next_report.min(self.linger_end).min(moving)
     }
 
     fn step(&mut self, now: Time) -> Vec<DrainAction> {
@@ -280,7 +280,7 @@
         if self.phase == Phase::Draining {
             self.drain(now, &mut out);
         }
-        if self.phase == Phase::HandingOver && !self.held.has_leases() {
+        if self.phase == Phase::HandingOver && !self.blockers.has_leases() {
             self.phase = Phase::Lingering;
             self.linger_end = now + self.settings.linger;
         }
@@ -288,7 +288,7 @@
             self.linger(now, &mut out);
         }
         let waiting = !matches!(self.phase, Phase::Serving | Phase::Done);
-        if waiting && now >= self.report_due {
+        if waiting && now >= self.next_report {
             out.push(self.report(now));
         }
         out
@@ -297,12 +297,12 @@
     fn drain(&mut self, now: Time, out: &mut Vec<DrainAction>) {
         // A key slot may go only when no call under it runs: its next owner
         // would otherwise answer for a key whose effect is still under way.
-        if !self.held.has_work() {
+        if !self.blockers.has_work() {
             self.phase = Phase::HandingOver;
             out.push(DrainAction::HandOver);
             return;
         }
-        if !self.moved && now.since(self.began) >= self.settings.move_after {
+        if !self.moved && now.since(self.started_at) >= self.settings.move_after {
             self.moved = true;
             out.push(DrainAction::Move);
         }
@@ -311,20 +311,20 @@
     fn linger(&mut self, now: Time, out: &mut Vec<DrainAction>) {
         // A peer may have sent before it knew; leaving now would turn its call
         // into an unknown, staying makes it a refusal with proof.
-        if self.held.has_work() || now < self.linger_end {
+        if self.blockers.has_work() || now < self.linger_end {
             return;
         }
         self.phase = Phase::Done;
-        if self.leaves() {
+        if self.should_exit() {
             out.extend([DrainAction::Goodbye, DrainAction::Exit]);
         }
     }
 
     fn report(&mut self, now: Time) -> DrainAction {
-        self.report_due = now + self.settings.report_every;
+        self.next_report = now + self.settings.report_every;
         DrainAction::Report {
-            held: self.held,
-            overdue: now.since(self.began) >= self.settings.deadline,
+            held: self.blockers,
+            overdue: now.since(self.started_at) >= self.settings.deadline,
         }
     }
 }
--- a/lib/src/lease/fold.rs
+++ b/lib/src/lease/fold.rs
@@ -10,12 +10,12 @@
 use crate::lease::LeaseName;
 use crate::lease::LeaseRecord;
 use crate::lease::LeaseRelease;
-use crate::lease::record::wait_for;
+use crate::lease::record::takeover_wait;
 use crate::time::Time;
 use crate::time::WallTime;
 
 /// How long a lease that ran out is remembered.
-const MEMORY: Duration = Duration::from_hours(1);
+const EXPIRED_RETENTION: Duration = Duration::from_hours(1);
 
 /// Who holds a lease, by the log's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,10 +29,10 @@
 #[derive(Debug, Clone)]
 struct LeaseState {
     tenure: Option<Tenure>,
-    newest: Offset,
+    last_offset: Offset,
     free_at: Time,
     /// What the last holder said when it gave the lease up.
-    used: Option<WallTime>,
+    newest_issue: Option<WallTime>,
 }
 
 /// The leases as far as one reader knows them.
@@ -45,8 +45,8 @@
     start: Offset,
     next: Offset,
     leases: BTreeMap<LeaseName, LeaseState>,
-    swept: Time,
-    forgot: bool,
+    swept_at: Time,
+    swept_any: bool,
 }
 
 impl LeaseFold {
@@ -57,8 +57,8 @@
             start,
             next: start,
             leases: BTreeMap::new(),
-            swept: Time::ZERO,
-            forgot: false,
+            swept_at: Time::ZERO,
+            swept_any: false,
         }
     }
 
@@ -88,19 +88,19 @@
     /// Known only to a reader who has seen the log from its first record on.
     #[must_use]
     pub fn is_new(&self, lease: &LeaseName) -> bool {
-        self.start == Offset(0) && !self.forgot && !self.leases.contains_key(lease)
+        self.start == Offset(0) && !self.swept_any && !self.leases.contains_key(lease)
     }
 
     /// Returns the newest issue of a key under a lease that was given up.
     ///
     /// `None` if the lease is held, ran out, or was never held.
     #[must_use]
-    pub fn used(&self, lease: &LeaseName) -> Option<WallTime> {
-        self.leases.get(lease)?.used
+    pub fn newest_issue(&self, lease: &LeaseName) -> Option<WallTime> {
+        self.leases.get(lease)?.newest_issue
     }
 
     /// Returns the leases under a prefix that are not free.
-    pub fn taken<'a>(
+    pub fn occupied<'a>(
         &'a self,
         prefix: &'a str,
         now: Time,
@@ -109,8 +109,8 @@
             .leases
             .iter()
             .filter(move |(l, _)| l.as_str().starts_with(prefix));
-        let taken = named.filter(move |(_, s)| s.free_at > now);
-        taken.map(|(lease, state)| (lease, state.tenure.as_ref()))
+        let occupied = named.filter(move |(_, s)| s.free_at > now);
+        occupied.map(|(lease, state)| (lease, state.tenure.as_ref()))
     }
 
     /// Applies what was read at an offset; `None` for a record of another kind.
@@ -127,7 +127,7 @@
                 leases,
                 term_ms,
             }) => {
-                let free_at = now + wait_for(Duration::from_millis(*term_ms));
+                let free_at = now + takeover_wait(Duration::from_millis(*term_ms));
                 for claimed in leases {
                     self.claim(offset, holder, claimed, free_at);
                 }
@@ -135,7 +135,7 @@
             Some(LeaseRecord::Renew {
                 leases, term_ms, ..
             }) => {
-                let free_at = now + wait_for(Duration::from_millis(*term_ms));
+                let free_at = now + takeover_wait(Duration::from_millis(*term_ms));
                 for hold in leases {
                     self.touch(&hold.lease, offset, free_at);
                 }
@@ -147,21 +147,21 @@
             }
             None => {}
         }
-        self.forget(now);
+        self.sweep(now);
         true
     }
 
     fn claim(&mut self, offset: Offset, holder: &LeaseHolder, claimed: &LeaseClaim, free_at: Time) {
-        let newest = self.leases.get(&claimed.lease).map(|s| s.newest);
-        let known = claimed.after >= self.start;
-        let won = known && newest.is_none_or(|n| n < claimed.after);
+        let last_offset = self.leases.get(&claimed.lease).map(|s| s.last_offset);
+        let is_known = claimed.after >= self.start;
+        let won = is_known && last_offset.is_none_or(|n| n < claimed.after);
         let state = self.touch(&claimed.lease, offset, free_at);
         if won {
             state.tenure = Some(Tenure {
                 holder: holder.clone(),
                 fence: FencingNumber(offset.0),
             });
-        } else if !known {
+        } else if !is_known {
             state.tenure = None;
         }
     }
@@ -174,12 +174,12 @@
     fn touch(&mut self, lease: &LeaseName, offset: Offset, free_at: Time) -> &mut LeaseState {
         let state = self.leases.entry(lease.clone()).or_insert(LeaseState {
             tenure: None,
-            newest: offset,
+            last_offset: offset,
             free_at,
-            used: None,
+            newest_issue: None,
         });
-        state.newest = offset;
-        state.used = None;
+        state.last_offset = offset;
+        state.newest_issue = None;
         state.free_at = state.free_at.max(free_at);
         state
     }
@@ -194,15 +194,16 @@
         {
             state.tenure = None;
             state.free_at = Time::ZERO;
-            state.used = Some(released.used);
+            state.newest_issue = Some(released.used);
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        if now.since(self.swept) > MEMORY {
-            self.swept = now;
-            self.forgot = true;
-            self.leases.retain(|_, state| state.free_at + MEMORY > now);
+    fn sweep(&mut self, now: Time) {
+        if now.since(self.swept_at) > EXPIRED_RETENTION {
+            self.swept_at = now;
+            self.swept_any = true;
+            self.leases
+                .retain(|_, state| state.free_at + EXPIRED_RETENTION > now);
         }
     }
 }
--- a/lib/src/lease/manager.rs
+++ b/lib/src/lease/manager.rs
@@ -19,10 +19,10 @@
 use crate::time::WallTime;
 
 /// Renewals that fit in one term: two may fail before the lease runs out.
-pub(super) const RENEWALS: u32 = 3;
+pub(super) const RENEWALS_PER_TERM: u32 = 3;
 
 /// The records under way that are remembered until they are read back.
-const SENT_MAX: usize = 16;
+const TRACKED_APPENDS_MAX: usize = 16;
 
 /// Safeguards of a holder, all on but in tests that show their worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,17 +57,17 @@
     /// The fencing number: the offset of the claim.
     pub fence: FencingNumber,
     /// No key issued later can have been taken in by an earlier holder.
-    pub before: WallTime,
+    pub issue_floor: WallTime,
     /// When the lease runs out on this process's clock.
-    pub until: Time,
+    pub expires_at: Time,
 }
 
 #[derive(Debug, Clone)]
-struct Sent {
+struct SentRecord {
     record: LeaseRecord,
-    at: Time,
-    /// For each lease of a claim, what [`HeldLease::before`] will be.
-    before: BTreeMap<LeaseName, WallTime>,
+    sent_at: Time,
+    /// For each lease of a claim, what [`HeldLease::issue_floor`] will be.
+    issue_floors: BTreeMap<LeaseName, WallTime>,
 }
 
 /// The leases of one incarnation of a process.
@@ -80,11 +80,11 @@
     pub(super) wanted: BTreeSet<LeaseName>,
     pub(super) held: BTreeMap<LeaseName, HeldLease>,
     /// The newest issue of a key taken in under each lease held.
-    pub(super) used: BTreeMap<LeaseName, WallTime>,
-    sent: BTreeMap<RecordId, Sent>,
-    flying: Option<RecordId>,
-    pub(super) renewed: Time,
-    resume: Time,
+    pub(super) newest_issues: BTreeMap<LeaseName, WallTime>,
+    sent: BTreeMap<RecordId, SentRecord>,
+    in_flight: Option<RecordId>,
+    pub(super) renewed_at: Time,
+    retry_at: Time,
     backoff: Backoff,
 }
 
@@ -111,11 +111,11 @@
             fold: LeaseFold::new(start),
             wanted: BTreeSet::new(),
             held: BTreeMap::new(),
-            used: BTreeMap::new(),
+            newest_issues: BTreeMap::new(),
             sent: BTreeMap::new(),
-            flying: None,
-            renewed: Time::ZERO,
-            resume: Time::ZERO,
+            in_flight: None,
+            renewed_at: Time::ZERO,
+            retry_at: Time::ZERO,
             backoff: Backoff::new(seed),
         }
     }
@@ -149,7 +149,7 @@
     pub fn held(&self, now: Time, lease: &LeaseName) -> Option<HeldLease> {
         let held = self.held.get(lease)?;
         let wanted = self.wanted.contains(lease);
-        let valid = now < held.until || !self.guards.expiry;
+        let valid = now < held.expires_at || !self.guards.expiry;
         (wanted && valid).then_some(*held)
     }
 
@@ -176,7 +176,7 @@
         }
         self.drop_lost();
         if let Some(record) = record {
-            self.read_own(now, record.id);
+            self.apply_own(now, record.id);
         }
     }
 
@@ -188,7 +188,7 @@
         self.fold = LeaseFold::new(first);
         self.held.clear();
         self.sent.clear();
-        self.flying = None;
+        self.in_flight = None;
     }
 
     fn drop_lost(&mut self) {
@@ -199,58 +199,68 @@
         });
     }
 
-    fn read_own(&mut self, now: Time, id: RecordId) {
+    fn apply_own(&mut self, now: Time, id: RecordId) {
         let Some(sent) = self.sent.remove(&id) else {
             return;
         };
-        if self.flying == Some(id) {
-            self.flying = None;
+        if self.in_flight == Some(id) {
+            self.in_flight = None;
             self.backoff.succeeded();
-            self.resume = now;
+            self.retry_at = now;
         }
-        self.take(now, &sent, Offset(self.fold.next().0 - 1));
+        self.apply_sent(now, &sent, Offset(self.fold.next().0 - 1));
     }
 
-    fn take(&mut self, now: Time, sent: &Sent, offset: Offset) {
+    fn apply_sent(&mut self, now: Time, sent: &SentRecord, offset: Offset) {
         // The term counts from before the send: the record may have stood in
         // the log, and a successor may have begun to wait, long before the
         // answer or the read came back to a holder that was paused.
-        let from = if self.guards.from_send { sent.at } else { now };
-        let until = from + self.term.term();
+        let start = if self.guards.from_send {
+            sent.sent_at
+        } else {
+            now
+        };
+        let expires_at = start + self.term.term();
         match &sent.record {
             LeaseRecord::Claim { leases, .. } => {
                 if self.held.is_empty() {
-                    self.renewed = sent.at;
+                    self.renewed_at = sent.sent_at;
                 }
                 for claimed in leases {
-                    self.take_claimed(&claimed.lease, sent, offset, until);
+                    self.apply_claim(&claimed.lease, sent, offset, expires_at);
                 }
             }
             LeaseRecord::Renew { leases, .. } => {
                 for hold in leases {
                     let held = self.held.get_mut(&hold.lease);
                     if let Some(held) = held.filter(|h| h.fence == hold.fence) {
-                        held.until = held.until.max(until);
+                        held.expires_at = held.expires_at.max(expires_at);
                     }
                 }
-                self.renewed = self.renewed.max(sent.at);
+                self.renewed_at = self.renewed_at.max(sent.sent_at);
             }
             LeaseRecord::Release { .. } => {}
         }
     }
 
-    fn take_claimed(&mut self, lease: &LeaseName, sent: &Sent, offset: Offset, until: Time) {
+    fn apply_claim(
+        &mut self,
+        lease: &LeaseName,
+        sent: &SentRecord,
+        offset: Offset,
+        expires_at: Time,
+    ) {
         let fence = FencingNumber(offset.0);
         let tenure = self.fold.tenure(lease);
         let won = tenure.is_some_and(|t| t.fence == fence && t.holder == self.me);
         if won || !self.guards.read_back {
-            let before = sent.before.get(lease).copied();
+            let issue_floor = sent.issue_floors.get(lease).copied();
             let held = HeldLease {
                 fence,
-                before: before.unwrap_or(WallTime::from_millis(u64::MAX)),
-                until,
+                issue_floor: issue_floor.unwrap_or(WallTime::from_millis(u64::MAX)),
+                expires_at,
             };
-            self.used.remove(lease);
+            self.newest_issues.remove(lease);
             self.held.insert(lease.clone(), held);
         }
     }
@@ -258,20 +268,20 @@
     /// Returns when [`Self::poll`] may next have a record.
     #[must_use]
     pub fn next_wake(&self) -> Time {
-        if self.flying.is_some() {
+        if self.in_flight.is_some() {
             return Time::NEVER;
         }
         let renewal = if self.held.is_empty() {
             Time::NEVER
         } else {
-            self.renewed + self.term.term() / RENEWALS
+            self.renewed_at + self.term.term() / RENEWALS_PER_TERM
         };
         let surplus = self.held.keys().any(|lease| !self.wanted.contains(lease));
         let release = if surplus { Time::ZERO } else { Time::NEVER };
         let missing = self.wanted.iter().filter(|l| !self.held.contains_key(*l));
         let claim = missing.map(|lease| self.claim_at(lease)).min();
-        let due = renewal.min(release).min(claim.unwrap_or(Time::NEVER));
-        due.max(self.resume)
+        let next = renewal.min(release).min(claim.unwrap_or(Time::NEVER));
+        next.max(self.retry_at)
     }
 
     /// Returns when a lease can be claimed, on this process's clock.
@@ -292,19 +302,19 @@
         if self.next_wake() > now {
             return None;
         }
-        let step = self.release();
-        let step = step.or_else(|| self.renewal(now));
-        let step = step.or_else(|| self.claim(now))?;
-        let sent = Sent {
+        let step = self.release_record();
+        let step = step.or_else(|| self.renewal_record(now));
+        let step = step.or_else(|| self.claim_record(now))?;
+        let sent = SentRecord {
             record: step.clone(),
-            at: now,
-            before: self.bounds(&step, wall),
+            sent_at: now,
+            issue_floors: self.issue_floors(&step, wall),
         };
         self.sent.insert(id, sent);
-        if self.sent.len() > SENT_MAX {
+        if self.sent.len() > TRACKED_APPENDS_MAX {
             self.forget_oldest();
         }
-        self.flying = Some(id);
+        self.in_flight = Some(id);
         Some(Record {
             id,
             author: crate::record::Author::Node(self.me.node.clone()),
@@ -315,15 +325,15 @@
     /// Notes that a key is taken in under a lease that is held.
     pub fn record_key(&mut self, lease: &LeaseName, issued: WallTime) {
         if self.guards.used {
-            let newest = self.used.entry(lease.clone()).or_default();
+            let newest = self.newest_issues.entry(lease.clone()).or_default();
             *newest = issued.max(*newest);
         }
     }
 
     /// Tells whether an append was sent and its record not read back yet.
     #[must_use]
-    pub const fn is_waiting(&self) -> bool {
-        self.flying.is_some()
+    pub const fn has_append_in_flight(&self) -> bool {
+        self.in_flight.is_some()
     }
 
     /// Tells whether every wanted lease is held at this moment.
@@ -335,7 +345,7 @@
     }
 
     fn forget_oldest(&mut self) {
-        let oldest = self.sent.iter().min_by_key(|(_, s)| s.at);
+        let oldest = self.sent.iter().min_by_key(|(_, s)| s.sent_at);
         if let Some(id) = oldest.map(|(id, _)| *id) {
             self.sent.remove(&id);
         }
@@ -346,24 +356,24 @@
     /// [`AppendEnd::Done`] proves no lease: another claim may stand before it.
     /// The record counts when [`Self::apply`] sees it.
     pub fn on_append_end(&mut self, now: Time, id: RecordId, end: &AppendEnd) {
-        if self.flying != Some(id) {
+        if self.in_flight != Some(id) {
             return;
         }
         match end {
             AppendEnd::Done { offset } => {
                 if let (false, Some(sent)) = (self.guards.read_back, self.sent.get(&id).cloned()) {
-                    self.take(now, &sent, *offset);
+                    self.apply_sent(now, &sent, *offset);
                 }
             }
             AppendEnd::NotDone { retry_after } => {
                 self.sent.remove(&id);
-                self.flying = None;
+                self.in_flight = None;
                 let pause = self.backoff.failed();
-                self.resume = now + retry_after.map_or(pause, |asked| asked.max(pause));
+                self.retry_at = now + retry_after.map_or(pause, |requested| requested.max(pause));
             }
             AppendEnd::Unanswered => {
-                self.flying = None;
-                self.resume = now + self.backoff.failed();
+                self.in_flight = None;
+                self.retry_at = now + self.backoff.failed();
             }
         }
     }
--- a/lib/src/lease/record.rs
+++ b/lib/src/lease/record.rs
@@ -158,8 +158,8 @@
     type Error = LeaseTermError;
 
     fn try_from(term: Duration) -> Result<Self, LeaseTermError> {
-        let sound = (Duration::from_secs(1)..=Duration::from_hours(1)).contains(&term);
-        sound.then_some(Self(term)).ok_or(LeaseTermError)
+        let is_valid = (Duration::from_secs(1)..=Duration::from_hours(1)).contains(&term);
+        is_valid.then_some(Self(term)).ok_or(LeaseTermError)
     }
 }
 
@@ -172,8 +172,8 @@
 
     /// Returns how long a successor waits, on its own clock.
     #[must_use]
-    pub fn wait(self) -> Duration {
-        wait_for(self.0)
+    pub fn takeover_wait(self) -> Duration {
+        takeover_wait(self.0)
     }
 }
 
@@ -181,9 +181,9 @@
 ///
 /// Crystals differ by less than one in 10,000; a clock that is slewed into
 /// line by 500 parts in a million does too.
-const DRIFT: u32 = 100;
+const DRIFT_DIVISOR: u32 = 100;
 
 /// Returns the wait of a successor for a term found in a record.
-pub(crate) fn wait_for(term: Duration) -> Duration {
-    term + term / DRIFT
+pub(crate) fn takeover_wait(term: Duration) -> Duration {
+    term + term / DRIFT_DIVISOR
 }
--- a/lib/src/lease/steps.rs
+++ b/lib/src/lease/steps.rs
@@ -4,24 +4,24 @@
 
 use super::manager::HeldLease;
 use super::manager::LeaseManager;
-use super::manager::RENEWALS;
+use super::manager::RENEWALS_PER_TERM;
 use crate::lease::LeaseClaim;
 use crate::lease::LeaseHold;
 use crate::lease::LeaseName;
 use crate::lease::LeaseRecord;
 use crate::lease::LeaseRelease;
-use crate::once::after_skew;
+use crate::once::add_skew;
 use crate::time::Time;
 use crate::time::WallTime;
 
 impl LeaseManager {
-    pub(super) fn release(&mut self) -> Option<LeaseRecord> {
+    pub(super) fn release_record(&mut self) -> Option<LeaseRecord> {
         let wanted = &self.wanted;
         let surplus = self
             .held
             .iter()
             .filter(|(lease, _)| !wanted.contains(*lease));
-        let leases: Vec<_> = surplus.map(|entry| self.released(entry)).collect();
+        let leases: Vec<_> = surplus.map(|entry| self.to_release(entry)).collect();
         if leases.is_empty() {
             return None;
         }
@@ -32,25 +32,25 @@
         })
     }
 
-    pub(super) fn released(&self, (lease, held): (&LeaseName, &HeldLease)) -> LeaseRelease {
-        let used = self.used.get(lease).copied().unwrap_or_default();
+    pub(super) fn to_release(&self, (lease, held): (&LeaseName, &HeldLease)) -> LeaseRelease {
+        let newest = self.newest_issues.get(lease).copied().unwrap_or_default();
         LeaseRelease {
             lease: lease.clone(),
             fence: held.fence,
-            used: used.max(held.before),
+            used: newest.max(held.issue_floor),
         }
     }
 
-    pub(super) fn renewal(&self, now: Time) -> Option<LeaseRecord> {
-        let due = self.renewed + self.term.term() / RENEWALS <= now;
-        (due && !self.held.is_empty()).then(|| LeaseRecord::Renew {
+    pub(super) fn renewal_record(&self, now: Time) -> Option<LeaseRecord> {
+        let is_due = self.renewed_at + self.term.term() / RENEWALS_PER_TERM <= now;
+        (is_due && !self.held.is_empty()).then(|| LeaseRecord::Renew {
             holder: self.me.clone(),
             leases: self.held.iter().map(hold).collect(),
             term_ms: self.term_ms(),
         })
     }
 
-    pub(super) fn claim(&self, now: Time) -> Option<LeaseRecord> {
+    pub(super) fn claim_record(&self, now: Time) -> Option<LeaseRecord> {
         let missing = self.wanted.iter().filter(|l| !self.held.contains_key(*l));
         let free = missing.filter(|lease| self.claim_at(lease) <= now);
         let leases: Vec<_> = free
@@ -70,7 +70,7 @@
         u64::try_from(self.term.term().as_millis()).unwrap_or(u64::MAX)
     }
 
-    pub(super) fn bounds(
+    pub(super) fn issue_floors(
         &self,
         step: &LeaseRecord,
         wall: WallTime,
@@ -79,8 +79,8 @@
             return BTreeMap::new();
         };
         let names = leases.iter().map(|claimed| &claimed.lease);
-        let bounds = names.map(|lease| (lease.clone(), self.bound(lease, wall)));
-        bounds.collect()
+        let floors = names.map(|lease| (lease.clone(), self.issue_floor(lease, wall)));
+        floors.collect()
     }
 
     /// Returns the newest issue that a key of an earlier holder can have.
@@ -91,13 +91,13 @@
     /// its own clock, which may be one skew ahead of this one. Counted once, a
     /// key of a caller whose clock runs ahead would run at both. A lease that
     /// never was had no holder.
-    fn bound(&self, lease: &LeaseName, wall: WallTime) -> WallTime {
+    fn issue_floor(&self, lease: &LeaseName, wall: WallTime) -> WallTime {
         if self.fold.is_new(lease) {
             return WallTime::default();
         }
         self.fold
-            .used(lease)
-            .unwrap_or_else(|| after_skew(after_skew(wall)))
+            .newest_issue(lease)
+            .unwrap_or_else(|| add_skew(add_skew(wall)))
     }
 }
 
--- a/lib/src/limits/bucket.rs
+++ b/lib/src/limits/bucket.rs
@@ -10,7 +10,7 @@
     rate: f64,
     burst: f64,
     level: f64,
-    seen: Time,
+    updated_at: Time,
 }
 
 impl Bucket {
@@ -21,7 +21,7 @@
             rate,
             burst,
             level: burst,
-            seen: now,
+            updated_at: now,
         }
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Tells how long until `amount` can be taken; zero if it can be now.
-    pub fn wait(&mut self, now: Time, amount: f64) -> Duration {
+    pub fn wait_time(&mut self, now: Time, amount: f64) -> Duration {
         self.fill(now);
         // More than the bucket holds is let through once it is full, and paid
         // for afterwards; else a request of that size would never pass.
@@ -52,8 +52,8 @@
     }
 
     fn fill(&mut self, now: Time) {
-        let passed = now.since(self.seen).as_secs_f64();
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.seen = now;
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.level = (self.level + elapsed * self.rate).min(self.burst);
+        self.updated_at = now;
     }
 }
--- a/lib/src/limits/fair.rs
+++ b/lib/src/limits/fair.rs
@@ -6,13 +6,13 @@
 use crate::time::Time;
 
 /// The seconds over which use is averaged.
-const AVERAGE: f64 = 5.0;
+const USE_WINDOW_SECS: f64 = 5.0;
 
 /// The use below which an account is forgotten.
-const FORGET: f64 = 1e-3;
+const USE_MIN: f64 = 1e-3;
 
 /// The part of its budget that an account far above its share may plan with.
-const STRICTEST: f64 = 0.8;
+const BUDGET_FRACTION_MIN: f64 = 0.8;
 
 /// The recent use of endpoints by each account.
 #[derive(Debug, Clone, Default)]
@@ -24,25 +24,25 @@
 struct Use {
     share: f64,
     work: f64,
-    seen: Time,
+    updated_at: Time,
 }
 
 impl Use {
     fn work(&self, now: Time) -> f64 {
-        let passed = now.since(self.seen).as_secs_f64();
-        self.work * (-passed / AVERAGE).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.work * (-elapsed / USE_WINDOW_SECS).exp()
     }
 }
 
 impl Fairness {
     /// Notes work admitted for an account that has a share under contention.
     pub fn record(&mut self, now: Time, account: &ClientAccount, share: f64, work: f64) {
-        self.uses.retain(|_, u| u.work(now) > FORGET);
+        self.uses.retain(|_, u| u.work(now) > USE_MIN);
         let known = self.uses.get(account).map_or(0.0, |u| u.work(now));
         let entry = Use {
             share,
             work: known + work,
-            seen: now,
+            updated_at: now,
         };
         self.uses.insert(account.clone(), entry);
     }
@@ -63,6 +63,6 @@
         }
         let fair = own.share / shares;
         let excess = own.work(now) / works / fair - 1.0;
-        1.0 - (1.0 - STRICTEST) * excess.clamp(0.0, 1.0)
+        1.0 - (1.0 - BUDGET_FRACTION_MIN) * excess.clamp(0.0, 1.0)
     }
 }
--- a/lib/src/limits/limiter.rs
+++ b/lib/src/limits/limiter.rs
@@ -8,8 +8,8 @@
 use derive_more::Error;
 
 use super::Bucket;
-use super::peers::PAIRS_MAX;
 use super::peers::Peers;
+use super::peers::REPORTED_ACCOUNTS_MAX;
 use crate::config::Account;
 use crate::config::Limits;
 use crate::ids::ClientAccount;
@@ -20,22 +20,22 @@
 /// The part of a limit that is split evenly whatever the demand.
 ///
 /// It lets a router that had no demand admit the first requests at once.
-const EVEN: f64 = 0.1;
+const EVEN_FRACTION: f64 = 0.1;
 
 /// The burst, as seconds at the full rate of the router's share.
-const BURST: f64 = 1.0;
+const BURST_SECS: f64 = 1.0;
 
 /// The seconds over which demand is averaged.
-const AVERAGE: f64 = 2.0;
+const DEMAND_WINDOW_SECS: f64 = 2.0;
 
 /// How long a silent router keeps its share.
 ///
 /// After it the others take over what it had. Two sides of a partition then
 /// admit a full limit each, which is the bound on the overshoot.
-pub(super) const SILENT: Duration = Duration::from_secs(5);
+pub(super) const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The demand below which an account is not reported.
-const IDLE: f64 = 0.01;
+const IDLE_RATE: f64 = 0.01;
 
 /// What one router is asked for on behalf of one account.
 ///
@@ -92,12 +92,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct State {
+struct AccountState {
     limits: Limits,
     requests: Bucket,
     tokens: Bucket,
-    asked: Average,
-    asked_tokens: Average,
+    request_demand: DecayingRate,
+    token_demand: DecayingRate,
     active: u32,
     share: f64,
 }
@@ -105,10 +105,10 @@
 /// The shares of one router in the limits of all accounts.
 #[derive(Debug, Clone, Default)]
 pub struct Limiter {
-    accounts: BTreeMap<ClientAccount, State>,
+    accounts: BTreeMap<ClientAccount, AccountState>,
     peers: Peers,
     expected: usize,
-    began: Time,
+    started_at: Time,
 }
 
 impl Limiter {
@@ -123,16 +123,16 @@
             accounts: BTreeMap::new(),
             peers: Peers::new(),
             expected: routers,
-            began: now,
+            started_at: now,
         }
     }
 
-    fn routers(&self, now: Time) -> usize {
-        let heard = self.peers.count() + 1;
-        if now.since(self.began) < SILENT {
-            return heard.max(self.expected);
+    fn router_count(&self, now: Time) -> usize {
+        let known = self.peers.count() + 1;
+        if now.since(self.started_at) < PEER_TIMEOUT {
+            return known.max(self.expected);
         }
-        heard
+        known
     }
 
     /// Takes over the accounts of the configuration in force.
@@ -143,14 +143,14 @@
                 state.limits = account.limits;
                 continue;
             }
-            let state = State::new(now, account.limits, self.routers(now));
+            let state = AccountState::new(now, account.limits, self.router_count(now));
             self.accounts.insert(name.clone(), state);
         }
     }
 
     /// Takes in what another router is asked for.
-    pub fn on_report(&mut self, now: Time, peer: &NodeId, seq: u64, uses: Vec<AccountDemand>) {
-        self.peers.hear(now, peer, seq, uses);
+    pub fn on_report(&mut self, now: Time, peer: &NodeId, seq: u64, demands: Vec<AccountDemand>) {
+        self.peers.on_report(now, peer, seq, demands);
     }
 
     /// Recomputes the shares and returns what to tell the other routers.
@@ -158,35 +158,39 @@
     /// An account that is not told counts as not asked for: the shares of those
     /// that tell of it then still add up to one, with the even parts.
     pub fn tick(&mut self, now: Time) -> Vec<AccountDemand> {
-        self.peers.forget(now);
-        let routers = self.routers(now);
+        self.peers.drop_silent(now);
+        let routers = self.router_count(now);
         let complete = routers == self.peers.count() + 1;
-        let most = (PAIRS_MAX / routers).max(1);
-        let (line, mut level) = self.line(now, most);
+        let most = (REPORTED_ACCOUNTS_MAX / routers).max(1);
+        let (threshold, mut ties) = self.report_threshold(now, most);
         let even = 1.0 / routers as f64;
-        let mut asked = self.peers.asked();
+        let mut peer_demand = self.peers.demand();
         let mut report = Vec::new();
         for (name, state) in &mut self.accounts {
-            let told = state
-                .part(now)
-                .is_some_and(|part| match part.total_cmp(&line) {
+            let reported = state.limit_fraction(now).is_some_and(|fraction| {
+                match fraction.total_cmp(&threshold) {
                     Ordering::Less => false,
                     Ordering::Equal => {
-                        let room = level > 0;
-                        level = level.saturating_sub(1);
-                        room
+                        let has_room = ties > 0;
+                        ties = ties.saturating_sub(1);
+                        has_room
                     }
                     Ordering::Greater => true,
-                });
-            let own = if told { state.asked.rate(now) } else { 0.0 };
+                }
+            });
+            let own = if reported {
+                state.request_demand.rate(now)
+            } else {
+                0.0
+            };
             let share = if complete {
-                share(own, own + asked.of(name), even)
+                share(own, own + peer_demand.next_for(name), even)
             } else {
                 even
             };
             state.set_share(now, share);
-            if told {
-                report.push(state.told(now, name));
+            if reported {
+                report.push(state.demand(now, name));
             }
         }
         report
@@ -194,18 +198,22 @@
 
     // Returns the part of its limit that an account must be asked for here to
     // be among the `most` that are told, and how many with just that part are.
-    fn line(&self, now: Time, most: usize) -> (f64, usize) {
+    fn report_threshold(&self, now: Time, most: usize) -> (f64, usize) {
         if self.accounts.len() <= most {
             return (0.0, most);
         }
         let states = self.accounts.values();
-        let mut parts: Vec<f64> = states.filter_map(|s| s.part(now)).collect();
-        if parts.len() <= most {
+        let mut fractions: Vec<f64> = states.filter_map(|s| s.limit_fraction(now)).collect();
+        if fractions.len() <= most {
             return (0.0, most);
         }
-        let (above, line, _) = parts.select_nth_unstable_by(most - 1, |a, b| b.total_cmp(a));
-        let above = above.iter().filter(|part| **part > *line).count();
-        (*line, most - above)
+        let (above, threshold, _) =
+            fractions.select_nth_unstable_by(most - 1, |a, b| b.total_cmp(a));
+        let above = above
+            .iter()
+            .filter(|fraction| **fraction > *threshold)
+            .count();
+        (*threshold, most - above)
     }
 
     /// Admits a request that is expected to use `tokens`.
@@ -224,14 +232,14 @@
             return Err(LimitError::NoAccount { account });
         };
         let tokens = f64::from(tokens.0);
-        state.asked.add(now, 1.0);
-        state.asked_tokens.add(now, tokens);
+        state.request_demand.add(now, 1.0);
+        state.token_demand.add(now, tokens);
         let active = state.active;
         if active >= state.concurrency() {
             return Err(LimitError::Concurrency { active });
         }
-        let wait = state.requests.wait(now, 1.0);
-        let after = wait.max(state.tokens.wait(now, tokens));
+        let wait = state.requests.wait_time(now, 1.0);
+        let after = wait.max(state.tokens.wait_time(now, tokens));
         if after > Duration::ZERO {
             return Err(LimitError::Rate { after });
         }
@@ -247,8 +255,8 @@
             return;
         };
         state.active = state.active.saturating_sub(1);
-        let more = f64::from(used.0) - f64::from(expected.0);
-        state.tokens.spend(now, more);
+        let excess = f64::from(used.0) - f64::from(expected.0);
+        state.tokens.spend(now, excess);
     }
 
     /// Returns this router's present share of an account's limits, from 0 to 1.
@@ -261,13 +269,13 @@
 // Over all routers that see each other the shares add up to one, so that the
 // limits hold without a message per request.
 fn share(own: f64, all: f64, even: f64) -> f64 {
-    if all <= IDLE {
+    if all <= IDLE_RATE {
         return even;
     }
-    EVEN * even + (1.0 - EVEN) * own / all
+    EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * own / all
 }
 
-impl State {
+impl AccountState {
     fn new(now: Time, limits: Limits, routers: usize) -> Self {
         let share = 1.0 / routers as f64;
         Self {
@@ -276,10 +284,10 @@
             tokens: Bucket::new(
                 now,
                 limits.tokens.0 * share,
-                limits.tokens.0 * share * BURST,
+                limits.tokens.0 * share * BURST_SECS,
             ),
-            asked: Average::new(now),
-            asked_tokens: Average::new(now),
+            request_demand: DecayingRate::new(now),
+            token_demand: DecayingRate::new(now),
             active: 0,
             share,
         }
@@ -291,22 +299,22 @@
         self.requests
             .set_rate(now, rate, request_burst(self.limits, share));
         let rate = self.limits.tokens.0 * share;
-        self.tokens.set_rate(now, rate, rate * BURST);
+        self.tokens.set_rate(now, rate, rate * BURST_SECS);
     }
 
     // Returns the part of its limit that the account is asked for here, or `None`
     // if it is idle.
-    fn part(&self, now: Time) -> Option<f64> {
-        let own = self.asked.rate(now);
-        let busy = own > IDLE || self.active > 0;
-        busy.then(|| own / self.limits.requests.0.max(IDLE))
+    fn limit_fraction(&self, now: Time) -> Option<f64> {
+        let own = self.request_demand.rate(now);
+        let busy = own > IDLE_RATE || self.active > 0;
+        busy.then(|| own / self.limits.requests.0.max(IDLE_RATE))
     }
 
-    fn told(&self, now: Time, name: &ClientAccount) -> AccountDemand {
+    fn demand(&self, now: Time, name: &ClientAccount) -> AccountDemand {
         AccountDemand {
             account: name.clone(),
-            requests: self.asked.rate(now),
-            tokens: self.asked_tokens.rate(now),
+            requests: self.request_demand.rate(now),
+            tokens: self.token_demand.rate(now),
             active: self.active,
         }
     }
@@ -320,31 +328,31 @@
 }
 
 fn request_burst(limits: Limits, share: f64) -> f64 {
-    (limits.requests.0 * share * BURST).max(1.0)
+    (limits.requests.0 * share * BURST_SECS).max(1.0)
 }
 
 /// A rate of events, averaged exponentially.
 #[derive(Debug, Clone, Copy)]
-struct Average {
+struct DecayingRate {
     weight: f64,
-    seen: Time,
+    updated_at: Time,
 }
 
-impl Average {
+impl DecayingRate {
     const fn new(now: Time) -> Self {
         Self {
             weight: 0.0,
-            seen: now,
+            updated_at: now,
         }
     }
 
     fn add(&mut self, now: Time, amount: f64) {
-        self.weight = self.rate(now) * AVERAGE + amount;
-        self.seen = now;
+        self.weight = self.rate(now) * DEMAND_WINDOW_SECS + amount;
+        self.updated_at = now;
     }
 
     fn rate(&self, now: Time) -> f64 {
-        let passed = now.since(self.seen).as_secs_f64();
-        self.weight / AVERAGE * (-passed / AVERAGE).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.weight / DEMAND_WINDOW_SECS * (-elapsed / DEMAND_WINDOW_SECS).exp()
     }
 }
--- a/lib/src/limits/peers.rs
+++ b/lib/src/limits/peers.rs
@@ -5,7 +5,7 @@
 use std::iter::Peekable;
 
 use super::AccountDemand;
-use super::limiter::SILENT;
+use super::limiter::PEER_TIMEOUT;
 use crate::ids::ClientAccount;
 use crate::ids::NodeId;
 use crate::time::Time;
@@ -14,10 +14,10 @@
 ///
 /// Each tells its part of them. One that held all accounts of all peers would
 /// spend more on their reports than on its requests.
-pub(super) const PAIRS_MAX: usize = 20_000;
+pub(super) const REPORTED_ACCOUNTS_MAX: usize = 20_000;
 
 /// The units of a demand of one request a second.
-const UNITS: f64 = 1e6;
+const UNITS_PER_REQUEST: f64 = 1e6;
 
 /// The largest demand that is believed, in requests a second.
 ///
@@ -30,13 +30,13 @@
 /// away, and the errors of floats would add up to a demand that nobody has.
 type Demand = u64;
 
-type Told = (ClientAccount, Demand);
+type PeerDemand = (ClientAccount, Demand);
 
 #[derive(Debug, Clone)]
 struct Peer {
-    heard: Time,
+    reported_at: Time,
     seq: u64,
-    uses: Vec<Told>,
+    demands: Vec<PeerDemand>,
 }
 
 /// What the other routers are asked for, and its sum by account.
@@ -59,68 +59,74 @@
     }
 
     /// Takes in the report of a peer, unless it is an old one.
-    pub(super) fn hear(&mut self, now: Time, peer: &NodeId, seq: u64, uses: Vec<AccountDemand>) {
+    pub(super) fn on_report(
+        &mut self,
+        now: Time,
+        peer: &NodeId,
+        seq: u64,
+        demands: Vec<AccountDemand>,
+    ) {
         if let Some(known) = self.peers.get(peer)
             && seq <= known.seq
-            && now.since(known.heard) < SILENT
+            && now.since(known.reported_at) < PEER_TIMEOUT
         {
             return;
         }
-        let uses = uses.into_iter().take(PAIRS_MAX);
-        let mut uses: Vec<_> = uses.map(|u| (u.account, demand(u.requests))).collect();
-        uses.sort_by(|a, b| a.0.cmp(&b.0));
-        uses.dedup_by(|a, b| a.0 == b.0);
+        let demands = demands.into_iter().take(REPORTED_ACCOUNTS_MAX);
+        let mut demands: Vec<_> = demands.map(|d| (d.account, demand(d.requests))).collect();
+        demands.sort_by(|a, b| a.0.cmp(&b.0));
+        demands.dedup_by(|a, b| a.0 == b.0);
         let old = self.peers.remove(peer);
-        self.change(old.as_ref().map_or(&[], |p| &p.uses), &uses);
-        let news = Peer {
-            heard: now,
+        self.update_sums(old.as_ref().map_or(&[], |p| &p.demands), &demands);
+        let report = Peer {
+            reported_at: now,
             seq,
-            uses,
+            demands,
         };
-        self.peers.insert(peer.clone(), news);
+        self.peers.insert(peer.clone(), report);
     }
 
     /// Forgets the peers that were not heard for long.
-    pub(super) fn forget(&mut self, now: Time) {
-        let silent = |_: &NodeId, peer: &mut Peer| now.since(peer.heard) >= SILENT;
+    pub(super) fn drop_silent(&mut self, now: Time) {
+        let silent = |_: &NodeId, peer: &mut Peer| now.since(peer.reported_at) >= PEER_TIMEOUT;
         let gone: Vec<Peer> = self.peers.extract_if(.., silent).map(|(_, p)| p).collect();
         for peer in gone {
-            self.change(&peer.uses, &[]);
+            self.update_sums(&peer.demands, &[]);
         }
     }
 
     /// Returns the sums, to be asked for in the order of the accounts.
-    pub(super) fn asked(&self) -> Asked<'_> {
-        Asked {
+    pub(super) fn demand(&self) -> DemandCursor<'_> {
+        DemandCursor {
             sums: self.sums.iter().peekable(),
         }
     }
 
     // Both are in the order of the accounts. Most accounts of a report were in
     // the one before, so one look-up is enough for what left and what came.
-    fn change(&mut self, old: &[Told], new: &[Told]) {
+    fn update_sums(&mut self, old: &[PeerDemand], new: &[PeerDemand]) {
         let mut old = old.iter().peekable();
         for (account, demand) in new {
-            while let Some((gone, was)) = old.next_if(|(name, _)| name < account) {
-                self.set(gone, *was, 0);
+            while let Some((gone, previous)) = old.next_if(|(name, _)| name < account) {
+                self.update_sum(gone, *previous, 0);
             }
             let same = old.next_if(|(name, _)| name == account);
-            self.set(account, same.map_or(0, |(_, was)| *was), *demand);
+            self.update_sum(account, same.map_or(0, |(_, previous)| *previous), *demand);
         }
-        for (gone, was) in old {
-            self.set(gone, *was, 0);
+        for (gone, previous) in old {
+            self.update_sum(gone, *previous, 0);
         }
     }
 
-    fn set(&mut self, account: &ClientAccount, was: Demand, demand: Demand) {
-        if was == demand {
+    fn update_sum(&mut self, account: &ClientAccount, previous: Demand, demand: Demand) {
+        if previous == demand {
             return;
         }
         let Some(sum) = self.sums.get_mut(account) else {
             self.sums.insert(account.clone(), demand);
             return;
         };
-        *sum = *sum - was + demand;
+        *sum = *sum - previous + demand;
         if *sum == 0 {
             self.sums.remove(account);
         }
@@ -129,19 +135,19 @@
 
 /// The sums by account, walked beside the accounts.
 #[derive(Debug)]
-pub(super) struct Asked<'a> {
+pub(super) struct DemandCursor<'a> {
     sums: Peekable<Iter<'a, ClientAccount, Demand>>,
 }
 
-impl Asked<'_> {
+impl DemandCursor<'_> {
     /// Returns the demand on an account that comes after those asked for before.
-    pub(super) fn of(&mut self, account: &ClientAccount) -> f64 {
+    pub(super) fn next_for(&mut self, account: &ClientAccount) -> f64 {
         while self.sums.next_if(|(name, _)| *name < account).is_some() {}
         let sum = self.sums.next_if(|(name, _)| *name == account);
-        sum.map_or(0.0, |(_, sum)| *sum as f64 / UNITS)
+        sum.map_or(0.0, |(_, sum)| *sum as f64 / UNITS_PER_REQUEST)
     }
 }
 
 fn demand(requests: f64) -> Demand {
-    (requests.clamp(0.0, DEMAND_MAX) * UNITS).round() as Demand
+    (requests.clamp(0.0, DEMAND_MAX) * UNITS_PER_REQUEST).round() as Demand
 }
--- a/lib/src/once/gate.rs
+++ b/lib/src/once/gate.rs
@@ -115,7 +115,7 @@
     }
 
     /// Starts or ends the drain: new keys are refused, known ones answered.
-    pub const fn drain(&mut self, draining: bool) {
+    pub const fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
@@ -125,17 +125,17 @@
     /// [`Self::end`], whatever happens, and tell the holder of the lease by
     /// [`crate::lease::LeaseManager::record_key`] under the same lock.
     pub fn admit(&mut self, wall: WallTime, key: &OnceKey, held: Option<HeldLease>) -> Verdict {
-        let name = KeyId::from(key);
-        if let Some(entry) = self.table.get(&name) {
-            return known(entry, key);
+        let id = KeyId::from(key);
+        if let Some(entry) = self.table.get(&id) {
+            return verdict_for(entry, key);
         }
         // The caller's clock may run ahead. Taken in now, the key would look
         // issued after the next owner began, which would run it again.
         if self.guards.future && key.check_issue_time(wall) == Err(KeyError::Future) {
             return Verdict::NotRun(NotRun::FutureKey);
         }
-        if let Err(refused) = self.vouch(key, held) {
-            return refused;
+        if let Err(verdict) = self.check_ownership(key, held) {
+            return verdict;
         }
         if self.draining {
             return Verdict::NotRun(NotRun::Draining);
@@ -144,15 +144,15 @@
             return Verdict::NotRun(NotRun::Full);
         }
         // Making room raises the floor, perhaps above this key.
-        if self.table.may_have_held(key.issued()) {
+        if self.table.may_have_dropped(key.issued()) {
             return Verdict::Unknown;
         }
-        self.table.begin(name, key.digest);
+        self.table.begin(id, key.digest);
         Verdict::Run
     }
 
     /// Checks that this incarnation would know the key if it had run anywhere.
-    fn vouch(&self, key: &OnceKey, held: Option<HeldLease>) -> Result<(), Verdict> {
+    fn check_ownership(&self, key: &OnceKey, held: Option<HeldLease>) -> Result<(), Verdict> {
         let Some(held) = held else {
             if self.guards.lease {
                 return Err(Verdict::NotRun(NotRun::NoLease));
@@ -161,10 +161,10 @@
         };
         // An earlier owner may have run the key and died with its answer. What
         // it took in was issued no later than this bound.
-        if self.guards.issue && key.issued() <= held.before {
+        if self.guards.issue && key.issued() <= held.issue_floor {
             return Err(Verdict::Unknown);
         }
-        if self.table.may_have_held(key.issued()) {
+        if self.table.may_have_dropped(key.issued()) {
             return Err(Verdict::Unknown);
         }
         Ok(())
@@ -196,11 +196,11 @@
     #[must_use]
     pub fn lookup(&self, key: &OnceKey) -> Verdict {
         let entry = self.table.get(&KeyId::from(key));
-        entry.map_or(Verdict::Unknown, |entry| known(entry, key))
+        entry.map_or(Verdict::Unknown, |entry| verdict_for(entry, key))
     }
 }
 
-fn known(entry: &Entry, key: &OnceKey) -> Verdict {
+fn verdict_for(entry: &Entry, key: &OnceKey) -> Verdict {
     if entry.digest != key.digest {
         return Verdict::Conflict;
     }
--- a/lib/src/once/key.rs
+++ b/lib/src/once/key.rs
@@ -29,7 +29,7 @@
 ///
 /// Callers repeat within minutes; agents are replaced within days, and their
 /// tables with them.
-const AGE_MAX: Duration = Duration::from_hours(24);
+const KEY_AGE_MAX: Duration = Duration::from_hours(24);
 
 /// The version of UUID that carries its time of issue.
 const UUID_VERSION: usize = 7;
@@ -100,11 +100,11 @@
     ///
     /// Returns [`KeyError::Future`] or [`KeyError::Old`].
     pub fn check_issue_time(&self, wall: WallTime) -> Result<(), KeyError> {
-        if self.issued() > after_skew(wall) {
+        if self.issued() > add_skew(wall) {
             return Err(KeyError::Future);
         }
         let age = wall.as_millis().saturating_sub(self.issued().as_millis());
-        if Duration::from_millis(age) > AGE_MAX {
+        if Duration::from_millis(age) > KEY_AGE_MAX {
             return Err(KeyError::Old);
         }
         Ok(())
@@ -117,7 +117,7 @@
 }
 
 /// Returns a time of day with the skew added.
-pub(crate) fn after_skew(wall: WallTime) -> WallTime {
+pub(crate) fn add_skew(wall: WallTime) -> WallTime {
     let skew = u64::try_from(CLOCK_SKEW_MAX.as_millis()).unwrap_or(u64::MAX);
     WallTime::from_millis(wall.as_millis().saturating_add(skew))
 }
--- a/lib/src/once/mod.rs
+++ b/lib/src/once/mod.rs
@@ -22,7 +22,7 @@
 pub use key::KeySlot;
 pub use key::OnceKey;
 pub use key::SLOTS_PER_POOL;
-pub(crate) use key::after_skew;
+pub(crate) use key::add_skew;
 pub use share::SlotShare;
 pub use slots::SlotMap;
 pub use table::Answer;
--- a/lib/src/once/share.rs
+++ b/lib/src/once/share.rs
@@ -18,7 +18,7 @@
 ///
 /// Agents that start together see each other's seats in it, so that the first
 /// one doesn't take all slots only to give most of them up again.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// The share of a pool's slots that falls to one agent.
 ///
@@ -30,11 +30,11 @@
 pub struct SlotShare {
     pool: PoolName,
     seat: LeaseName,
-    seats: String,
-    seated: Option<Time>,
-    short: bool,
+    seat_prefix: String,
+    seated_at: Option<Time>,
+    lacks_slots: bool,
     slots: BTreeMap<KeySlot, LeaseName>,
-    order: Vec<LeaseName>,
+    claim_order: Vec<LeaseName>,
 }
 
 impl SlotShare {
@@ -53,8 +53,8 @@
     ) -> Self {
         // Each agent looks for free slots in an order of its own, so that
         // agents that start together seldom claim the same.
-        let mut order: Vec<_> = slots.collect();
-        order.sort_by_key(|slot| rapidhash_v3(format!("{me}/{slot}").as_bytes()));
+        let mut claim_order: Vec<_> = slots.collect();
+        claim_order.sort_by_key(|slot| rapidhash_v3(format!("{me}/{slot}").as_bytes()));
         Self {
             pool: pool.clone(),
             seat: LeaseName::join(&[
@@ -63,11 +63,14 @@
                 me.node.as_str(),
                 &me.incarnation.to_string(),
             ]),
-            seats: format!("seat/{pool}/"),
-            seated: None,
-            short: true,
-            slots: order.iter().map(|s| (*s, s.lease(pool))).collect(),
-            order: order.into_iter().map(|slot| slot.lease(pool)).collect(),
+            seat_prefix: format!("seat/{pool}/"),
+            seated_at: None,
+            lacks_slots: true,
+            slots: claim_order.iter().map(|s| (*s, s.lease(pool))).collect(),
+            claim_order: claim_order
+                .into_iter()
+                .map(|slot| slot.lease(pool))
+                .collect(),
         }
     }
 
@@ -82,25 +85,29 @@
     /// Until the agent has held its seat for a moment it wants no more than
     /// that: others see the seat and make room first.
     #[must_use]
-    pub fn wanted_leases(&mut self, holder: &LeaseManager, now: Time) -> BTreeSet<LeaseName> {
-        let own: Vec<_> = self.order.iter().filter(|l| holder.has(l)).collect();
+    pub fn wanted_leases(&mut self, manager: &LeaseManager, now: Time) -> BTreeSet<LeaseName> {
+        let owned: Vec<_> = self.claim_order.iter().filter(|l| manager.has(l)).collect();
         let mut wanted = BTreeSet::from([self.seat.clone()]);
-        if holder.held(now, &self.seat).is_none() {
+        if manager.held(now, &self.seat).is_none() {
             // A lapsed seat means that the log is away. What was held stays
             // wanted, so that it is renewed rather than claimed anew.
-            wanted.extend(own.into_iter().cloned());
+            wanted.extend(owned.into_iter().cloned());
             return wanted;
         }
-        let seated = *self.seated.get_or_insert(now);
-        let members = holder.fold().taken(&self.seats, now).count().max(1);
-        let target = self.order.len().div_ceil(members);
-        let mut slots: Vec<_> = own.into_iter().take(target).collect();
-        if now.since(seated) >= SETTLE {
-            let free = self.order.iter().filter(|l| !holder.has(l));
-            let free = free.filter(|l| holder.claim_at(l) <= now);
+        let seated_at = *self.seated_at.get_or_insert(now);
+        let members = manager
+            .fold()
+            .occupied(&self.seat_prefix, now)
+            .count()
+            .max(1);
+        let target = self.claim_order.len().div_ceil(members);
+        let mut slots: Vec<_> = owned.into_iter().take(target).collect();
+        if now.since(seated_at) >= SETTLE_TIME {
+            let free = self.claim_order.iter().filter(|l| !manager.has(l));
+            let free = free.filter(|l| manager.claim_at(l) <= now);
             slots.extend(free.take(target - slots.len()));
         }
-        self.short = slots.len() < self.order.len() / members;
+        self.lacks_slots = slots.len() < self.claim_order.len() / members;
         wanted.extend(slots.into_iter().cloned());
         wanted
     }
@@ -108,14 +115,14 @@
     /// Tells whether the agent still waits for slots that are its due.
     #[must_use]
     pub const fn lacks_slots(&self) -> bool {
-        self.short
+        self.lacks_slots
     }
 
     /// Returns the slots that are held at this moment, with their claims.
     #[must_use]
-    pub fn owned(&self, holder: &LeaseManager, now: Time) -> BTreeMap<KeySlot, FencingNumber> {
+    pub fn owned(&self, manager: &LeaseManager, now: Time) -> BTreeMap<KeySlot, FencingNumber> {
         let held = self.slots.iter().filter_map(|(slot, lease)| {
-            let held = holder.held(now, lease)?;
+            let held = manager.held(now, lease)?;
             Some((*slot, held.fence))
         });
         held.collect()
--- a/lib/src/once/table.rs
+++ b/lib/src/once/table.rs
@@ -105,18 +105,18 @@
     ended: BTreeSet<(WallTime, KeyId)>,
     bytes: u64,
     floor: Option<WallTime>,
-    raises: bool,
+    raises_floor: bool,
 }
 
 impl KeyTable {
-    pub(crate) const fn new(limits: TableLimits, raises: bool) -> Self {
+    pub(crate) const fn new(limits: TableLimits, raises_floor: bool) -> Self {
         Self {
             limits,
             entries: BTreeMap::new(),
             ended: BTreeSet::new(),
             bytes: 0,
             floor: None,
-            raises,
+            raises_floor,
         }
     }
 
@@ -128,12 +128,12 @@
         Bytes(self.bytes)
     }
 
-    pub(crate) fn get(&self, key: &KeyId) -> Option<&Entry> {
-        self.entries.get(key)
+    pub(crate) fn get(&self, id: &KeyId) -> Option<&Entry> {
+        self.entries.get(id)
     }
 
     /// Tells whether a key that isn't in the table may have been dropped from it.
-    pub(crate) fn may_have_held(&self, issued: WallTime) -> bool {
+    pub(crate) fn may_have_dropped(&self, issued: WallTime) -> bool {
         self.floor.is_some_and(|floor| issued <= floor)
     }
 
@@ -147,29 +147,29 @@
         true
     }
 
-    pub(crate) fn begin(&mut self, key: KeyId, digest: Digest) {
+    pub(crate) fn begin(&mut self, id: KeyId, digest: Digest) {
         let entry = Entry {
             digest,
             state: KeyState::Running,
         };
-        self.entries.insert(key, entry);
+        self.entries.insert(id, entry);
     }
 
     pub(crate) fn end(&mut self, key: &OnceKey, end: OnceEnd) {
-        let name = KeyId::from(key);
-        let Some(entry) = self.entries.get_mut(&name) else {
+        let id = KeyId::from(key);
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
         match end {
             OnceEnd::NotRun => {
-                self.entries.remove(&name);
+                self.entries.remove(&id);
                 return;
             }
             OnceEnd::Answered(answer) => entry.state = KeyState::Answered(answer),
             OnceEnd::Unknown => entry.state = KeyState::Unknown,
         }
         self.bytes += entry.bytes();
-        self.ended.insert((key.issued(), name));
+        self.ended.insert((key.issued(), id));
         while self.bytes > self.limits.bytes.0 && self.drop_oldest() {}
     }
 
@@ -178,13 +178,13 @@
     /// Without the floor a dropped key would look new, and a caller's late
     /// retry of it would run again. With it the retry is refused as unknown.
     fn drop_oldest(&mut self) -> bool {
-        let Some((issued, key)) = self.ended.pop_first() else {
+        let Some((issued, id)) = self.ended.pop_first() else {
             return false;
         };
-        if let Some(entry) = self.entries.remove(&key) {
+        if let Some(entry) = self.entries.remove(&id) {
             self.bytes -= entry.bytes();
         }
-        if self.raises {
+        if self.raises_floor {
             self.floor = self.floor.max(Some(issued));
         }
         true
--- a/lib/src/prefix.rs
+++ b/lib/src/prefix.rs
@@ -24,12 +24,12 @@
 /// The rest after the last whole block has no hash.
 #[must_use]
 pub fn block_hashes(model: &str, text: &str) -> Vec<u64> {
-    let mut before = hash(0, model.as_bytes());
+    let mut previous = hash(0, model.as_bytes());
     let blocks = text.as_bytes().chunks_exact(BLOCK_BYTES);
     blocks
         .map(|block| {
-            before = hash(before, block);
-            before
+            previous = hash(previous, block);
+            previous
         })
         .collect()
 }
--- a/lib/src/record.rs
+++ b/lib/src/record.rs
@@ -86,7 +86,7 @@
 }
 
 #[derive(Serialize)]
-struct Written<'a> {
+struct VersionedRecord<'a> {
     version: u32,
     #[serde(flatten)]
     record: &'a Record,
@@ -132,11 +132,11 @@
     /// in it has text for keys, and checked configurations hold finite numbers.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let written = Written {
+        let versioned = VersionedRecord {
             version: RECORD_VERSION,
             record: self,
         };
-        serde_json::to_vec(&written).expect("records have a JSON form")
+        serde_json::to_vec(&versioned).expect("records have a JSON form")
     }
 }
 
--- a/lib/tests/test_drain.rs
+++ b/lib/tests/test_drain.rs
@@ -115,7 +115,7 @@
     fn carry(&mut self, actions: Vec<DrainAction>) {
         for action in actions {
             match action {
-                DrainAction::RefuseWork => self.held.unaware = 2,
+                DrainAction::Stop => self.held.unaware = 2,
                 DrainAction::HandOver => {
                     assert_eq!(
                         self.held.calls, 0,
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -300,7 +300,7 @@
     fn carry(&self, actions: &[DrainAction]) {
         for action in actions {
             match action {
-                DrainAction::RefuseWork => self.node.board.drain.set(),
+                DrainAction::Stop => self.node.board.drain.set(),
                 DrainAction::Goodbye => {
                     let incarnation = self.node.incarnation.0;
                     let reason = "drain".to_owned();
