--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -13,7 +13,7 @@
 use crate::chain_world::World;
 use crate::chain_world::spec;
 
-fn world(queued: u32) -> (World, Spec) {
+fn loaded_world(queued: u32) -> (World, Spec) {
     let mut world = World::new(PolicyKind::Predicted, 1);
     let report = LoadReport {
         slots: 4,
@@ -37,17 +37,17 @@
 
 #[test]
 fn admits_while_the_queue_leaves_time() {
-    let (mut world, spec) = world(0);
+    let (mut world, spec) = loaded_world(0);
     let predicted = admit(world.now, &spec, &mut world.shared).expect("it fits");
     assert!(predicted < Duration::from_millis(1_500), "{predicted:?}");
 }
 
 #[test]
-fn refuses_at_once_what_would_be_late_and_says_when_to_come_back() {
+fn refuses_late_request_at_once_with_retry_after() {
     // The caller would wait three seconds for nothing, and its generation
     // would be paid for. The queue already takes longer than the deadline, so
     // the refusal comes before anything runs, with the time that is missing.
-    let (mut world, spec) = world(30);
+    let (mut world, spec) = loaded_world(30);
     let refused = admit(world.now, &spec, &mut world.shared);
     assert_matches!(
         refused,
@@ -66,7 +66,7 @@
 
 #[test]
 fn refuses_a_pool_without_endpoints() {
-    let (mut world, spec) = world(0);
+    let (mut world, spec) = loaded_world(0);
     world.shared.fleet.gone(&"e1".parse().expect("a name"));
     let refused = admit(world.now, &spec, &mut world.shared);
     assert_matches!(
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn a_flood_of_one_account_does_not_shut_out_the_others() {
+fn flood_of_one_account_does_not_block_others() {
     // One account sends ten times what the others send, and the queue grows.
     // Its callers are refused while the queue is still short enough for the
     // rest, so that the small account goes on getting its answers.
-    let (mut world, mut flood) = world(15);
+    let (mut world, mut flood) = loaded_world(15);
     let mut small = flood.clone();
     small.account = "small".parse().expect("a name");
     flood.account = "flood".parse().expect("a name");
--- a/lib/tests/test_drain.rs
+++ b/lib/tests/test_drain.rs
@@ -79,8 +79,8 @@
     Cancel(Source),
     Start,
     Finish,
-    Learn,
-    GiveLease,
+    PeerLearns,
+    ReleaseLease,
     Wait(u64),
 }
 
@@ -96,8 +96,8 @@
         source.prop_map(Op::Cancel),
         Just(Op::Start),
         Just(Op::Finish),
-        Just(Op::Learn),
-        Just(Op::GiveLease),
+        Just(Op::PeerLearns),
+        Just(Op::ReleaseLease),
         (1u64..40_000).prop_map(Op::Wait),
     ]
 }
@@ -107,12 +107,12 @@
 struct Node {
     now: Time,
     held: DrainBlockers,
-    said_bye: bool,
+    sent_goodbye: bool,
     exited: bool,
 }
 
 impl Node {
-    fn carry(&mut self, actions: Vec<DrainAction>) {
+    fn execute(&mut self, actions: Vec<DrainAction>) {
         for action in actions {
             match action {
                 DrainAction::Stop => self.held.unaware = 2,
@@ -128,13 +128,15 @@
                         DrainBlockers::default(),
                         "goodbye is said while something is held"
                     );
-                    self.said_bye = true;
+                    self.sent_goodbye = true;
                 }
                 DrainAction::Exit => {
-                    assert!(self.said_bye, "the process leaves without a goodbye");
+                    assert!(self.sent_goodbye, "the process leaves without a goodbye");
                     self.exited = true;
                 }
-                DrainAction::Resume => assert!(!self.said_bye, "service resumes after the goodbye"),
+                DrainAction::Resume => {
+                    assert!(!self.sent_goodbye, "service resumes after the goodbye")
+                }
                 DrainAction::Move | DrainAction::Report { .. } => {}
             }
         }
@@ -154,13 +156,13 @@
                 self.held.calls = self.held.calls.saturating_sub(1);
                 Vec::new()
             }
-            Op::Learn => {
+            Op::PeerLearns => {
                 self.held.unaware = self.held.unaware.saturating_sub(1);
                 Vec::new()
             }
-            Op::GiveLease => {
-                let given = drain.phase() == Phase::HandingOver;
-                self.held.leases = self.held.leases.saturating_sub(usize::from(given));
+            Op::ReleaseLease => {
+                let released = drain.phase() == Phase::HandingOver;
+                self.held.leases = self.held.leases.saturating_sub(usize::from(released));
                 Vec::new()
             }
             Op::Wait(ms) => {
@@ -168,10 +170,10 @@
                 Vec::new()
             }
         };
-        self.carry(actions);
+        self.execute(actions);
         if !self.exited {
             let actions = drain.update(self.now, self.held);
-            self.carry(actions);
+            self.execute(actions);
         }
     }
 }
@@ -205,7 +207,12 @@
             }
             node.apply(&mut drain, op);
         }
-        let finish = [Op::Finish, Op::Learn, Op::GiveLease, Op::Wait(1_000)];
+        let finish = [
+            Op::Finish,
+            Op::PeerLearns,
+            Op::ReleaseLease,
+            Op::Wait(1_000),
+        ];
         node.apply(&mut drain, &Op::Begin(Source::Signal, true));
         for op in finish.iter().cycle().take(4 * 80) {
             if !node.exited {
--- a/lib/tests/test_limits.rs
+++ b/lib/tests/test_limits.rs
@@ -20,7 +20,7 @@
 use snipeyoke_lib::units::Tokens;
 
 const STEP: Duration = Duration::from_millis(10);
-const GOSSIP: u64 = 50; // steps
+const GOSSIP_STEPS: u64 = 50; // steps
 const LIMIT: f64 = 100.0;
 
 /// Routers that gossip, each with its own demand on one account.
@@ -38,10 +38,10 @@
 }
 
 fn limits(concurrency: u32) -> BTreeMap<ClientAccount, Account> {
-    BTreeMap::from([(account(), with(concurrency))])
+    BTreeMap::from([(account(), account_with(concurrency))])
 }
 
-fn with(concurrency: u32) -> Account {
+fn account_with(concurrency: u32) -> Account {
     let limits = Limits {
         requests: RequestRate(LIMIT),
         tokens: TokenRate(1e6),
@@ -54,13 +54,13 @@
     }
 }
 
-fn tell(routers: &mut [Limiter], now: Time, seq: u64) -> Vec<Vec<AccountDemand>> {
+fn exchange_reports(routers: &mut [Limiter], now: Time, seq: u64) -> Vec<Vec<AccountDemand>> {
     let reports: Vec<_> = routers.iter_mut().map(|r| r.tick(now)).collect();
-    for (from, uses) in reports.iter().enumerate() {
+    for (from, demands) in reports.iter().enumerate() {
         let name: NodeId = format!("router-{from}").parse().expect("a name");
         for (to, router) in routers.iter_mut().enumerate() {
             if to != from {
-                router.on_report(now, &name, seq, uses.clone());
+                router.on_report(now, &name, seq, demands.clone());
             }
         }
     }
@@ -86,17 +86,17 @@
         for _ in 0..time.as_millis() / STEP.as_millis() {
             self.now = self.now + STEP;
             self.steps += 1;
-            if self.steps.is_multiple_of(GOSSIP) {
+            if self.steps.is_multiple_of(GOSSIP_STEPS) {
                 self.gossip();
             }
             for (index, &rate) in demand.iter().enumerate() {
-                self.ask(index, rate);
+                self.send_requests(index, rate);
             }
         }
         self.admitted.iter().sum::<u64>() - before
     }
 
-    fn ask(&mut self, index: usize, rate: f64) {
+    fn send_requests(&mut self, index: usize, rate: f64) {
         self.credit[index] += rate * STEP.as_secs_f64();
         while self.credit[index] >= 1.0 {
             self.credit[index] -= 1.0;
@@ -110,11 +110,11 @@
 
     fn gossip(&mut self) {
         for from in 0..self.routers.len() {
-            let uses = self.routers[from].tick(self.now);
+            let demands = self.routers[from].tick(self.now);
             let name: NodeId = format!("router-{from}").parse().expect("a name");
             for to in 0..self.routers.len() {
                 if to != from && self.sides[to] == self.sides[from] {
-                    self.routers[to].on_report(self.now, &name, self.steps, uses.clone());
+                    self.routers[to].on_report(self.now, &name, self.steps, demands.clone());
                 }
             }
         }
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn shares_hold_for_more_accounts_than_routers_can_tell_of() {
+fn shares_hold_for_more_accounts_than_routers_may_report() {
     // The callers of an account are let in beyond its limit at all routers.
     // A balancer spreads 1,200 accounts over 20 routers, each of which may
     // tell of 1,000. One that took a share of what it does not tell of would
@@ -161,7 +161,10 @@
     let names: Vec<ClientAccount> = (0..1_200)
         .map(|n| format!("account-{n:04}").parse().expect("a name"))
         .collect();
-    let accounts = names.iter().map(|n| (n.clone(), with(100))).collect();
+    let accounts = names
+        .iter()
+        .map(|n| (n.clone(), account_with(100)))
+        .collect();
     let mut router = Limiter::new(Time::ZERO, 20);
     router.set_accounts(Time::ZERO, &accounts);
     let mut routers = vec![router; 20];
@@ -177,11 +180,11 @@
     for _ in 0..20 {
         drop(routers[3].admit(now, &names[1_199], Tokens(1)));
     }
-    let told = tell(&mut routers, now, 1);
-    assert!(told.iter().all(|uses| uses.len() == 1_000));
-    let busiest = told[3].last().map(|u| &u.account);
+    let reports = exchange_reports(&mut routers, now, 1);
+    assert!(reports.iter().all(|demands| demands.len() == 1_000));
+    let busiest = reports[3].last().map(|d| &d.account);
     assert_eq!(busiest, names.last(), "the busiest is told before others");
-    tell(&mut routers, now, 2);
+    exchange_reports(&mut routers, now, 2);
     for name in &names {
         let sum: f64 = routers.iter().filter_map(|r| r.share(name)).sum();
         assert!((0.1..=1.000_1).contains(&sum), "{name}: {sum}");
@@ -192,12 +195,15 @@
 fn concurrency_counts_what_is_in_flight() {
     let mut router = Limiter::default();
     router.set_accounts(Time::ZERO, &limits(2));
-    let ask = |router: &mut Limiter| router.admit(Time::ZERO, &account(), Tokens(1));
-    assert_matches!(ask(&mut router), Ok(()));
-    assert_matches!(ask(&mut router), Ok(()));
-    assert_matches!(ask(&mut router), Err(LimitError::Concurrency { active: 2 }));
+    let admit = |router: &mut Limiter| router.admit(Time::ZERO, &account(), Tokens(1));
+    assert_matches!(admit(&mut router), Ok(()));
+    assert_matches!(admit(&mut router), Ok(()));
+    assert_matches!(
+        admit(&mut router),
+        Err(LimitError::Concurrency { active: 2 })
+    );
     router.done(Time::ZERO, &account(), Tokens(1), Tokens(1));
-    assert_matches!(ask(&mut router), Ok(()));
+    assert_matches!(admit(&mut router), Ok(()));
 }
 
 #[test]
--- a/lib/tests/test_once_scenarios.rs
+++ b/lib/tests/test_once_scenarios.rs
@@ -9,13 +9,13 @@
 use snipeyoke_testutils::world::World;
 
 /// A world whose callers and agents go by name.
-struct Stage {
+struct Scenario {
     world: World,
     keys: BTreeMap<String, usize>,
     owners: BTreeMap<String, usize>,
 }
 
-impl Stage {
+impl Scenario {
     fn new() -> Self {
         let mut world = World::new(7, Safeguards::ON);
         world.step(Step::Wait(6_000));
@@ -49,18 +49,18 @@
     }
 
     fn retry(&mut self, key: &str, target: Target) {
-        let back = self.keys.len() - 1 - self.keys[key];
-        self.world.step(Step::Retry(back, target));
+        let calls_since = self.keys.len() - 1 - self.keys[key];
+        self.world.step(Step::Retry(calls_since, target));
     }
 
-    fn told(&self, key: &str, out: &mut String) {
+    fn write_history(&self, key: &str, out: &mut String) {
         let caller = self.keys[key];
-        let told = self.world.told(caller).join("; ");
+        let history = self.world.told(caller).join("; ");
         let effects = self.world.effects(caller);
-        writeln!(out, "{key}: {told} [effects: {effects}]").expect("text grows");
+        writeln!(out, "{key}: {history} [effects: {effects}]").expect("text grows");
     }
 
-    fn line(&mut self, line: &str, out: &mut String) {
+    fn run_line(&mut self, line: &str, out: &mut String) {
         let words: Vec<_> = line.split_whitespace().collect();
         let number = |text: &str| text.parse().expect("a number");
         match words.as_slice() {
@@ -91,7 +91,7 @@
             ["log", "mute"] => self.world.step(Step::Mute),
             ["log", "up"] => self.world.step(Step::Up),
             ["slow", ms] => self.world.step(Step::Slow(number(ms).unsigned_abs())),
-            ["told", key] => self.told(key, out),
+            ["told", key] => self.write_history(key, out),
             _ => panic!("unknown line: {line}"),
         }
     }
@@ -102,13 +102,13 @@
     datadriven::walk("tests/scenarios/state", |file| {
         file.run(|case| {
             assert_eq!(case.directive, "scenario", "the only directive");
-            let mut stage = Stage::new();
+            let mut scenario = Scenario::new();
             let mut out = String::new();
             for line in case.input.lines() {
-                stage.line(line, &mut out);
+                scenario.run_line(line, &mut out);
             }
-            stage.world.finish();
-            if let Some(fault) = &stage.world.broken {
+            scenario.world.finish();
+            if let Some(fault) = &scenario.world.broken {
                 writeln!(out, "BROKEN: {fault}").expect("text grows");
             }
             out
--- a/lib/tests/test_once_schedules.rs
+++ b/lib/tests/test_once_schedules.rs
@@ -17,7 +17,7 @@
 const CASES: u32 = 2_000;
 
 /// The schedules among which a mutation has to be caught.
-const HUNT: u64 = 2_000;
+const MUTATION_SEEDS: u64 = 2_000;
 
 #[test]
 fn no_schedule_doubles_an_effect_or_denies_one() {
@@ -41,15 +41,15 @@
 }
 
 /// Returns the first seed whose schedule breaks a promise.
-fn hunt(guards: Safeguards) -> Option<(u64, String)> {
-    let mut seeds = 0..HUNT;
+fn find_fault(guards: Safeguards) -> Option<(u64, String)> {
+    let mut seeds = 0..MUTATION_SEEDS;
     seeds.find_map(|seed| run(&schedule(seed), seed, guards).map(|fault| (seed, fault)))
 }
 
-fn caught(name: &str, change: impl Fn(&mut Safeguards)) {
+fn assert_caught(name: &str, change: impl Fn(&mut Safeguards)) {
     let mut guards = Safeguards::ON;
     change(&mut guards);
-    let (seed, fault) = hunt(guards).expect("the mutation breaks a promise");
+    let (seed, fault) = find_fault(guards).expect("the mutation breaks a promise");
     println!("without {name}: seed {seed}: {fault}");
 }
 
@@ -58,54 +58,54 @@
 
 #[test]
 fn needs_lease_expiry() {
-    caught("lease.expiry", |g| g.lease.expiry = false);
+    assert_caught("lease.expiry", |g| g.lease.expiry = false);
 }
 
 #[test]
 fn needs_lease_from_send() {
-    caught("lease.from_send", |g| g.lease.from_send = false);
+    assert_caught("lease.from_send", |g| g.lease.from_send = false);
 }
 
 #[test]
 fn needs_lease_read_back() {
-    caught("lease.read_back", |g| g.lease.read_back = false);
+    assert_caught("lease.read_back", |g| g.lease.read_back = false);
 }
 
 #[test]
 fn needs_lease_wait_out() {
-    caught("lease.wait_out", |g| g.lease.wait_out = false);
+    assert_caught("lease.wait_out", |g| g.lease.wait_out = false);
 }
 
 #[test]
 fn needs_lease_used() {
-    caught("lease.used", |g| g.lease.used = false);
+    assert_caught("lease.used", |g| g.lease.used = false);
 }
 
 #[test]
 fn needs_once_lease() {
-    caught("once.lease", |g| g.once.lease = false);
+    assert_caught("once.lease", |g| g.once.lease = false);
 }
 
 #[test]
 fn needs_once_issue() {
-    caught("once.issue", |g| g.once.issue = false);
+    assert_caught("once.issue", |g| g.once.issue = false);
 }
 
 #[test]
 fn needs_once_future() {
-    caught("once.future", |g| g.once.future = false);
+    assert_caught("once.future", |g| g.once.future = false);
 }
 
 #[test]
 fn needs_once_floor() {
-    caught("once.floor", |g| g.once.floor = false);
+    assert_caught("once.floor", |g| g.once.floor = false);
 }
 
 #[test]
 #[ignore = "a long run, outside CI: SCHEDULES says how many, FIRST where to begin"]
 fn long_run() {
     let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
-    let first = number("FIRST").unwrap_or(HUNT);
+    let first = number("FIRST").unwrap_or(MUTATION_SEEDS);
     for seed in first..first + number("SCHEDULES").unwrap_or(100_000) {
         let broken = run(&schedule(seed), seed, Safeguards::ON);
         assert_eq!(broken, None, "seed {seed}");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_key_issued_just_ahead_does_not_outlive_its_owner() {
+fn key_issued_ahead_is_not_run_again_by_successor() {
     // A phone's clock runs 2.8 s ahead; its key is taken in by an agent whose
     // own clock runs ahead too, and which dies at once. The successor's clock
     // is behind. Counting the skew once, it takes the key for newer than its
--- a/lib/tests/test_outcome.rs
+++ b/lib/tests/test_outcome.rs
@@ -4,7 +4,7 @@
 use snipeyoke_lib::outcome::Reason;
 
 #[test]
-fn reads_back_the_words_that_it_writes() {
+fn reasons_and_outcomes_round_trip() {
     // The operator sees "endpoint-failure" for every cause that has two words.
     // An agent writes its reason into the reply, and the router that can't read
     // it back takes the general one. So all words must come back as they were.
--- a/lib/tests/test_slots.rs
+++ b/lib/tests/test_slots.rs
@@ -13,7 +13,7 @@
 // fewer slots is the news that wakes them, once. A slot that a newer claim took
 // is no news: somebody owns it already.
 #[test]
-fn hears_of_slots_given_up() {
+fn reports_slots_released_by_an_agent() {
     let pool: PoolName = "desk".parse().expect("a name");
     let [d1, d2]: [EndpointId; 2] = ["d1", "d2"].map(|id| id.parse().expect("a name"));
     let slots: Vec<KeySlot> = KeySlot::all().take(3).collect();
