--- a/lib/src/deadline.rs
+++ b/lib/src/deadline.rs
@@ -27,12 +27,12 @@
 
 /// A histogram of durations in which old observations lose weight.
 #[derive(Debug, Clone)]
-pub struct Quantiles {
+pub struct DurationHistogram {
     counts: [f32; BUCKET_COUNT],
     total: f32,
 }
 
-impl Default for Quantiles {
+impl Default for DurationHistogram {
     fn default() -> Self {
         Self {
             counts: [0.0; BUCKET_COUNT],
@@ -41,7 +41,7 @@
     }
 }
 
-impl Quantiles {
+impl DurationHistogram {
     /// Adds an observation.
     pub fn observe(&mut self, elapsed: Duration) {
         if self.total >= FADE_COUNT {
@@ -87,9 +87,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct StageTime {
     /// The time from endpoint selection to the response.
-    pub elapsed: Quantiles,
+    pub elapsed: DurationHistogram,
     /// The time to the first token, or to the response if it has no tokens.
-    pub first_token: Quantiles,
+    pub first_token: DurationHistogram,
     output_tokens: Option<f32>,
     last_seen: Time,
 }
--- a/lib/src/drain.rs
+++ b/lib/src/drain.rs
@@ -267,12 +267,12 @@
         if matches!(self.phase, Phase::Serving | Phase::Done) {
             return Time::NEVER;
         }
-        let moving = if self.moved {
+        let move_at = if self.moved {
             Time::NEVER
         } else {
             self.started_at + self.settings.move_after
         };
-        self.next_report.min(self.linger_end).min(moving)
+        self.next_report.min(self.linger_end).min(move_at)
     }
 
     fn step(&mut self, now: Time) -> Vec<DrainAction> {
--- a/lib/src/limits/limiter.rs
+++ b/lib/src/limits/limiter.rs
@@ -107,7 +107,7 @@
 pub struct Limiter {
     accounts: BTreeMap<ClientAccount, AccountState>,
     peers: Peers,
-    expected: usize,
+    expected_routers: usize,
     started_at: Time,
 }
 
@@ -122,7 +122,7 @@
         Self {
             accounts: BTreeMap::new(),
             peers: Peers::new(),
-            expected: routers,
+            expected_routers: routers,
             started_at: now,
         }
     }
@@ -130,7 +130,7 @@
     fn router_count(&self, now: Time) -> usize {
         let known = self.peers.count() + 1;
         if now.since(self.started_at) < PEER_TIMEOUT {
-            return known.max(self.expected);
+            return known.max(self.expected_routers);
         }
         known
     }
@@ -162,8 +162,8 @@
         self.peers.drop_silent(now);
         let routers = self.router_count(now);
         let complete = routers == self.peers.count() + 1;
-        let most = (REPORTED_ACCOUNTS_MAX / routers).max(1);
-        let (threshold, mut ties) = self.report_threshold(now, most);
+        let report_max = (REPORTED_ACCOUNTS_MAX / routers).max(1);
+        let (threshold, mut ties) = self.report_threshold(now, report_max);
         let even = 1.0 / routers as f64;
         let mut peer_demand = self.peers.demand();
         let mut report = Vec::new();
@@ -197,24 +197,24 @@
         report
     }
 
-    // Returns the smallest fraction of demand to limit that is among the `most`
+    // Returns the smallest fraction of demand to limit that is among the `report_max`
     // largest, and how many accounts with exactly that fraction are reported.
-    fn report_threshold(&self, now: Time, most: usize) -> (f64, usize) {
-        if self.accounts.len() <= most {
-            return (0.0, most);
+    fn report_threshold(&self, now: Time, report_max: usize) -> (f64, usize) {
+        if self.accounts.len() <= report_max {
+            return (0.0, report_max);
         }
         let states = self.accounts.values();
         let mut fractions: Vec<f64> = states.filter_map(|s| s.limit_fraction(now)).collect();
-        if fractions.len() <= most {
-            return (0.0, most);
+        if fractions.len() <= report_max {
+            return (0.0, report_max);
         }
         let (above, threshold, _) =
-            fractions.select_nth_unstable_by(most - 1, |a, b| b.total_cmp(a));
+            fractions.select_nth_unstable_by(report_max - 1, |a, b| b.total_cmp(a));
         let above = above
             .iter()
             .filter(|fraction| **fraction > *threshold)
             .count();
-        (*threshold, most - above)
+        (*threshold, report_max - above)
     }
 
     /// Admits a request that is expected to use `tokens`.
--- a/lib/tests/test_limits.rs
+++ b/lib/tests/test_limits.rs
@@ -21,7 +21,7 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const GOSSIP_STEPS: u64 = 50; // steps
-const LIMIT: f64 = 100.0;
+const REQUEST_LIMIT: f64 = 100.0;
 
 /// Routers that gossip, each with its own demand on one account.
 struct Site {
@@ -43,7 +43,7 @@
 
 fn account_with(concurrency: u32) -> Account {
     let limits = Limits {
-        requests: RequestRate(LIMIT),
+        requests: RequestRate(REQUEST_LIMIT),
         tokens: TokenRate(1e6),
         concurrency,
     };
@@ -81,9 +81,9 @@
         }
     }
 
-    fn run(&mut self, time: Duration, demand: &[f64]) -> u64 {
+    fn run(&mut self, duration: Duration, demand: &[f64]) -> u64 {
         let before: u64 = self.admitted.iter().sum();
-        for _ in 0..time.as_millis() / STEP.as_millis() {
+        for _ in 0..duration.as_millis() / STEP.as_millis() {
             self.now = self.now + STEP;
             self.steps += 1;
             if self.steps.is_multiple_of(GOSSIP_STEPS) {
@@ -140,8 +140,11 @@
     let joined = site.run(Duration::from_secs(10), &demand);
     assert!(joined <= 1_150, "{joined} of 1,000 and the bursts");
     site.sides = vec![0, 0, 1, 1];
-    let apart = site.run(Duration::from_mins(1), &demand);
-    assert!((10_500..=12_100).contains(&apart), "{apart} of 12,000");
+    let partitioned = site.run(Duration::from_mins(1), &demand);
+    assert!(
+        (10_500..=12_100).contains(&partitioned),
+        "{partitioned} of 12,000"
+    );
     site.sides = vec![0; 4];
     let after = site.run(Duration::from_secs(1), &demand);
     assert!(
@@ -237,12 +240,12 @@
         splits in prop::collection::vec(prop::collection::vec(0.0_f64..200.0, 3), 1..4),
     ) {
         let mut site = Site::new(3);
-        let mut allowed = LIMIT;
+        let mut allowed = REQUEST_LIMIT;
         let mut admitted = 0;
         for split in &splits {
             admitted += site.run(Duration::from_secs(10), split);
             // Each change of demand may spend another burst before it is told.
-            allowed += LIMIT * 10.0 + 2.0 * LIMIT;
+            allowed += REQUEST_LIMIT * 10.0 + 2.0 * REQUEST_LIMIT;
         }
         prop_assert!(admitted as f64 <= allowed, "{admitted} of {allowed}");
     }
