--- a/lib/src/limits/limiter.rs
+++ b/lib/src/limits/limiter.rs
@@ -197,8 +197,8 @@
         report
     }
 
-    // Returns the smallest fraction of demand to limit that is among the `report_max`
-    // largest, and how many accounts with exactly that fraction are reported.
+    // Returns the smallest of the `report_max` largest ratios of demand to limit,
+    // and how many accounts with exactly that ratio are reported.
     fn report_threshold(&self, now: Time, report_max: usize) -> (f64, usize) {
         if self.accounts.len() <= report_max {
             return (0.0, report_max);
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -1,4 +1,4 @@
-//! Admission by what the stages can still make.
+//! Admission by whether the stages can meet the deadline.
 
 use std::time::Duration;
 
@@ -44,9 +44,8 @@
 
 #[test]
 fn refuses_late_request_at_once_with_retry_after() {
-    // The caller would wait three seconds for nothing, and its generation
-    // would be paid for. The queue already takes longer than the deadline, so
-    // the refusal comes before anything runs, with the time that is missing.
+    // The queue is longer than the deadline of three seconds allows. Without a refusal
+    // before anything runs, the caller would wait in vain and the generation be wasted.
     let (mut world, spec) = loaded_world(30);
     let refused = admit(world.now, &spec, &mut world.shared);
     assert_matches!(
@@ -80,9 +79,8 @@
 
 #[test]
 fn flood_of_one_account_does_not_block_others() {
-    // One account sends ten times what the others send, and the queue grows.
-    // Its callers are refused while the queue is still short enough for the
-    // rest, so that the small account goes on getting its answers.
+    // One account sends ten times as much as the others, and the queue grows. It must be
+    // refused while the queue is still short enough to admit the small account.
     let (mut world, mut flood) = loaded_world(15);
     let mut small = flood.clone();
     small.account = "small".parse().expect("a name");
--- a/lib/tests/test_drain.rs
+++ b/lib/tests/test_drain.rs
@@ -1,4 +1,4 @@
-//! Tests of the drain of a node or an endpoint.
+//! Tests of draining a node or an endpoint.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -102,7 +102,7 @@
     ]
 }
 
-/// The node around the drain: what it holds and what it was told to do.
+/// A simulated node: what it holds, and which actions it has executed.
 #[derive(Default)]
 struct Node {
     now: Time,
@@ -119,19 +119,19 @@
                 DrainAction::HandOver => {
                     assert_eq!(
                         self.held.calls, 0,
-                        "slots are given away under a running call"
+                        "slots are released under a running call"
                     );
                 }
                 DrainAction::Goodbye => {
                     assert_eq!(
                         self.held,
                         DrainBlockers::default(),
-                        "goodbye is said while something is held"
+                        "goodbye is sent while something is held"
                     );
                     self.sent_goodbye = true;
                 }
                 DrainAction::Exit => {
-                    assert!(self.sent_goodbye, "the process leaves without a goodbye");
+                    assert!(self.sent_goodbye, "the process exits without a goodbye");
                     self.exited = true;
                 }
                 DrainAction::Resume => {
@@ -147,8 +147,8 @@
             Op::Begin(source, leave) => drain.begin(self.now, *source, *leave),
             Op::Cancel(source) => drain.cancel(*source).unwrap_or_default(),
             Op::Start => {
-                // Peers that don't know yet send on; the gate refuses those,
-                // so only a serving node takes work.
+                // Peers that don't know of the drain still send calls. The gate
+                // refuses them, so only a serving node accepts work.
                 self.held.calls += usize::from(drain.accepts_work());
                 Vec::new()
             }
@@ -180,11 +180,9 @@
 
 #[test]
 fn never_cuts_what_runs_and_always_ends() {
-    // The caller sees a broken answer if a node leaves under a running call.
-    // Drains begin, are cancelled and begin again by three sources, with work
-    // coming and going and time passing every deadline. Each step is only taken
-    // on counts of zero, never on time, so nothing is cut; and once all that is
-    // held has gone, the drain of a leaving node ends.
+    // Guards against a node that exits under a running call and breaks its response, and
+    // against a drain that never ends. Three sources begin and cancel drains while work
+    // starts and ends; steps depend on counts of zero, never on passed deadlines.
     let ops = prop::collection::vec(op(), 1..60);
     let config = Config {
         cases: 512,
--- a/lib/tests/test_limits.rs
+++ b/lib/tests/test_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of client accounts over several routers.
+//! Limits of client accounts across several routers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 use snipeyoke_lib::units::Tokens;
 
 const STEP: Duration = Duration::from_millis(10);
-const GOSSIP_STEPS: u64 = 50; // steps
+const GOSSIP_STEPS: u64 = 50;
 const REQUEST_LIMIT: f64 = 100.0;
 
-/// Routers that gossip, each with its own demand on one account.
+/// Routers that exchange reports, each with its own demand from one account.
 struct Site {
     routers: Vec<Limiter>,
     sides: Vec<usize>,
@@ -132,9 +132,9 @@
 
 #[test]
 fn a_partition_admits_a_limit_on_each_side_and_no_more_afterwards() {
-    // Callers of one account reach routers on both sides of a partition.
-    // The sides lose each other for a minute and take over each other's share.
-    // They then admit at most one limit each; after they join, one together.
+    // Routers on two sides of a partition lose each other for a minute and take over
+    // each other's share. Each side may admit up to one limit for its callers; after
+    // the partition heals, both together admit one.
     let mut site = Site::new(4);
     let demand = [100.0; 4];
     let joined = site.run(Duration::from_secs(10), &demand);
@@ -157,10 +157,9 @@
 
 #[test]
 fn shares_hold_for_more_accounts_than_routers_may_report() {
-    // The callers of an account are let in beyond its limit at all routers.
-    // A balancer spreads 1,200 accounts over 20 routers, each of which may
-    // tell of 1,000. One that took a share of what it does not tell of would
-    // have it besides the shares of those that do.
+    // Guards against an account that exceeds its limit over all routers. 1,200 accounts
+    // use 20 routers, each of which may report 1,000. If a router used a share by demand
+    // that it does not report, the shares would add up to more than one.
     let names: Vec<ClientAccount> = (0..1_200)
         .map(|n| format!("account-{n:04}").parse().expect("a name"))
         .collect();
@@ -186,7 +185,11 @@
     let reports = exchange_reports(&mut routers, now, 1);
     assert!(reports.iter().all(|demands| demands.len() == 1_000));
     let busiest = reports[3].last().map(|d| &d.account);
-    assert_eq!(busiest, names.last(), "the busiest is told before others");
+    assert_eq!(
+        busiest,
+        names.last(),
+        "the busiest is reported before others"
+    );
     exchange_reports(&mut routers, now, 2);
     for name in &names {
         let sum: f64 = routers.iter().filter_map(|r| r.share(name)).sum();
@@ -232,9 +235,8 @@
         ..ProptestConfig::default()
     })]
 
-    // An account's callers choose routers as they like and change their mind.
-    // Whatever the split, all routers together stay at the limit and its
-    // bursts, and an account that asks enough gets most of what it may.
+    // Callers of one account split their demand over the routers in any way and change
+    // the split. All routers together must stay within the limit plus bursts.
     #[test]
     fn keeps_the_limit_for_any_split(
         splits in prop::collection::vec(prop::collection::vec(0.0_f64..200.0, 3), 1..4),
@@ -244,7 +246,7 @@
         let mut admitted = 0;
         for split in &splits {
             admitted += site.run(Duration::from_secs(10), split);
-            // Each change of demand may spend another burst before it is told.
+            // Each change of demand may spend another burst before it is reported.
             allowed += REQUEST_LIMIT * 10.0 + 2.0 * REQUEST_LIMIT;
         }
         prop_assert!(admitted as f64 <= allowed, "{admitted} of {allowed}");
--- a/lib/tests/test_once_scenarios.rs
+++ b/lib/tests/test_once_scenarios.rs
@@ -1,4 +1,4 @@
-//! At most once, told as scenarios: see `scenarios/state/`.
+//! Scenarios of at-most-once execution; see `scenarios/state/`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,7 +8,7 @@
 use snipeyoke_testutils::world::Target;
 use snipeyoke_testutils::world::World;
 
-/// A world whose callers and agents go by name.
+/// A world whose callers and agents are identified by names of keys.
 struct Scenario {
     world: World,
     keys: BTreeMap<String, usize>,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the agent meant by `owner:KEY` (at the key's first call) or `other:KEY`.
+    /// Returns the agent for `owner:KEY` (at the key's first call) or `other:KEY`.
     fn agent(&self, text: &str) -> usize {
         let (which, key) = text.split_once(':').expect("owner:KEY or other:KEY");
         let owner = self.owners[key];
--- a/lib/tests/test_once_schedules.rs
+++ b/lib/tests/test_once_schedules.rs
@@ -1,4 +1,4 @@
-//! At most once under random schedules of calls and faults.
+//! At-most-once execution under random schedules of calls and faults.
 
 use proptest::prop_assert_eq;
 use proptest::test_runner::Config;
@@ -13,18 +13,17 @@
 use snipeyoke_testutils::world::schedule;
 use snipeyoke_testutils::world::schedules;
 
-/// The schedules of an ordinary run.
+/// The number of schedules in a normal run.
 const CASES: u32 = 2_000;
 
-/// The schedules among which a mutation has to be caught.
+/// The number of schedules in which each mutation must be detected.
 const MUTATION_SEEDS: u64 = 2_000;
 
 #[test]
 fn no_schedule_doubles_an_effect_or_denies_one() {
-    // A caller retries a key through any agent, while agents pause, die and are
-    // cut off, and the log goes away or loses answers. Whatever the order, the
-    // effect takes place once at most, a key that every try was refused for
-    // has none, and no lease has two holders.
+    // A caller retries a key at any agent while agents pause, die or are partitioned
+    // and the log fails or loses responses. The effect must occur at most once, and
+    // never if all attempts were refused; no lease may have two holders.
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -37,10 +36,10 @@
         prop_assert_eq!(broken, None);
         Ok(())
     });
-    verdict.expect("every schedule keeps the promises");
+    verdict.expect("every schedule keeps the guarantees");
 }
 
-/// Returns the first seed whose schedule breaks a promise.
+/// Returns the first seed whose schedule violates a guarantee, with the fault.
 fn find_fault(guards: Safeguards) -> Option<(u64, String)> {
     let mut seeds = 0..MUTATION_SEEDS;
     seeds.find_map(|seed| run(&schedule(seed), seed, guards).map(|fault| (seed, fault)))
@@ -49,12 +48,12 @@
 fn assert_caught(name: &str, change: impl Fn(&mut Safeguards)) {
     let mut guards = Safeguards::ON;
     change(&mut guards);
-    let (seed, fault) = find_fault(guards).expect("the mutation breaks a promise");
+    let (seed, fault) = find_fault(guards).expect("the mutation violates a guarantee");
     println!("without {name}: seed {seed}: {fault}");
 }
 
-// Each safeguard is switched off in turn, and some schedule then shows the
-// caller a doubled effect, a false refusal or two holders of one lease.
+// Each test turns off one safeguard. Some schedule must then show a duplicate
+// effect, a false refusal or two holders of one lease.
 
 #[test]
 fn needs_lease_expiry() {
@@ -102,7 +101,7 @@
 }
 
 #[test]
-#[ignore = "a long run, outside CI: SCHEDULES says how many, FIRST where to begin"]
+#[ignore = "long run outside CI: SCHEDULES sets the number of schedules, FIRST the first seed"]
 fn long_run() {
     let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
     let first = number("FIRST").unwrap_or(MUTATION_SEEDS);
@@ -114,11 +113,9 @@
 
 #[test]
 fn key_issued_ahead_is_not_run_again_by_successor() {
-    // A phone's clock runs 2.8 s ahead; its key is taken in by an agent whose
-    // own clock runs ahead too, and which dies at once. The successor's clock
-    // is behind. Counting the skew once, it takes the key for newer than its
-    // claim, and the notice is published twice. Found by seed 58917 of a long
-    // run: the skews add up, so the successor counts two.
+    // A caller's clock runs 2.8 s ahead, and so does that of the agent, which runs the
+    // key and dies. A successor with a clock behind, adding the skew once, would run the
+    // key again, so it adds the skew twice. Found by seed 58917 of a long run.
     for seed in 0..300 {
         let mut world = World::new(seed, Safeguards::ON);
         world.step(Step::Wait(6_000 + seed * 7));
--- a/lib/tests/test_outcome.rs
+++ b/lib/tests/test_outcome.rs
@@ -1,13 +1,12 @@
-//! Tests of the words for outcomes and reasons.
+//! Tests of the text forms of outcomes and reasons.
 
 use snipeyoke_lib::outcome::Outcome;
 use snipeyoke_lib::outcome::Reason;
 
 #[test]
 fn reasons_and_outcomes_round_trip() {
-    // The operator sees "endpoint-failure" for every cause that has two words.
-    // An agent writes its reason into the reply, and the router that can't read
-    // it back takes the general one. So all words must come back as they were.
+    // An agent sends its reason as text, and a router that can't parse it falls back to
+    // "endpoint-failure". That happened to all reasons of two words.
     let reasons = [
         Reason::Deadline,
         Reason::NoEndpoint,
--- a/lib/tests/test_slots.rs
+++ b/lib/tests/test_slots.rs
@@ -1,4 +1,4 @@
-//! What a router knows of the owners of key slots.
+//! Tests of a router's map of the owners of key slots.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,9 @@
 use snipeyoke_lib::once::KeySlot;
 use snipeyoke_lib::once::SlotMap;
 
-// Approvals are refused for 15 s after a planned stop: the leaving agent gives
-// its slots up, and the others look at the log that seldom. Its report with
-// fewer slots is the news that wakes them, once. A slot that a newer claim took
-// is no news: somebody owns it already.
+// Guards against approvals refused for 15 s after a planned stop, the interval at which
+// other agents poll the log. The leaving agent's report with fewer slots must wake them,
+// once; a slot that a newer claim already owns must not.
 #[test]
 fn reports_slots_released_by_an_agent() {
     let pool: PoolName = "desk".parse().expect("a name");
