--- a/lib/tests/test_drain.rs
+++ b/lib/tests/test_drain.rs
@@ -135,7 +135,7 @@
                     self.exited = true;
                 }
                 DrainAction::Resume => {
-                    assert!(!self.sent_goodbye, "service resumes after the goodbye")
+                    assert!(!self.sent_goodbye, "service resumes after the goodbye");
                 }
                 DrainAction::Move | DrainAction::Report { .. } => {}
             }
--- a/lib/tests/test_limits.rs
+++ b/lib/tests/test_limits.rs
@@ -24,9 +24,9 @@
 const REQUEST_LIMIT: f64 = 100.0;
 
 /// Routers that exchange reports, each with its own demand from one account.
-struct Site {
+struct RouterGroup {
     routers: Vec<Limiter>,
-    sides: Vec<usize>,
+    partition: Vec<usize>,
     now: Time,
     steps: u64,
     admitted: Vec<u64>,
@@ -67,13 +67,13 @@
     reports
 }
 
-impl Site {
+impl RouterGroup {
     fn new(count: usize) -> Self {
         let mut router = Limiter::new(Time::ZERO, count);
         router.set_accounts(Time::ZERO, &limits(1_000_000));
         Self {
             routers: vec![router; count],
-            sides: vec![0; count],
+            partition: vec![0; count],
             now: Time::ZERO,
             steps: 0,
             admitted: vec![0; count],
@@ -113,7 +113,7 @@
             let demands = self.routers[from].tick(self.now);
             let name: NodeId = format!("router-{from}").parse().expect("a name");
             for to in 0..self.routers.len() {
-                if to != from && self.sides[to] == self.sides[from] {
+                if to != from && self.partition[to] == self.partition[from] {
                     self.routers[to].on_report(self.now, &name, self.steps, demands.clone());
                 }
             }
@@ -123,10 +123,10 @@
 
 #[test]
 fn one_busy_router_gets_nearly_the_whole_limit() {
-    let mut site = Site::new(4);
+    let mut group = RouterGroup::new(4);
     let demand = [300.0, 1.0, 1.0, 1.0];
-    site.run(Duration::from_secs(5), &demand);
-    let admitted = site.run(Duration::from_secs(10), &demand);
+    group.run(Duration::from_secs(5), &demand);
+    let admitted = group.run(Duration::from_secs(10), &demand);
     assert!((900..=1_030).contains(&admitted), "{admitted} of 1,000");
 }
 
@@ -135,23 +135,23 @@
     // Routers on two sides of a partition lose each other for a minute and take over
     // each other's share. Each side may admit up to one limit for its callers; after
     // the partition heals, both together admit one.
-    let mut site = Site::new(4);
+    let mut group = RouterGroup::new(4);
     let demand = [100.0; 4];
-    let joined = site.run(Duration::from_secs(10), &demand);
+    let joined = group.run(Duration::from_secs(10), &demand);
     assert!(joined <= 1_150, "{joined} of 1,000 and the bursts");
-    site.sides = vec![0, 0, 1, 1];
-    let partitioned = site.run(Duration::from_mins(1), &demand);
+    group.partition = vec![0, 0, 1, 1];
+    let partitioned = group.run(Duration::from_mins(1), &demand);
     assert!(
         (10_500..=12_100).contains(&partitioned),
         "{partitioned} of 12,000"
     );
-    site.sides = vec![0; 4];
-    let after = site.run(Duration::from_secs(1), &demand);
+    group.partition = vec![0; 4];
+    let after = group.run(Duration::from_secs(1), &demand);
     assert!(
         after <= 400,
         "{after}: two limits for a gossip interval, and bursts"
     );
-    let settled = site.run(Duration::from_secs(10), &demand);
+    let settled = group.run(Duration::from_secs(10), &demand);
     assert!(settled <= 1_050, "{settled} of 1,000");
 }
 
@@ -241,11 +241,11 @@
     fn keeps_the_limit_for_any_split(
         splits in prop::collection::vec(prop::collection::vec(0.0_f64..200.0, 3), 1..4),
     ) {
-        let mut site = Site::new(3);
+        let mut group = RouterGroup::new(3);
         let mut allowed = REQUEST_LIMIT;
         let mut admitted = 0;
         for split in &splits {
-            admitted += site.run(Duration::from_secs(10), split);
+            admitted += group.run(Duration::from_secs(10), split);
             // Each change of demand may spend another burst before it is reported.
             allowed += REQUEST_LIMIT * 10.0 + 2.0 * REQUEST_LIMIT;
         }
