--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -259,7 +259,7 @@
 
     /// Returns the number of agents that have reported to this router.
     #[must_use]
-    pub fn linked(&self) -> usize {
+    pub fn reported_agents(&self) -> usize {
         self.node.agents.reported()
     }
 
--- a/site/src/run.rs
+++ b/site/src/run.rs
@@ -225,7 +225,10 @@
     async fn ready(&self) -> Result<(), SiteError> {
         let looks = READY_LIMIT.as_millis() / LOOK.as_millis();
         for _look in 0..looks {
-            let linked = self.routers.iter().all(|r| r.linked() == self.agents.len());
+            let linked = self
+                .routers
+                .iter()
+                .all(|r| r.reported_agents() == self.agents.len());
             if linked && self.all_ready().await {
                 return Ok(());
             }
