--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -27,7 +27,7 @@
 use crate::node::Node;
 
 /// How often the shares are recomputed and told to the other routers.
-const TICK: Duration = Duration::from_millis(500);
+const SHARE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Takes requests on, or refuses them before anything runs.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     }
 
     /// Takes over the accounts of the configuration in force.
-    pub(crate) fn set(&self, now: Time, config: &Config) {
+    pub(crate) fn set_accounts(&self, now: Time, config: &Config) {
         self.limiter().set(now, &config.accounts);
     }
 
@@ -74,7 +74,7 @@
 
     /// Takes in what another router is asked for.
     pub(crate) fn on_usage(&self, now: Time, peer: &NodeId, usage: &Usage) {
-        let uses = usage.accounts.iter().filter_map(heard).collect();
+        let uses = usage.accounts.iter().filter_map(from_wire).collect();
         self.limiter().on_peer(now, peer, usage.seq, uses);
     }
 
@@ -97,20 +97,20 @@
 pub(crate) async fn run(node: Arc<Node>) {
     while !node.board.stop.is_set() {
         let pause = async {
-            Timer::after(TICK).await;
+            Timer::after(SHARE_INTERVAL).await;
         };
         pause.or(node.board.stop.wait()).await;
         let now = node.clock.now();
         let uses = node.admission.limiter().tick(now);
         let usage = Usage {
             seq: Clock::wall().as_millis(),
-            accounts: uses.iter().map(told).collect(),
+            accounts: uses.iter().map(to_wire).collect(),
         };
-        node.members.tell_routers(&Body::Usage(usage));
+        node.members.send_to_routers(&Body::Usage(usage));
     }
 }
 
-fn told(own: &AccountUse) -> AccountUsage {
+fn to_wire(own: &AccountUse) -> AccountUsage {
     AccountUsage {
         account: own.account.to_string(),
         requests: own.requests,
@@ -121,10 +121,10 @@
 
 // A peer of another release, or a broken one, may tell of names or numbers that
 // no router can have; one of these in the sum would void the share of all.
-fn heard(theirs: &AccountUsage) -> Option<AccountUse> {
-    let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
+fn from_wire(theirs: &AccountUsage) -> Option<AccountUse> {
+    let is_valid_rate = |rate: f64| rate.is_finite() && rate >= 0.0;
     let account = theirs.account.parse().ok()?;
-    (sound(theirs.requests) && sound(theirs.tokens)).then_some(AccountUse {
+    (is_valid_rate(theirs.requests) && is_valid_rate(theirs.tokens)).then_some(AccountUse {
         account,
         requests: theirs.requests,
         tokens: theirs.tokens,
--- a/router/src/agents.rs
+++ b/router/src/agents.rs
@@ -29,7 +29,7 @@
 use snipeyoke_wire::frame::Body;
 
 /// The time after which the same offer or question is sent again.
-const LEVEL_AGAIN: Duration = Duration::from_secs(2);
+const SYNC_RETRY: Duration = Duration::from_secs(2);
 
 /// Something about one attempt, for its driver.
 #[derive(Debug)]
@@ -53,9 +53,9 @@
 
 /// When the configuration was last levelled over a link, and between what.
 #[derive(Debug, Default)]
-struct Levelled {
-    at: Option<(Offset, Offset)>,
-    when: Time,
+struct LastSync {
+    offsets: Option<(Offset, Offset)>,
+    time: Time,
 }
 
 /// The link to one agent.
@@ -66,15 +66,15 @@
     next: AtomicU64,
     /// Set once the agent has reported its load on this link.
     pub(crate) reported: Flag,
-    calls: Mutex<BTreeMap<u64, Pending>>,
-    asks: Mutex<BTreeMap<u64, Sender<Reply>>>,
-    levelled: Mutex<Levelled>,
+    calls: Mutex<BTreeMap<u64, PendingCall>>,
+    outcome_requests: Mutex<BTreeMap<u64, Sender<Reply>>>,
+    last_sync: Mutex<LastSync>,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingCall {
     attempt: AttemptId,
-    feed: Sender<Input>,
+    input_sender: Sender<Input>,
     written: Option<Written>,
 }
 
@@ -115,28 +115,32 @@
         endpoint: &EndpointId,
         attempt: AttemptId,
         call: Call,
-        feed: Sender<Input>,
+        input_sender: Sender<Input>,
     ) -> Option<CallHandle> {
         let link = self.links().get(endpoint).cloned()?;
-        link.call(attempt, call, feed)
+        link.call(attempt, call, input_sender)
     }
 
     /// Asks an agent what became of a key; `None` if there is no link to it.
-    pub(crate) fn ask(&self, endpoint: &EndpointId, key: OnceKey) -> Option<Receiver<Reply>> {
+    pub(crate) fn request_outcome(
+        &self,
+        endpoint: &EndpointId,
+        key: OnceKey,
+    ) -> Option<Receiver<Reply>> {
         let link = self.links().get(endpoint).cloned()?;
-        link.ask(key)
+        link.request_outcome(key)
     }
 
     /// Sends an agent a frame that nobody waits for, if there is a link to it.
-    pub(crate) fn pass_on(&self, endpoint: &EndpointId, body: Body) {
+    pub(crate) fn send(&self, endpoint: &EndpointId, body: Body) {
         let link = self.links().get(endpoint).cloned();
         if let Some(link) = link {
-            link.pass_on(body);
+            link.send(body);
         }
     }
 
     /// Returns the number of links whose agent has reported its load.
-    pub(crate) fn reported(&self) -> usize {
+    pub(crate) fn reported_count(&self) -> usize {
         let links = self.links();
         links.values().filter(|l| l.reported.is_set()).count()
     }
@@ -154,8 +158,8 @@
             next: AtomicU64::new(1),
             reported: Flag::default(),
             calls: Mutex::default(),
-            asks: Mutex::default(),
-            levelled: Mutex::default(),
+            outcome_requests: Mutex::default(),
+            last_sync: Mutex::default(),
         }
     }
 
@@ -163,14 +167,17 @@
     ///
     /// An agent reports twice a second, also while a snapshot of a megabyte is
     /// on its way to it; each report would queue the same megabyte again.
-    pub(crate) fn is_uneven(&self, now: Time, own: Offset, theirs: Offset) -> bool {
-        let mut last = self.levelled.lock().unwrap_or_else(PoisonError::into_inner);
-        if last.at == Some((own, theirs)) && now.since(last.when) < LEVEL_AGAIN {
+    pub(crate) fn needs_sync(&self, now: Time, own: Offset, theirs: Offset) -> bool {
+        let mut last = self
+            .last_sync
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if last.offsets == Some((own, theirs)) && now.since(last.time) < SYNC_RETRY {
             return false;
         }
-        *last = Levelled {
-            at: Some((own, theirs)),
-            when: now,
+        *last = LastSync {
+            offsets: Some((own, theirs)),
+            time: now,
         };
         own != theirs
     }
@@ -179,7 +186,7 @@
         self: Arc<Self>,
         attempt: AttemptId,
         mut call: Call,
-        feed: Sender<Input>,
+        input_sender: Sender<Input>,
     ) -> Option<CallHandle> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         call.call = number;
@@ -188,9 +195,9 @@
         // and noting whether it was written.
         let mut calls = self.calls();
         let written = self.sender.send_tracked(Body::Call(call)).ok()?;
-        let pending = Pending {
+        let pending = PendingCall {
             attempt,
-            feed,
+            input_sender,
             written: Some(written),
         };
         calls.insert(number, pending);
@@ -198,40 +205,42 @@
         Some(CallHandle { link: self, number })
     }
 
-    fn ask(&self, key: OnceKey) -> Option<Receiver<Reply>> {
+    fn request_outcome(&self, key: OnceKey) -> Option<Receiver<Reply>> {
         let ask = self.next.fetch_add(1, Ordering::Relaxed);
         let (send, receive) = async_channel::bounded(1);
-        self.asks().insert(ask, send);
+        self.outcome_requests().insert(ask, send);
         let frame = Ask {
             ask,
             key: Some(key),
         };
         if self.sender.send(Body::Ask(frame)).is_err() {
-            self.asks().remove(&ask);
+            self.outcome_requests().remove(&ask);
             return None;
         }
         Some(receive)
     }
 
     /// Sends a frame that nobody waits for.
-    pub(crate) fn pass_on(&self, body: Body) {
+    pub(crate) fn send(&self, body: Body) {
         if let Err(error) = self.sender.send(body) {
             log::debug!(event = "frame-unsent", error = error.to_string().as_str(); "");
         }
     }
 
     /// Passes the answer to a question on to who asked.
-    pub(crate) fn on_told(&self, told: Told) {
-        let asker = self.asks().remove(&told.ask);
-        if let (Some(asker), Some(reply)) = (asker, told.reply)
-            && asker.try_send(reply).is_err()
+    pub(crate) fn on_outcome_response(&self, response: Told) {
+        let requester = self.outcome_requests().remove(&response.ask);
+        if let (Some(requester), Some(reply)) = (requester, response.reply)
+            && requester.try_send(reply).is_err()
         {
-            log::debug!(event = "asker-gone", ask = told.ask; "");
+            log::debug!(event = "asker-gone", ask = response.ask; "");
         }
     }
 
-    fn asks(&self) -> MutexGuard<'_, BTreeMap<u64, Sender<Reply>>> {
-        self.asks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn outcome_requests(&self) -> MutexGuard<'_, BTreeMap<u64, Sender<Reply>>> {
+        self.outcome_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Passes a chunk on to its driver.
@@ -239,7 +248,7 @@
         let calls = self.calls();
         // A late chunk of a cancelled call finds no entry and reaches nobody.
         if let Some(pending) = calls.get(&chunk.call) {
-            pending.tell(Signal::Chunk(chunk));
+            pending.notify(Signal::Chunk(chunk));
         }
     }
 
@@ -247,7 +256,7 @@
     pub(crate) fn on_reply(&self, reply: Reply) {
         let pending = self.calls().remove(&reply.call);
         if let Some(pending) = pending {
-            pending.tell(Signal::Reply(reply));
+            pending.notify(Signal::Reply(reply));
         }
     }
 
@@ -260,27 +269,27 @@
     ///
     /// Call it after the writer has ended: only then is it settled which calls
     /// were never written.
-    pub(crate) fn on_lost(&self) {
-        self.asks().clear();
+    pub(crate) fn on_link_lost(&self) {
+        self.outcome_requests().clear();
         let calls = std::mem::take(&mut *self.calls());
         for pending in calls.into_values() {
             let written = pending.written.as_ref().is_none_or(Written::is_set);
-            pending.tell(Signal::Lost { written });
+            pending.notify(Signal::Lost { written });
         }
     }
 
-    fn calls(&self) -> MutexGuard<'_, BTreeMap<u64, Pending>> {
+    fn calls(&self) -> MutexGuard<'_, BTreeMap<u64, PendingCall>> {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Pending {
-    fn tell(&self, signal: Signal) {
+impl PendingCall {
+    fn notify(&self, signal: Signal) {
         let input = Input {
             attempt: self.attempt,
             signal,
         };
-        if self.feed.try_send(input).is_err() {
+        if self.input_sender.try_send(input).is_err() {
             log::debug!(event = "driver-gone", attempt = self.attempt.0; "");
         }
     }
--- a/router/src/board.rs
+++ b/router/src/board.rs
@@ -45,15 +45,15 @@
 pub(crate) struct Board {
     pub(crate) config: Fact<ConfigFact>,
     /// Set once the router has met its endpoints.
-    pub(crate) met: Flag,
+    pub(crate) endpoints_ready: Flag,
     /// Set once the router asks to be passed over, while it still serves.
-    pub(crate) aside: Flag,
+    pub(crate) pre_drain: Flag,
     /// Set once the router takes nothing new.
     pub(crate) drain: Flag,
     /// Set once callers are no longer answered.
-    pub(crate) end: Flag,
+    pub(crate) callers_closed: Flag,
     /// Set once the platform's host list says that the host leaves.
-    pub(crate) leave: Flag,
+    pub(crate) host_leaving: Flag,
     /// Set once every task has to end.
     pub(crate) stop: Flag,
 }
@@ -62,11 +62,11 @@
     pub(crate) fn new() -> Self {
         Self {
             config: Fact::new(ConfigFact::default()),
-            met: Flag::default(),
-            aside: Flag::default(),
+            endpoints_ready: Flag::default(),
+            pre_drain: Flag::default(),
             drain: Flag::default(),
-            end: Flag::default(),
-            leave: Flag::default(),
+            callers_closed: Flag::default(),
+            host_leaving: Flag::default(),
             stop: Flag::default(),
         }
     }
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -47,14 +47,14 @@
 use crate::agents::AgentLink;
 use crate::control::drains;
 use crate::follow;
-use crate::members::Entry;
+use crate::members::LinkEntry;
 use crate::node::Node;
 
 /// The longest time to connect, and to hear the first frame.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The pause between two looks whether a retired link has calls left.
-const RETIRE_LOOK: Duration = Duration::from_millis(50);
+const RETIRE_POLL: Duration = Duration::from_millis(50);
 
 /// The reason why a link to a peer ended.
 #[derive(Debug)]
@@ -66,14 +66,14 @@
     Frame(FrameError),
     #[display("the peer's hello is malformed: {_0}")]
     Hello(IdError),
-    #[display("no hello within {CONNECT_LIMIT:?}: is this the address of a peer?")]
+    #[display("no hello within {CONNECT_TIMEOUT:?}: is this the address of a peer?")]
     NoHello,
     #[display("the peer closed the link")]
     Closed,
 }
 
 /// The endpoint beside an agent.
-struct Peer {
+struct AgentPeer {
     endpoint: EndpointId,
     pool: PoolName,
     host: HostId,
@@ -84,16 +84,16 @@
 }
 
 /// A node as it introduced itself.
-struct Met {
+struct PeerIdentity {
     profile: Profile,
     incarnation: Incarnation,
     hello: Hello,
 }
 
-impl Met {
+impl PeerIdentity {
     /// Returns the endpoint, if the node is an agent.
-    fn peer(&self) -> Option<Peer> {
-        Some(Peer {
+    fn agent(&self) -> Option<AgentPeer> {
+        Some(AgentPeer {
             endpoint: self.profile.endpoint.clone()?,
             pool: self.profile.pool.clone()?,
             host: self.profile.host.clone(),
@@ -105,7 +105,7 @@
     }
 }
 
-impl TryFrom<Hello> for Met {
+impl TryFrom<Hello> for PeerIdentity {
     type Error = LinkError;
 
     fn try_from(hello: Hello) -> Result<Self, LinkError> {
@@ -141,12 +141,12 @@
 
 /// Dials `address` and serves the link until it ends.
 pub(crate) async fn dial(node: Arc<Node>, address: SocketAddr) {
-    let stream = match link::connect(address, CONNECT_LIMIT).await {
+    let stream = match link::connect(address, CONNECT_TIMEOUT).await {
         Ok(stream) => stream,
         Err(error) => {
             log::debug!(event = "dial-failed", address = address.to_string().as_str(), error = error.to_string().as_str(); "");
-            let end = end_of(&error);
-            return node.members.tell(Event::DialFailed { address, end });
+            let end = link_end(&error);
+            return node.members.notify(Event::DialFailed { address, end });
         }
     };
     if let Err(error) = serve(&node, stream, Some(address)).await {
@@ -155,13 +155,13 @@
 }
 
 /// Serves a link that another router dialed.
-pub(crate) async fn accepted(node: Arc<Node>, stream: Async<TcpStream>) {
+pub(crate) async fn serve_accepted(node: Arc<Node>, stream: Async<TcpStream>) {
     if let Err(error) = serve(&node, stream, None).await {
         log::info!(event = "link-down", error = error.to_string().as_str(); "");
     }
 }
 
-fn end_of(error: &std::io::Error) -> LinkEnd {
+fn link_end(error: &std::io::Error) -> LinkEnd {
     match error.kind() {
         ErrorKind::ConnectionRefused => LinkEnd::Refused,
         ErrorKind::ConnectionReset => LinkEnd::Reset,
@@ -181,49 +181,52 @@
             log::debug!(event = "link-write-failed", error = error.to_string().as_str(); "");
         }
     });
-    let met = greet(node, &sender, &mut reader).await;
-    let met = match met {
-        Ok(met) => met,
+    let identity = handshake(node, &sender, &mut reader).await;
+    let identity = match identity {
+        Ok(identity) => identity,
         Err(error) => {
             if let Some(address) = dialed {
                 let end = LinkEnd::Timeout;
-                node.members.tell(Event::DialFailed { address, end });
+                node.members.notify(Event::DialFailed { address, end });
             }
             sender.close();
             scope.cancel().await;
             return Err(error);
         }
     };
-    let entry = node.members.open(sender.clone(), &met.profile);
-    node.members.tell(Event::LinkUp {
+    let entry = node.members.open(sender.clone(), &identity.profile);
+    node.members.notify(Event::LinkUp {
         link: entry.link,
         dialed,
-        profile: met.profile.clone(),
-        incarnation: met.incarnation,
+        profile: identity.profile.clone(),
+        incarnation: identity.incarnation,
     });
-    let ended = attend(node, &met, &entry, &mut reader, scope).await;
+    let result = serve_admitted(node, &identity, &entry, &mut reader, scope).await;
     node.members.close(entry.link);
-    let end = match &ended {
-        Err(LinkError::Io(error)) => end_of(error),
+    let end = match &result {
+        Err(LinkError::Io(error)) => link_end(error),
         _ => LinkEnd::Reset,
     };
-    node.members.tell(Event::LinkDown {
+    node.members.notify(Event::LinkDown {
         link: entry.link,
         end,
     });
-    ended
+    result
 }
 
 /// Serves an admitted link: its calls, reports and heartbeats.
-async fn attend(
+async fn serve_admitted(
     node: &Node,
-    met: &Met,
-    entry: &Entry,
+    identity: &PeerIdentity,
+    entry: &LinkEntry,
     reader: &mut LinkReader,
     scope: Scope,
 ) -> Result<(), LinkError> {
-    let peer = met.peer();
-    let link = Arc::new(AgentLink::new(met.profile.address, entry.sender.clone()));
+    let peer = identity.agent();
+    let link = Arc::new(AgentLink::new(
+        identity.profile.address,
+        entry.sender.clone(),
+    ));
     let stopped = async {
         node.board.stop.wait().await;
         Ok(())
@@ -236,66 +239,68 @@
             return Ok(());
         }
         if let Some(peer) = &peer {
-            join(node, peer, &link);
+            register_agent(node, peer, &link);
         }
-        let listening = listen(node, peer.as_ref(), entry, &link, reader);
-        listening
-            .or(retire(node, peer.as_ref(), entry, &link))
+        let reading = read_frames(node, peer.as_ref(), entry, &link, reader);
+        reading
+            .or(wait_retired(node, peer.as_ref(), entry, &link))
             .await
     };
-    let ended = serving.or(stopped).await;
+    let result = serving.or(stopped).await;
     if let Some(peer) = &peer {
-        part(node, peer, &link);
+        unregister_agent(node, peer, &link);
     }
     // The writer ends first, so that it is settled what was written.
     entry.sender.close();
     scope.cancel().await;
-    link.on_lost();
-    ended
+    link.on_link_lost();
+    result
 }
 
 /// Ends once the view has given the link up and no call is left on it.
-async fn retire(
+async fn wait_retired(
     node: &Node,
-    peer: Option<&Peer>,
-    entry: &Entry,
+    peer: Option<&AgentPeer>,
+    entry: &LinkEntry,
     link: &Arc<AgentLink>,
 ) -> Result<(), LinkError> {
     entry.retired.wait().await;
     if let Some(peer) = peer {
-        part(node, peer, link);
+        unregister_agent(node, peer, link);
     }
     while !link.is_idle() {
-        Timer::after(RETIRE_LOOK).await;
+        Timer::after(RETIRE_POLL).await;
     }
     Ok(())
 }
 
-async fn greet(
+async fn handshake(
     node: &Node,
     sender: &LinkSender,
     reader: &mut LinkReader,
-) -> Result<Met, LinkError> {
+) -> Result<PeerIdentity, LinkError> {
     if sender.send(Body::Hello(node.hello())).is_err() {
         return Err(LinkError::Closed);
     }
     let timeout = async {
-        Timer::after(CONNECT_LIMIT).await;
+        Timer::after(CONNECT_TIMEOUT).await;
         Err(LinkError::NoHello)
     };
     let hello = async {
         match reader.next().await? {
-            Some(Body::Hello(hello)) => Met::try_from(hello),
+            Some(Body::Hello(hello)) => PeerIdentity::try_from(hello),
             _ => Err(LinkError::NoHello),
         }
     };
     hello.or(timeout).await
 }
 
-fn join(node: &Node, peer: &Peer, link: &Arc<AgentLink>) {
+fn register_agent(node: &Node, peer: &AgentPeer, link: &Arc<AgentLink>) {
     node.agents.open(peer.endpoint.clone(), Arc::clone(link));
     let (now, hello) = (node.clock.now(), peer.hello.clone());
-    node.control.sight.join(now, peer.endpoint.clone(), hello);
+    node.control
+        .endpoints
+        .add(now, peer.endpoint.clone(), hello);
     let mut shared = node.shared();
     shared.fleet.upsert(
         peer.endpoint.clone(),
@@ -307,36 +312,36 @@
     log::info!(event = "agent-link-up", endpoint = peer.endpoint.as_str(), pool = peer.pool.as_str(), domain = peer.domain.as_str(), address = link.address.to_string().as_str(), incarnation = peer.incarnation.0; "");
 }
 
-fn part(node: &Node, peer: &Peer, link: &Arc<AgentLink>) {
+fn unregister_agent(node: &Node, peer: &AgentPeer, link: &Arc<AgentLink>) {
     if node.agents.close(&peer.endpoint, link) {
         node.shared().fleet.mark_unreachable(&peer.endpoint);
         node.slots().forget(&peer.endpoint);
-        node.control.sight.part(&peer.endpoint);
+        node.control.endpoints.mark_unlinked(&peer.endpoint);
     }
 }
 
-async fn listen(
+async fn read_frames(
     node: &Node,
-    peer: Option<&Peer>,
-    entry: &Entry,
+    peer: Option<&AgentPeer>,
+    entry: &LinkEntry,
     link: &AgentLink,
     reader: &mut LinkReader,
 ) -> Result<(), LinkError> {
     loop {
         match reader.next().await? {
             Some(Body::Heartbeat(heartbeat)) => {
-                let beat = beat(&heartbeat);
-                node.members.tell(Event::Heard {
+                let beat = to_beat(&heartbeat);
+                node.members.notify(Event::Heard {
                     link: entry.link,
                     beat,
                 });
                 if let Some(peer) = peer {
-                    report(node, peer, link, &heartbeat);
+                    handle_heartbeat(node, peer, link, &heartbeat);
                 }
             }
             Some(Body::Goodbye(goodbye)) => {
                 let incarnation = Incarnation(goodbye.incarnation);
-                node.members.tell(Event::Goodbye {
+                node.members.notify(Event::Goodbye {
                     link: entry.link,
                     incarnation,
                 });
@@ -351,7 +356,7 @@
             }
             Some(body) => {
                 if let Some(peer) = peer {
-                    receive(node, peer, link, body);
+                    handle_frame(node, peer, link, body);
                 }
             }
             None => return Err(LinkError::Closed),
@@ -359,7 +364,7 @@
     }
 }
 
-fn beat(heartbeat: &Heartbeat) -> Beat {
+fn to_beat(heartbeat: &Heartbeat) -> Beat {
     Beat {
         incarnation: Incarnation(heartbeat.incarnation),
         seq: heartbeat.seq,
@@ -369,20 +374,20 @@
     }
 }
 
-fn report(node: &Node, peer: &Peer, link: &AgentLink, heartbeat: &Heartbeat) {
+fn handle_heartbeat(node: &Node, peer: &AgentPeer, link: &AgentLink, heartbeat: &Heartbeat) {
     let now = node.clock.now();
-    follow::level(node, link, Offset(heartbeat.config_offset));
+    follow::sync_config(node, link, Offset(heartbeat.config_offset));
     let freed = node
         .slots()
-        .report(&peer.pool, &peer.endpoint, &slots(heartbeat));
+        .report(&peer.pool, &peer.endpoint, &owned_slots(heartbeat));
     if freed {
-        tell_freed(node, peer);
+        notify_freed(node, peer);
     }
     let mut load = heartbeat.load.as_ref().map(load_report);
     // The agent knows nothing of an operator's drain, and each of its reports
     // would put it back into service.
     if let Some(load) = &mut load {
-        load.draining |= drained(node, peer);
+        load.draining |= is_drained(node, peer);
     }
     let mut shared = node.shared();
     if let Some(load) = &load {
@@ -394,15 +399,15 @@
     }
     drop(shared);
     let revision = heartbeat.config_revision;
-    let sight = &node.control.sight;
-    sight.report(now, &peer.endpoint, load, revision);
+    let endpoints = &node.control.endpoints;
+    endpoints.on_report(now, &peer.endpoint, load, revision);
 }
 
 /// Tells the other agents of a pool that one of them gave key slots up.
 ///
 /// They look at the log each 15 s while they expect nothing, and for so long
 /// every call to these slots would be refused.
-fn tell_freed(node: &Node, peer: &Peer) {
+fn notify_freed(node: &Node, peer: &AgentPeer) {
     let others: Vec<EndpointId> = {
         let shared = node.shared();
         let Some(pool) = shared.fleet.pool(&peer.pool) else {
@@ -416,29 +421,29 @@
     };
     for endpoint in others {
         let body = Body::SlotsFreed(frame.clone());
-        node.agents.pass_on(&endpoint, body);
+        node.agents.send(&endpoint, body);
     }
 }
 
-fn receive(node: &Node, peer: &Peer, link: &AgentLink, body: Body) {
+fn handle_frame(node: &Node, peer: &AgentPeer, link: &AgentLink, body: Body) {
     let now = node.clock.now();
     match body {
         Body::Chunk(chunk) => link.on_chunk(chunk),
         Body::Reply(reply) => {
             if let Some(load) = &reply.load {
                 let mut report = load_report(load);
-                report.draining |= drained(node, peer);
+                report.draining |= is_drained(node, peer);
                 node.shared().fleet.on_load(now, &peer.endpoint, &report);
             }
             link.on_reply(reply);
         }
-        Body::Told(told) => link.on_told(told),
+        Body::Told(response) => link.on_outcome_response(response),
         Body::ConfigAsk(ask) => {
             for offer in node.book.offer(Offset(ask.have)) {
-                link.pass_on(Body::ConfigOffer(offer));
+                link.send(Body::ConfigOffer(offer));
             }
         }
-        Body::ConfigOffer(offer) => follow::offered(node, link, &offer),
+        Body::ConfigOffer(offer) => follow::on_offer(node, link, &offer),
         Body::Cache(events) => {
             node.shared()
                 .fleet
@@ -450,15 +455,15 @@
     }
 }
 
-fn slots(heartbeat: &Heartbeat) -> BTreeMap<KeySlot, FencingNumber> {
-    let owned = heartbeat.slots.iter().filter_map(|owned| {
+fn owned_slots(heartbeat: &Heartbeat) -> BTreeMap<KeySlot, FencingNumber> {
+    let slots = heartbeat.slots.iter().filter_map(|owned| {
         let slot = KeySlot::try_from(owned.slot).ok()?;
         Some((slot, FencingNumber(owned.fence)))
     });
-    owned.collect()
+    slots.collect()
 }
 
-fn drained(node: &Node, peer: &Peer) -> bool {
+fn is_drained(node: &Node, peer: &AgentPeer) -> bool {
     let config = &node.board.config.get().config;
     drains::covers(config, &peer.endpoint, &peer.host, &peer.domain)
 }
--- a/router/src/control/auth.rs
+++ b/router/src/control/auth.rs
@@ -5,8 +5,8 @@
 use subtle::Choice;
 use subtle::ConstantTimeEq;
 
-use crate::door::bearer;
-use crate::door::digest;
+use crate::ingress::bearer;
+use crate::ingress::digest;
 use crate::settings::OperatorKey;
 
 /// Finds the operator whose key the request carries.
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -28,7 +28,7 @@
 ///
 /// Longer than an append and its read take in a region far away, shorter than
 /// the tool's own limit, so that the answer says what is known.
-const LOG_TIME: Duration = Duration::from_secs(3);
+const LOG_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What is known of the append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,16 +49,18 @@
     let in_force = node.board.config.get();
     let base = command.base.unwrap_or(in_force.revision);
     // The words are checked on the configuration that the operator saw.
-    let seen = match NodeFacts(node).config(Some(base)) {
-        Ok(seen) => seen.config,
+    let base_config = match NodeFacts(node).config(Some(base)) {
+        Ok(base_config) => base_config.config,
         Err(error) => return invalid(&error),
     };
-    let change = match command.edit.change(&seen) {
+    let change = match command.edit.change(&base_config) {
         Ok(change) => change,
         Err(error) => return invalid(&error),
     };
     if command.dry_run {
-        let diff = change.apply(&seen).map(|next| difference(&seen, &next));
+        let diff = change
+            .apply(&base_config)
+            .map(|next| difference(&base_config, &next));
         return match diff {
             Ok(diff) => ChangeAnswer::Planned { base, diff },
             Err(error) => invalid(&error),
@@ -81,13 +83,13 @@
     let waiter = node.control.waiters.wait(record.id);
     let mut state = Append::NotDone;
     let timeout = async {
-        Timer::after(LOG_TIME).await;
+        Timer::after(LOG_TIMEOUT).await;
         None
     };
     let applied = async { Some(publish(node, log, record, &waiter, &mut state).await) };
     match applied.or(timeout).await {
         Some(applied) => answer(&applied, base),
-        None => overdue(state),
+        None => timeout_answer(state),
     }
 }
 
@@ -144,7 +146,7 @@
     }
 }
 
-fn overdue(state: Append) -> ChangeAnswer {
+fn timeout_answer(state: Append) -> ChangeAnswer {
     match state {
         Append::NotDone => ChangeAnswer::NotDone {
             why: "the log service takes no appends; what is in force stays so, try again later"
--- a/router/src/control/drains.rs
+++ b/router/src/control/drains.rs
@@ -39,7 +39,7 @@
 }
 
 /// Tells whether this router sees what a drain names.
-pub(crate) fn is_seen(facts: &dyn Facts, target: &DrainTarget) -> bool {
+pub(crate) fn is_known(facts: &dyn Facts, target: &DrainTarget) -> bool {
     let endpoints = facts.endpoints();
     match target {
         DrainTarget::Endpoint(id) => endpoints.iter().any(|e| e.endpoint == *id),
--- a/router/src/control/sight.rs
+++ b/router/src/control/endpoints.rs
@@ -17,62 +17,62 @@
 use super::drains;
 
 /// The age up to which a report counts as fresh, as in the choice of endpoints.
-const FRESH: Duration = Duration::from_secs(3);
+const FRESH_AGE_MAX: Duration = Duration::from_secs(3);
 
 /// What is known of each endpoint; those that left stay until replaced.
 #[derive(Debug, Default)]
-pub(crate) struct Sight {
-    seen: Mutex<BTreeMap<EndpointId, Seen>>,
+pub(crate) struct Endpoints {
+    known: Mutex<BTreeMap<EndpointId, EndpointState>>,
 }
 
 #[derive(Debug)]
-struct Seen {
+struct EndpointState {
     hello: Hello,
-    heard: Time,
+    reported_at: Time,
     linked: bool,
     revision: u64,
     load: LoadReport,
 }
 
-impl Sight {
+impl Endpoints {
     /// Notes an agent that introduced itself.
-    pub(crate) fn join(&self, now: Time, endpoint: EndpointId, hello: Hello) {
-        let seen = Seen {
+    pub(crate) fn add(&self, now: Time, endpoint: EndpointId, hello: Hello) {
+        let known = EndpointState {
             hello,
-            heard: now,
+            reported_at: now,
             linked: true,
             revision: 0,
             load: LoadReport::default(),
         };
-        self.lock().insert(endpoint, seen);
+        self.lock().insert(endpoint, known);
     }
 
     /// Notes a report, with the revision in force at the agent.
-    pub(crate) fn report(
+    pub(crate) fn on_report(
         &self,
         now: Time,
         endpoint: &EndpointId,
         load: Option<LoadReport>,
         revision: u64,
     ) {
-        if let Some(seen) = self.lock().get_mut(endpoint) {
-            seen.heard = now;
-            seen.revision = revision;
-            seen.load = load.unwrap_or_else(|| seen.load.clone());
+        if let Some(known) = self.lock().get_mut(endpoint) {
+            known.reported_at = now;
+            known.revision = revision;
+            known.load = load.unwrap_or_else(|| known.load.clone());
         }
     }
 
     /// Notes that the link to an agent is gone.
-    pub(crate) fn part(&self, endpoint: &EndpointId) {
-        if let Some(seen) = self.lock().get_mut(endpoint) {
-            seen.linked = false;
+    pub(crate) fn mark_unlinked(&self, endpoint: &EndpointId) {
+        if let Some(known) = self.lock().get_mut(endpoint) {
+            known.linked = false;
         }
     }
 
     /// Returns the endpoints, in the order of their names.
     pub(crate) fn endpoints(&self, now: Time, config: &Config) -> Vec<EndpointFact> {
-        let seen = self.lock();
-        let facts = seen
+        let known = self.lock();
+        let facts = known
             .iter()
             .filter_map(|(id, s)| s.endpoint(id, now, config));
         facts.collect()
@@ -83,18 +83,18 @@
         self.lock().values().filter_map(|s| s.node(now)).collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<EndpointId, Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<EndpointId, EndpointState>> {
+        self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Seen {
+impl EndpointState {
     fn report_age(&self, now: Time) -> Duration {
-        now.since(self.heard) + self.load.age
+        now.since(self.reported_at) + self.load.age
     }
 
     fn is_fresh(&self, now: Time) -> bool {
-        self.linked && self.report_age(now) <= FRESH
+        self.linked && self.report_age(now) <= FRESH_AGE_MAX
     }
 
     fn endpoint(&self, id: &EndpointId, now: Time, config: &Config) -> Option<EndpointFact> {
@@ -128,7 +128,7 @@
             domain: hello.domain.parse().ok()?,
             address: hello.address.clone(),
             revision: (self.revision > 0).then_some(snipeyoke_lib::ids::Revision(self.revision)),
-            report: now.since(self.heard),
+            report: now.since(self.reported_at),
             fresh: self.is_fresh(now),
             draining: self.load.draining,
         })
--- a/router/src/control/facts.rs
+++ b/router/src/control/facts.rs
@@ -28,7 +28,7 @@
     }
 
     fn requests(&self, visit: &mut dyn FnMut(&Request)) {
-        self.0.control.records.each(visit);
+        self.0.control.records.for_each(visit);
     }
 
     fn request(&self, id: RequestId) -> Option<Request> {
@@ -37,7 +37,7 @@
 
     fn config(&self, at: Option<Revision>) -> Result<ConfigFact, FactError> {
         let in_force = self.0.board.config.get();
-        if at.is_none_or(|asked| asked == in_force.revision) {
+        if at.is_none_or(|wanted| wanted == in_force.revision) {
             return Ok(ConfigFact {
                 revision: in_force.revision,
                 config: std::sync::Arc::clone(&in_force.config),
@@ -52,7 +52,7 @@
 
     fn endpoints(&self) -> Vec<EndpointFact> {
         let config = &self.0.board.config.get().config;
-        self.0.control.sight.endpoints(self.now(), config)
+        self.0.control.endpoints.endpoints(self.now(), config)
     }
 
     fn hosts(&self) -> Result<Vec<HostFact>, FactError> {
@@ -67,7 +67,7 @@
     fn nodes(&self) -> Vec<NodeFact> {
         let mut nodes = vec![own(self.0)];
         nodes.extend(self.0.control.peers.routers(self.now()));
-        nodes.extend(self.0.control.sight.agents(self.now()));
+        nodes.extend(self.0.control.endpoints.agents(self.now()));
         nodes
     }
 
--- a/router/src/control/mod.rs
+++ b/router/src/control/mod.rs
@@ -3,11 +3,11 @@
 mod auth;
 mod changes;
 pub(crate) mod drains;
+mod endpoints;
 mod facts;
 mod peers;
 mod port;
 mod records;
-mod sight;
 mod waiters;
 
 use std::sync::Mutex;
@@ -18,10 +18,10 @@
 use snipeyoke_lib::config::Fold;
 use snipeyoke_lib::query::History;
 
+pub(crate) use self::endpoints::Endpoints;
 pub(crate) use self::peers::Peers;
 pub(crate) use self::port::Port;
 pub(crate) use self::records::Records;
-pub(crate) use self::sight::Sight;
 pub(crate) use self::waiters::Waiters;
 
 /// What the control port knows beside the blackboard.
@@ -30,7 +30,7 @@
     /// The requests of this router.
     pub(crate) records: Records,
     /// The endpoints that it sees.
-    pub(crate) sight: Sight,
+    pub(crate) endpoints: Endpoints,
     /// The hosts and other routers.
     pub(crate) peers: Peers,
     /// The operators who wait for a change to be read back.
--- a/router/src/control/peers.rs
+++ b/router/src/control/peers.rs
@@ -32,7 +32,7 @@
 
 impl Peers {
     /// Notes the host list.
-    pub(crate) fn listed(&self, list: &[Listed]) {
+    pub(crate) fn set_hosts(&self, list: &[Listed]) {
         let fact = |listed: &Listed| {
             let profile = &listed.profile;
             let state = if listed.leaving { "leaving" } else { "live" };
@@ -49,7 +49,7 @@
     }
 
     /// Notes what the membership view makes of a router.
-    pub(crate) fn state(&self, now: Time, profile: &Profile, state: PeerState) {
+    pub(crate) fn set_state(&self, now: Time, profile: &Profile, state: PeerState) {
         if profile.kind == NodeKind::Router {
             let entry = (profile.clone(), state, now);
             self.lock().routers.insert(profile.node.clone(), entry);
--- a/router/src/control/port.rs
+++ b/router/src/control/port.rs
@@ -36,7 +36,7 @@
 use crate::node::Node;
 
 /// The longest time for the text of a statement.
-const BODY_TIME: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The header with the identity of a change, the same when it is sent again.
 const CHANGE_HEADER: &str = "x-change-id";
@@ -75,17 +75,17 @@
         let id = change_id(request.headers());
         let text = match self.text(request).await {
             Ok(text) => text,
-            Err(text) => return self.bad(text),
+            Err(text) => return self.bad_request(text),
         };
         let statement = match parse_one(&text) {
             Ok(statement) => statement,
-            Err(error) => return self.bad(error.to_string()),
+            Err(error) => return self.bad_request(error.to_string()),
         };
         log::info!(target: "control", event = "statement", operator = operator.as_str(), text = statement.to_string().as_str(); "");
         match statement {
             Statement::Query(query) => self.query(&query),
             Statement::Watch { show, .. } => self.query(&Query::Show(show)),
-            Statement::Help => self.bad("ask the tool for help".to_owned()),
+            Statement::Help => self.bad_request("ask the tool for help".to_owned()),
             Statement::Command(Command::Stop(id)) => {
                 let stopped = self.node.control.records.stop(id);
                 self.reply(StatusCode::OK, vec![Line::Stop { stopped }], 0)
@@ -100,8 +100,10 @@
             body.map_err(|error| error.to_string())
         };
         let timeout = async {
-            Timer::after(BODY_TIME).await;
-            Err(format!("the text took over {BODY_TIME:?}: send it at once"))
+            Timer::after(BODY_TIMEOUT).await;
+            Err(format!(
+                "the text took over {BODY_TIMEOUT:?}: send it at once"
+            ))
         };
         let body = read.or(timeout).await?;
         String::from_utf8(body.into()).map_err(|_binary| "the text is not UTF-8".to_owned())
@@ -121,7 +123,7 @@
     }
 
     async fn change(&self, operator: Operator, id: RecordId, change: &ChangeCommand) -> Reply {
-        let mut lines: Vec<_> = self.unseen(&change.edit).into_iter().collect();
+        let mut lines: Vec<_> = self.unknown_target_note(&change.edit).into_iter().collect();
         let log = self.log.as_ref();
         let answer = changes::change(&self.node, log, operator.clone(), id, change).await;
         log::info!(target: "control", event = "change", operator = operator.as_str(), record = id.to_string().as_str(), change = change.to_string().as_str(), answer = answer.to_string().as_str(); "");
@@ -130,17 +132,17 @@
     }
 
     // A drain with a mistyped name would be accepted and drain nothing.
-    fn unseen(&self, edit: &Edit) -> Option<Line> {
+    fn unknown_target_note(&self, edit: &Edit) -> Option<Line> {
         let Edit::Drain(target) = edit else {
             return None;
         };
         let known = NodeFacts(&self.node);
-        (!super::drains::is_seen(&known, target)).then(|| Line::Note {
+        (!super::drains::is_known(&known, target)).then(|| Line::Note {
             text: format!("{target} is not seen by this router: check its name with 'show'"),
         })
     }
 
-    fn bad(&self, text: String) -> Reply {
+    fn bad_request(&self, text: String) -> Reply {
         self.reply(StatusCode::BAD_REQUEST, vec![Line::Error { text }], 0)
     }
 
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -21,10 +21,10 @@
 use snipeyoke_runtime::flag::Flag;
 
 /// The memory of the journal: an eighth of a node's 256 MB.
-const MEMORY: Bytes = Bytes(32 << 20);
+const JOURNAL_BYTES: Bytes = Bytes(32 << 20);
 
 /// The requests copied under one lock.
-const PAGE: usize = 64;
+const PAGE_SIZE: usize = 64;
 
 /// Records requests for operators.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
 impl Default for Records {
     fn default() -> Self {
         Self {
-            journal: Mutex::new(Journal::new(MEMORY)),
+            journal: Mutex::new(Journal::new(JOURNAL_BYTES)),
             running: Mutex::default(),
         }
     }
@@ -61,20 +61,28 @@
     }
 
     /// Notes a decision of a request's chain.
-    pub(crate) fn route(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
+    pub(crate) fn on_decision(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
         self.journal().on_route(now, spec, decision);
     }
 
     /// Notes the end of an attempt.
-    pub(crate) fn ended(&self, now: Time, id: RequestId, attempt: AttemptId, end: &AttemptEnd) {
+    pub(crate) fn on_attempt_end(
+        &self,
+        now: Time,
+        id: RequestId,
+        attempt: AttemptId,
+        end: &AttemptEnd,
+    ) {
         let mut journal = self.journal();
         journal.on_attempt_end(now, id, attempt, end);
-        let found = journal.get(id).and_then(|r| measure_of(r, attempt, now));
+        let found = journal
+            .get(id)
+            .and_then(|r| attempt_measures(r, attempt, now));
         drop(journal);
-        if let Some((stage, pipeline, took)) = found {
-            let how = ending(end);
-            metrics::counter!("snipeyoke_attempts_total", "pipeline" => pipeline.clone(), "stage" => stage.clone(), "end" => how).increment(1);
-            metrics::histogram!("snipeyoke_attempt_seconds", "pipeline" => pipeline, "stage" => stage).record(took);
+        if let Some((stage, pipeline, elapsed_s)) = found {
+            let label = end_label(end);
+            metrics::counter!("snipeyoke_attempts_total", "pipeline" => pipeline.clone(), "stage" => stage.clone(), "end" => label).increment(1);
+            metrics::histogram!("snipeyoke_attempt_seconds", "pipeline" => pipeline, "stage" => stage).record(elapsed_s);
         }
     }
 
@@ -96,14 +104,14 @@
             return;
         };
         let pipeline = request.accepted.pipeline.to_string();
-        let took = request.elapsed(now).as_secs_f64();
+        let elapsed_s = request.elapsed(now).as_secs_f64();
         let late = request.is_late(now);
         drop(journal);
         if late {
             metrics::counter!("snipeyoke_requests_late_total", "pipeline" => pipeline.clone())
                 .increment(1);
         }
-        metrics::histogram!("snipeyoke_request_seconds", "pipeline" => pipeline, "outcome" => outcome.to_string()).record(took);
+        metrics::histogram!("snipeyoke_request_seconds", "pipeline" => pipeline, "outcome" => outcome.to_string()).record(elapsed_s);
     }
 
     /// Stops a request; returns whether it runs here.
@@ -132,10 +140,10 @@
     ///
     /// A lock held over the whole journal would make every request at work wait
     /// while an operator's question is evaluated; so it is held for a page.
-    pub(crate) fn each(&self, visit: &mut dyn FnMut(&Request)) {
+    pub(crate) fn for_each(&self, visit: &mut dyn FnMut(&Request)) {
         let mut before = None;
         loop {
-            let page = self.journal().page(before, PAGE);
+            let page = self.journal().page(before, PAGE_SIZE);
             let Some(last) = page.last() else {
                 return;
             };
@@ -154,7 +162,11 @@
 }
 
 /// Returns the stage, pipeline and seconds of an attempt.
-fn measure_of(request: &Request, attempt: AttemptId, now: Time) -> Option<(String, String, f64)> {
+fn attempt_measures(
+    request: &Request,
+    attempt: AttemptId,
+    now: Time,
+) -> Option<(String, String, f64)> {
     let found = request.attempts.iter().rev();
     let mut found = found.filter(|a| a.decision.attempt == attempt);
     let found = found.next()?;
@@ -163,7 +175,7 @@
     Some((stage, pipeline, found.actual(now).as_secs_f64()))
 }
 
-const fn ending(end: &AttemptEnd) -> &'static str {
+const fn end_label(end: &AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Completed => "completed",
         AttemptEnd::NotRun { .. } => "not-run",
--- a/router/src/control/waiters.rs
+++ b/router/src/control/waiters.rs
@@ -22,23 +22,23 @@
 pub(crate) struct Waiter<'a> {
     waiters: &'a Waiters,
     id: RecordId,
-    told: Receiver<Applied>,
+    receiver: Receiver<Applied>,
 }
 
 impl Waiters {
     /// Begins to wait for a record; call it before the append.
     pub(crate) fn wait(&self, id: RecordId) -> Waiter<'_> {
-        let (tell, told) = async_channel::unbounded();
-        self.lock().insert(id, tell);
+        let (sender, receiver) = async_channel::unbounded();
+        self.lock().insert(id, sender);
         Waiter {
             waiters: self,
             id,
-            told,
+            receiver,
         }
     }
 
     /// Tells who waits for the record in `bytes` what it did.
-    pub(crate) fn tell(&self, bytes: &[u8], applied: &Applied) {
+    pub(crate) fn notify(&self, bytes: &[u8], applied: &Applied) {
         let waiting = self.lock();
         if waiting.is_empty() {
             return;
@@ -46,8 +46,8 @@
         let Ok(record) = Record::try_from(bytes) else {
             return;
         };
-        let told = waiting.get(&record.id).map(|w| w.try_send(applied.clone()));
-        if matches!(told, Some(Err(_))) {
+        let sent = waiting.get(&record.id).map(|w| w.try_send(applied.clone()));
+        if matches!(sent, Some(Err(_))) {
             log::debug!(event = "operator-gone", record = record.id.to_string().as_str(); "");
         }
     }
@@ -60,7 +60,7 @@
 impl Waiter<'_> {
     /// Waits until the record is read back.
     pub(crate) async fn applied(&self) -> Applied {
-        match self.told.recv().await {
+        match self.receiver.recv().await {
             Ok(applied) => applied,
             Err(_closed) => std::future::pending().await,
         }
--- a/router/src/drive/answer.rs
+++ b/router/src/drive/answer.rs
@@ -8,10 +8,10 @@
 
 /// The end of a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Finish {
+pub(crate) struct RequestResult {
     pub(crate) outcome: Outcome,
     pub(crate) reason: Option<Reason>,
-    pub(crate) retry: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
     /// The generated text, whole if the outcome is completed.
     pub(crate) text: String,
     /// The answer of a plain service.
@@ -22,9 +22,9 @@
 
 /// A message from the driver to the door.
 #[derive(Debug)]
-pub(crate) enum Up {
+pub(crate) enum DriverMessage {
     /// Text of the last stage, in order, each token once.
-    Piece(Bytes),
+    Text(Bytes),
     /// The one end.
-    Done(Box<Finish>),
+    Done(Box<RequestResult>),
 }
--- a/router/src/drive/ends.rs
+++ b/router/src/drive/ends.rs
@@ -11,12 +11,12 @@
 use snipeyoke_wire::Reply;
 use snipeyoke_wire::Role;
 
-use super::work::Taken;
-use super::work::Work;
+use super::work::PipelineData;
+use super::work::StageOutput;
 use crate::agents::Signal;
 
 /// Tells why the end of a call is not known, if it isn't.
-pub(super) fn missing_end(signal: &Signal) -> Option<Reason> {
+pub(super) fn unknown_end_reason(signal: &Signal) -> Option<Reason> {
     match signal {
         Signal::Lost { written: true } => Some(Reason::Connection),
         Signal::Reply(reply) if reply.end() == End::Unknown => {
@@ -28,7 +28,7 @@
     }
 }
 
-pub(super) const fn role_of(role: StageRole) -> Role {
+pub(super) const fn wire_role(role: StageRole) -> Role {
     match role {
         StageRole::Encode => Role::Encode,
         StageRole::Retrieve => Role::Retrieve,
@@ -38,7 +38,7 @@
     }
 }
 
-pub(super) fn usage_of(reply: &Reply) -> Usage {
+pub(super) fn reply_usage(reply: &Reply) -> Usage {
     Usage {
         queue: Duration::from_micros(reply.queue_us),
         work: Duration::from_micros(reply.work_us),
@@ -51,17 +51,21 @@
 ///
 /// An answer that lacks what its role promises is no answer: taken as
 /// completed it would reach the caller as a half result.
-pub(super) fn end_of(work: &Work, role: StageRole, reply: &Reply) -> Result<Taken, AttemptEnd> {
+pub(super) fn attempt_end(
+    data: &PipelineData,
+    role: StageRole,
+    reply: &Reply,
+) -> Result<StageOutput, AttemptEnd> {
     let reason = reply.reason.parse().unwrap_or(Reason::EndpointFailure);
     match reply.end() {
-        End::Completed => work.read(role, &reply.body).map_err(|error| {
+        End::Completed => data.parse_output(role, &reply.body).map_err(|error| {
             log::warn!(event = "answer-malformed", error = error.to_string().as_str(); "");
             let reason = Reason::EndpointFailure;
             AttemptEnd::Unknown { reason }
         }),
         End::NotRun => {
-            let after = Duration::from_millis(u64::from(reply.retry_after_ms));
-            let retry_after = (reply.retry_after_ms > 0).then_some(after);
+            let delay = Duration::from_millis(u64::from(reply.retry_after_ms));
+            let retry_after = (reply.retry_after_ms > 0).then_some(delay);
             Err(AttemptEnd::NotRun {
                 reason,
                 retry_after,
--- a/router/src/drive/mod.rs
+++ b/router/src/drive/mod.rs
@@ -7,9 +7,9 @@
 mod run;
 mod work;
 
-pub(crate) use answer::Finish;
-pub(crate) use answer::Up;
-pub(crate) use resolve::Once;
+pub(crate) use answer::DriverMessage;
+pub(crate) use answer::RequestResult;
+pub(crate) use resolve::IdempotencyKey;
 pub(crate) use run::Job;
 pub(crate) use run::drive;
-pub(crate) use work::Work;
+pub(crate) use work::PipelineData;
--- a/router/src/drive/record.rs
+++ b/router/src/drive/record.rs
@@ -7,7 +7,7 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_wire::Call;
 
-use super::work::Taken;
+use super::work::StageOutput;
 use crate::agents::CallHandle;
 
 /// One attempt on its way.
@@ -17,10 +17,10 @@
     pub(super) stage: usize,
     pub(super) role: StageRole,
     pub(super) call: Option<CallHandle>,
-    pub(super) taken: Option<Taken>,
+    pub(super) output: Option<StageOutput>,
     pub(super) output_tokens: u32,
     /// The call, kept while a missing answer could be resolved by it.
-    pub(super) once: Option<Call>,
+    pub(super) resend: Option<Call>,
 }
 
 /// What the chain has heard once and need not hear again.
@@ -29,16 +29,16 @@
 /// non-idempotent call still runs, would be told without end and keep the
 /// thread busy.
 #[derive(Debug, Default)]
-pub(super) struct Told {
-    pub(super) gone: bool,
+pub(super) struct Notified {
+    pub(super) caller_gone: bool,
     pub(super) stopped: bool,
 }
 
 /// What an attempt is sent with.
-pub(super) struct Sending {
+pub(super) struct AttemptRequest {
     pub(super) attempt: AttemptId,
     pub(super) stage: usize,
-    pub(super) left: Duration,
+    pub(super) remaining: Duration,
     pub(super) priority: u8,
     pub(super) resume: u32,
 }
--- a/router/src/drive/resolve.rs
+++ b/router/src/drive/resolve.rs
@@ -22,24 +22,24 @@
 use crate::node::Node;
 
 /// The pause between two tries, for a link or an owner to come back.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The longest wait for one agent's answer to a question.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The time left before the deadline in which the answer still gets out.
-const MARGIN: Duration = Duration::from_millis(20);
+const REPLY_MARGIN: Duration = Duration::from_millis(20);
 
 /// The idempotency key of a request that may run only once.
 #[derive(Debug, Clone)]
-pub(crate) struct Once {
+pub(crate) struct IdempotencyKey {
     pub(crate) key: OnceKey,
     pub(crate) slot: KeySlot,
 }
 
 /// A call to be resolved.
 #[derive(Debug)]
-pub(crate) struct Resolve {
+pub(crate) struct Resolver {
     pub(crate) attempt: AttemptId,
     pub(crate) call: Call,
     pub(crate) pool: PoolName,
@@ -47,26 +47,30 @@
     pub(crate) deadline: Time,
     /// What was seen, in case nothing better is found.
     pub(crate) reason: Reason,
-    pub(crate) feed: Sender<Input>,
+    pub(crate) input_sender: Sender<Input>,
 }
 
-impl Resolve {
+impl Resolver {
     /// Reports the call's end to its driver, before the deadline.
     pub(crate) async fn run(self, node: Arc<Node>) {
-        let limit = (self.deadline - MARGIN).since(node.clock.now());
-        let late = async {
+        let limit = (self.deadline - REPLY_MARGIN).since(node.clock.now());
+        let timeout = async {
             Timer::after(limit).await;
             None
         };
-        let found = self.find(&node).or(late).await;
-        let missing = || Reply {
+        let found = self.find_reply(&node).or(timeout).await;
+        let unknown_reply = || Reply {
             end: End::Unknown.into(),
             reason: self.reason.to_string(),
             ..Reply::default()
         };
-        let signal = Signal::Resolved(found.unwrap_or_else(missing));
+        let signal = Signal::Resolved(found.unwrap_or_else(unknown_reply));
         let attempt = self.attempt;
-        if self.feed.try_send(Input { attempt, signal }).is_err() {
+        if self
+            .input_sender
+            .try_send(Input { attempt, signal })
+            .is_err()
+        {
             log::debug!(event = "driver-gone", attempt = attempt.0; "");
         }
     }
@@ -76,26 +80,26 @@
     /// This is safe: the owner runs a key once, however often it is sent, and a
     /// new owner refuses a key that is older than its claim. No refusal counts
     /// as a proof here, since it says nothing of the first try.
-    async fn find(&self, node: &Node) -> Option<Reply> {
+    async fn find_reply(&self, node: &Node) -> Option<Reply> {
         loop {
             if let Some(reply) = self.send(node).await {
                 match reply.end() {
                     End::Completed => return Some(reply),
                     End::Unknown | End::Unspecified => {
-                        return self.ask_others(node).await.or(Some(reply));
+                        return self.query_pool(node).await.or(Some(reply));
                     }
                     End::NotRun => {}
                 }
             }
-            Timer::after(PAUSE).await;
+            Timer::after(RETRY_PAUSE).await;
         }
     }
 
     async fn send(&self, node: &Node) -> Option<Reply> {
         let owner = node.owner(&self.pool, self.slot)?;
         let mut call = self.call.clone();
-        let left = self.deadline.since(node.clock.now());
-        call.left_us = u64::try_from(left.as_micros()).unwrap_or(u64::MAX);
+        let remaining = self.deadline.since(node.clock.now());
+        call.left_us = u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX);
         let (send, receive) = async_channel::unbounded();
         let _handle = node.agents.call(&owner, self.attempt, call, send)?;
         match receive.recv().await.ok()?.signal {
@@ -105,24 +109,24 @@
     }
 
     /// Asks every agent of the pool: a former owner may have the answer.
-    async fn ask_others(&self, node: &Node) -> Option<Reply> {
+    async fn query_pool(&self, node: &Node) -> Option<Reply> {
         let key = self.call.once.as_ref()?;
-        let others: Vec<EndpointId> = {
+        let endpoints: Vec<EndpointId> = {
             let shared = node.shared();
             let pool = shared.fleet.pool(&self.pool)?;
             let ids = pool.endpoints().iter().map(|e| e.id().clone());
             ids.collect()
         };
-        for endpoint in others {
-            let Some(answer) = node.agents.ask(&endpoint, key.clone()) else {
+        for endpoint in endpoints {
+            let Some(receiver) = node.agents.request_outcome(&endpoint, key.clone()) else {
                 continue;
             };
-            let told = async { answer.recv().await.ok() };
-            let late = async {
-                Timer::after(ASK_LIMIT).await;
+            let response = async { receiver.recv().await.ok() };
+            let timeout = async {
+                Timer::after(QUERY_TIMEOUT).await;
                 None
             };
-            let reply = told.or(late).await;
+            let reply = response.or(timeout).await;
             if let Some(reply) = reply.filter(|r| r.end() == End::Completed) {
                 return Some(reply);
             }
--- a/router/src/drive/run.rs
+++ b/router/src/drive/run.rs
@@ -28,18 +28,18 @@
 use snipeyoke_wire::Call;
 use snipeyoke_wire::Chunk;
 
-use super::answer::Finish;
-use super::answer::Up;
-use super::ends::end_of;
-use super::ends::missing_end;
-use super::ends::role_of;
-use super::ends::usage_of;
+use super::answer::DriverMessage;
+use super::answer::RequestResult;
+use super::ends::attempt_end;
+use super::ends::reply_usage;
+use super::ends::unknown_end_reason;
+use super::ends::wire_role;
 use super::record::Attempt;
-use super::record::Sending;
-use super::record::Told;
-use super::resolve::Once;
-use super::resolve::Resolve;
-use super::work::Work;
+use super::record::AttemptRequest;
+use super::record::Notified;
+use super::resolve::IdempotencyKey;
+use super::resolve::Resolver;
+use super::work::PipelineData;
 use crate::agents::Input;
 use crate::agents::Signal;
 use crate::node::Node;
@@ -49,12 +49,12 @@
 pub(crate) struct Job {
     pub(crate) spec: RequestSpec,
     pub(crate) config: Arc<Config>,
-    pub(crate) work: Work,
-    pub(crate) once: Option<Once>,
+    pub(crate) data: PipelineData,
+    pub(crate) idempotency_key: Option<IdempotencyKey>,
     /// Where pieces and the end go.
-    pub(crate) up: Sender<Up>,
+    pub(crate) messages: Sender<DriverMessage>,
     /// Set when the caller goes away.
-    pub(crate) gone: Flag,
+    pub(crate) caller_gone: Flag,
     /// Set when an operator stops the request.
     pub(crate) stop: Flag,
 }
@@ -67,20 +67,20 @@
     /// The chunk that the chain is being told of.
     chunk: Option<Chunk>,
     /// The tokens of the stage's answer that have been taken.
-    held: u32,
+    received_tokens: u32,
     wake: Time,
-    feed: Sender<Input>,
+    input_sender: Sender<Input>,
     /// Events that arose while actions were carried out.
     pending: Vec<Event>,
     output_tokens: u32,
     /// Whether the chain has heard that the caller left or an operator stops.
-    told: Told,
+    notified: Notified,
     done: bool,
 }
 
 /// Drives a request to its one outcome.
 pub(crate) async fn drive(node: Arc<Node>, job: Job) {
-    let (feed, inputs) = async_channel::unbounded();
+    let (input_sender, inputs) = async_channel::unbounded();
     let chain = Chain::new(job.spec.clone());
     let mut driver = Driver {
         node,
@@ -88,46 +88,46 @@
         chain,
         attempts: BTreeMap::new(),
         chunk: None,
-        held: 0,
+        received_tokens: 0,
         wake: Time::NEVER,
-        feed,
+        input_sender,
         pending: vec![Event::Start],
         output_tokens: 0,
-        told: Told::default(),
+        notified: Notified::default(),
         done: false,
     };
     driver.run(inputs).await;
 }
 
 /// What the driver waits for.
-enum Next {
+enum Wakeup {
     Input(Box<Input>),
-    Wake,
-    Gone,
+    Timer,
+    CallerGone,
     Stopped,
 }
 
 impl Driver {
     async fn run(&mut self, inputs: Receiver<Input>) {
         loop {
-            while let Some(event) = self.take_pending() {
+            while let Some(event) = self.next_pending() {
                 self.step(event);
                 if self.done {
                     return;
                 }
             }
             let event = match self.next(&inputs).await {
-                Next::Input(input) => self.event_of(*input),
-                Next::Wake => {
+                Wakeup::Input(input) => self.to_event(*input),
+                Wakeup::Timer => {
                     self.wake = Time::NEVER;
                     Some(Event::Wake)
                 }
-                Next::Gone => {
-                    self.told.gone = true;
+                Wakeup::CallerGone => {
+                    self.notified.caller_gone = true;
                     Some(Event::CallerGone)
                 }
-                Next::Stopped => {
-                    self.told.stopped = true;
+                Wakeup::Stopped => {
+                    self.notified.stopped = true;
                     Some(Event::Stop)
                 }
             };
@@ -135,16 +135,16 @@
         }
     }
 
-    fn take_pending(&mut self) -> Option<Event> {
+    fn next_pending(&mut self) -> Option<Event> {
         let first = !self.pending.is_empty();
         first.then(|| self.pending.remove(0))
     }
 
-    async fn next(&self, inputs: &Receiver<Input>) -> Next {
+    async fn next(&self, inputs: &Receiver<Input>) -> Wakeup {
         let input = async {
             // The feed has a sender in `self`, so the channel stays open.
             match inputs.recv().await {
-                Ok(input) => Next::Input(Box::new(input)),
+                Ok(input) => Wakeup::Input(Box::new(input)),
                 Err(_closed) => std::future::pending().await,
             }
         };
@@ -153,21 +153,21 @@
                 Some(at) if self.wake != Time::NEVER => Timer::at(at).await,
                 _ => std::future::pending().await,
             };
-            Next::Wake
+            Wakeup::Timer
         };
         let gone = async {
-            if self.told.gone {
+            if self.notified.caller_gone {
                 return std::future::pending().await;
             }
-            self.job.gone.wait().await;
-            Next::Gone
+            self.job.caller_gone.wait().await;
+            Wakeup::CallerGone
         };
         let stopped = async {
-            if self.told.stopped {
+            if self.notified.stopped {
                 return std::future::pending().await;
             }
             self.job.stop.wait().await;
-            Next::Stopped
+            Wakeup::Stopped
         };
         input.or(wake).or(gone).or(stopped).await
     }
@@ -176,16 +176,16 @@
         let mut actions = Vec::new();
         let now = self.node.clock.now();
         self.record_end(now, &event);
-        self.follow_owner();
+        self.update_owner();
         self.chain
             .on_event(now, event, &mut self.node.shared(), &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.chunk = None;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send {
                 attempt,
@@ -195,10 +195,10 @@
                 priority,
                 resume_from,
             } => {
-                let send = Sending {
+                let send = AttemptRequest {
                     attempt,
                     stage,
-                    left: remaining,
+                    remaining,
                     priority,
                     resume: resume_from,
                 };
@@ -217,24 +217,24 @@
         }
     }
 
-    fn send(&mut self, send: &Sending, endpoint: EndpointId) {
+    fn send(&mut self, send: &AttemptRequest, endpoint: EndpointId) {
         let attempt = send.attempt;
         let stage = &self.job.spec.pipeline.stages[send.stage];
         let role = stage.role;
         let call = self.call(send);
-        let once = call.once.is_some().then(|| call.clone());
+        let resend = call.once.is_some().then(|| call.clone());
         let handle = self
             .node
             .agents
-            .call(&endpoint, attempt, call, self.feed.clone());
+            .call(&endpoint, attempt, call, self.input_sender.clone());
         let record = Attempt {
             endpoint,
             stage: send.stage,
             role,
             call: handle,
-            taken: None,
+            output: None,
             output_tokens: 0,
-            once,
+            resend,
         };
         let event = if record.call.is_some() {
             Event::Sent { attempt }
@@ -255,20 +255,20 @@
         self.pending.push(event);
     }
 
-    fn call(&self, send: &Sending) -> Call {
+    fn call(&self, send: &AttemptRequest) -> Call {
         let spec = &self.job.spec;
         let stage = &spec.pipeline.stages[send.stage];
         let pool = &self.job.config.pools[&stage.pool];
         let id = spec.request;
         let (path, body) = self
             .job
-            .work
-            .request(id, stage, pool, send.priority, send.resume);
+            .data
+            .build_request(id, stage, pool, send.priority, send.resume);
         let generates = stage.role == StageRole::Generate;
-        let once = if stage.idempotent {
+        let key = if stage.idempotent {
             None
         } else {
-            self.job.once.as_ref()
+            self.job.idempotency_key.as_ref()
         };
         Call {
             call: 0,
@@ -276,13 +276,13 @@
             account: spec.account.to_string(),
             pipeline: spec.name.to_string(),
             stage: stage.name.to_string(),
-            role: role_of(stage.role).into(),
+            role: wire_role(stage.role).into(),
             path,
             body,
-            left_us: u64::try_from(send.left.as_micros()).unwrap_or(u64::MAX),
+            left_us: u64::try_from(send.remaining.as_micros()).unwrap_or(u64::MAX),
             priority: u32::from(send.priority),
             stream: generates,
-            once: once.map(|o| o.key.clone()),
+            once: key.map(|k| k.key.clone()),
             prefix: Vec::new(),
             prompt_tokens: if generates { spec.prompt.tokens.0 } else { 0 },
             max_tokens: if generates {
@@ -310,15 +310,22 @@
         if skip >= chunk.tokens {
             return;
         }
-        self.held = chunk.index + chunk.tokens;
+        self.received_tokens = chunk.index + chunk.tokens;
         let text = String::from_utf8_lossy(&chunk.data);
-        self.job.work.text.push_str(&text);
+        self.job.data.text.push_str(&text);
         // Text of an earlier stage is an input of the next one, not an answer.
         let spec = &self.job.spec;
         let stage = self.attempts.get(&attempt).map(|a| a.stage);
         let last = stage == Some(spec.pipeline.stages.len() - 1);
-        if last && spec.stream && self.job.up.try_send(Up::Piece(chunk.data)).is_err() {
-            self.job.gone.set();
+        if last
+            && spec.stream
+            && self
+                .job
+                .messages
+                .try_send(DriverMessage::Text(chunk.data))
+                .is_err()
+        {
+            self.job.caller_gone.set();
         }
     }
 
@@ -329,33 +336,36 @@
         if self.job.spec.pipeline.stages[stage].role == StageRole::Generate {
             self.output_tokens = record.output_tokens;
         }
-        if let Some(taken) = record.taken {
-            self.job.work.take(taken);
+        if let Some(output) = record.output {
+            self.job.data.apply(output);
         }
-        self.held = 0;
+        self.received_tokens = 0;
     }
 
-    fn finish(&mut self, outcome: Outcome, reason: Option<Reason>, retry: Option<Duration>) {
+    fn finish(&mut self, outcome: Outcome, reason: Option<Reason>, retry_after: Option<Duration>) {
         self.done = true;
-        let finish = Finish {
+        let result = RequestResult {
             outcome,
             reason,
-            retry,
-            text: std::mem::take(&mut self.job.work.draft),
-            output: self.job.work.output.take(),
+            retry_after,
+            text: std::mem::take(&mut self.job.data.draft),
+            output: self.job.data.output.take(),
             prompt_tokens: self.job.spec.prompt.tokens.0,
             output_tokens: self.output_tokens,
         };
-        self.node.ended(&self.job.spec, &finish);
-        let told = self.job.up.try_send(Up::Done(Box::new(finish)));
-        if told.is_err() {
+        self.node.on_request_end(&self.job.spec, &result);
+        let sent = self
+            .job
+            .messages
+            .try_send(DriverMessage::Done(Box::new(result)));
+        if sent.is_err() {
             log::debug!(event = "caller-left", request = self.job.spec.request.to_string().as_str(); "");
         }
     }
 
-    fn event_of(&mut self, input: Input) -> Option<Event> {
+    fn to_event(&mut self, input: Input) -> Option<Event> {
         let attempt = input.attempt;
-        let missing = missing_end(&input.signal);
+        let missing = unknown_end_reason(&input.signal);
         if let Some(reason) = missing
             && self.resolve(attempt, reason)
         {
@@ -366,7 +376,7 @@
             // Text can't be cut between the tokens of one chunk. An engine that
             // takes an answer up inside a chunk that was taken would make the
             // caller read some of its tokens twice, so its attempt ends here.
-            Signal::Chunk(chunk) if straddles(&chunk, self.held) => {
+            Signal::Chunk(chunk) if partly_received(&chunk, self.received_tokens) => {
                 if let Some(call) = record.call.take() {
                     call.cancel();
                 }
@@ -388,11 +398,11 @@
             }
             Signal::Reply(reply) | Signal::Resolved(reply) => {
                 record.call = None;
-                let usage = usage_of(&reply);
+                let usage = reply_usage(&reply);
                 record.output_tokens = reply.output_tokens;
-                let end = match end_of(&self.job.work, record.role, &reply) {
-                    Ok(taken) => {
-                        record.taken = Some(taken);
+                let end = match attempt_end(&self.job.data, record.role, &reply) {
+                    Ok(output) => {
+                        record.output = Some(output);
                         AttemptEnd::Completed
                     }
                     Err(end) => end,
@@ -429,21 +439,24 @@
     ///
     /// Returns whether the end will be reported later.
     fn resolve(&mut self, attempt: AttemptId, reason: Reason) -> bool {
-        let call = self.attempts.get_mut(&attempt).and_then(|a| a.once.take());
-        let (Some(call), Some(once)) = (call, &self.job.once) else {
+        let call = self
+            .attempts
+            .get_mut(&attempt)
+            .and_then(|a| a.resend.take());
+        let (Some(call), Some(key)) = (call, &self.job.idempotency_key) else {
             return false;
         };
         let Some(stage) = self.job.spec.pipeline.stages.last() else {
             return false;
         };
-        let resolve = Resolve {
+        let resolve = Resolver {
             attempt,
             call,
             pool: stage.pool.clone(),
-            slot: once.slot,
+            slot: key.slot,
             deadline: self.job.spec.deadline,
             reason,
-            feed: self.feed.clone(),
+            input_sender: self.input_sender.clone(),
         };
         log::info!(event = "attempt-unresolved", request = self.job.spec.request.to_string().as_str(), reason = reason.to_string().as_str(); "");
         let node = Arc::clone(&self.node);
@@ -452,10 +465,12 @@
     }
 
     /// Names the slot's present owner to the chain, which may wait for it.
-    fn follow_owner(&mut self) {
-        if let (Some(once), Some(stage)) = (&self.job.once, self.job.spec.pipeline.stages.last()) {
-            self.chain
-                .set_owner(self.node.owner(&stage.pool, once.slot));
+    fn update_owner(&mut self) {
+        if let (Some(key), Some(stage)) = (
+            &self.job.idempotency_key,
+            self.job.spec.pipeline.stages.last(),
+        ) {
+            self.chain.set_owner(self.node.owner(&stage.pool, key.slot));
         }
     }
 
@@ -463,14 +478,17 @@
     fn record_end(&self, now: Time, event: &Event) {
         if let Event::Ended { attempt, end, .. } = event {
             let id = self.job.spec.request;
-            self.node.control.records.ended(now, id, *attempt, end);
+            self.node
+                .control
+                .records
+                .on_attempt_end(now, id, *attempt, end);
         }
     }
 
     fn log(&self, decision: &Decision) {
         let spec = &self.job.spec;
         let now = self.node.clock.now();
-        self.node.control.records.route(now, spec, decision);
+        self.node.control.records.on_decision(now, spec, decision);
         let mut pairs = decision.pairs();
         pairs.push(("account", spec.account.to_string()));
         pairs.push(("pipeline", spec.name.to_string()));
@@ -479,8 +497,8 @@
 }
 
 /// Tells whether some, but not all, of a chunk's tokens have been taken.
-const fn straddles(chunk: &Chunk, held: u32) -> bool {
-    chunk.index < held && held < chunk.index.saturating_add(chunk.tokens)
+const fn partly_received(chunk: &Chunk, received_tokens: u32) -> bool {
+    chunk.index < received_tokens && received_tokens < chunk.index.saturating_add(chunk.tokens)
 }
 
 impl Drop for Driver {
--- a/router/src/drive/work.rs
+++ b/router/src/drive/work.rs
@@ -34,7 +34,7 @@
 
 /// A request's inputs and what its stages have added.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Work {
+pub(crate) struct PipelineData {
     /// The caller's messages, in the chat dialect.
     messages: Vec<Value>,
     /// The text that is embedded and searched with.
@@ -57,7 +57,7 @@
 
 /// A stage's answer, read and checked.
 #[derive(Debug)]
-pub(crate) enum Taken {
+pub(crate) enum StageOutput {
     Embedding(Box<RawValue>),
     Documents(Vec<Document>),
     /// The text has been delivered piece by piece.
@@ -97,7 +97,7 @@
     index: usize,
 }
 
-impl Work {
+impl PipelineData {
     /// Starts with what the caller sent.
     pub(crate) fn new(messages: Vec<Value>, query: String, input: Bytes, max_tokens: u32) -> Self {
         Self {
@@ -110,7 +110,7 @@
     }
 
     /// Builds the path and body for a stage.
-    pub(crate) fn request(
+    pub(crate) fn build_request(
         &self,
         id: RequestId,
         stage: &Stage,
@@ -192,41 +192,47 @@
     /// # Errors
     ///
     /// Returns [`AnswerError`] if the answer lacks what the role promises.
-    pub(crate) fn read(&self, role: StageRole, body: &Bytes) -> Result<Taken, AnswerError> {
+    pub(crate) fn parse_output(
+        &self,
+        role: StageRole,
+        body: &Bytes,
+    ) -> Result<StageOutput, AnswerError> {
         let wrong = || AnswerError { role };
         match role {
             StageRole::Encode => {
                 let answer: Embeddings = parse(body).ok_or_else(wrong)?;
                 let first = answer.data.into_iter().next().ok_or_else(wrong)?;
-                Ok(Taken::Embedding(first.embedding))
+                Ok(StageOutput::Embedding(first.embedding))
             }
             StageRole::Retrieve => {
                 let answer: Documents = parse(body).ok_or_else(wrong)?;
-                Ok(Taken::Documents(answer.documents))
+                Ok(StageOutput::Documents(answer.documents))
             }
             StageRole::Rerank => {
                 let answer: Ranking = parse(body).ok_or_else(wrong)?;
-                self.ranked(&answer).map(Taken::Documents).ok_or_else(wrong)
+                self.reranked(&answer)
+                    .map(StageOutput::Documents)
+                    .ok_or_else(wrong)
             }
-            StageRole::Generate => Ok(Taken::Text),
+            StageRole::Generate => Ok(StageOutput::Text),
             StageRole::Call => {
                 let _checked: Value = parse(body).ok_or_else(wrong)?;
-                Ok(Taken::Output(body.clone()))
+                Ok(StageOutput::Output(body.clone()))
             }
         }
     }
 
     /// Takes in the answer of a stage that is done.
-    pub(crate) fn take(&mut self, taken: Taken) {
+    pub(crate) fn apply(&mut self, taken: StageOutput) {
         match taken {
-            Taken::Embedding(embedding) => self.embedding = Some(embedding),
-            Taken::Documents(documents) => self.documents = documents,
-            Taken::Text => self.draft = std::mem::take(&mut self.text),
-            Taken::Output(output) => self.output = Some(output),
+            StageOutput::Embedding(embedding) => self.embedding = Some(embedding),
+            StageOutput::Documents(documents) => self.documents = documents,
+            StageOutput::Text => self.draft = std::mem::take(&mut self.text),
+            StageOutput::Output(output) => self.output = Some(output),
         }
     }
 
-    fn ranked(&self, ranking: &Ranking) -> Option<Vec<Document>> {
+    fn reranked(&self, ranking: &Ranking) -> Option<Vec<Document>> {
         let best = ranking.results.iter().take(RERANK_COUNT);
         best.map(|r| self.documents.get(r.index).cloned()).collect()
     }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -20,7 +20,7 @@
 use crate::agents::AgentLink;
 use crate::board::ConfigFact;
 use crate::node::Node;
-use crate::snapshots::Seen;
+use crate::snapshots::LogState;
 
 /// The shortest pause of the loop, for a wake time that has just passed.
 const PAUSE_MIN: Duration = Duration::from_millis(1);
@@ -29,12 +29,12 @@
 ///
 /// 340 of them would have the service answer 340 reads for each change. The
 /// others get what these read through the agents that they share.
-const READERS: usize = 24;
+const READER_COUNT: usize = 24;
 
 /// The pause between two reads of the other routers.
 ///
 /// It matters only if all readers and the agents shared with them are gone.
-const SELDOM: Duration = Duration::from_secs(30);
+const RARE_READ_PAUSE: Duration = Duration::from_secs(30);
 
 /// Follows the configuration until the router stops.
 pub(crate) async fn run(node: Arc<Node>, log: Arc<dyn LogStore>) {
@@ -57,12 +57,12 @@
         let Some(end) = answered.or(stopped).await else {
             return;
         };
-        let news = follower.answered(node.clock.now(), end);
-        let read = !matches!(news, Followed::Failed);
-        take(&node, &mut follower, news);
+        let followed = follower.answered(node.clock.now(), end);
+        let read = !matches!(followed, Followed::Failed);
+        apply_read(&node, &mut follower, followed);
         if read && !holds {
-            let share: f64 = node.shared().rng.random_range(0.5..1.5);
-            pause(&node, SELDOM.mul_f64(share)).await;
+            let jitter: f64 = node.shared().rng.random_range(0.5..1.5);
+            pause(&node, RARE_READ_PAUSE.mul_f64(jitter)).await;
         }
     }
 }
@@ -75,7 +75,7 @@
     let own = node.settings.listen.peers;
     let rank = |address: &std::net::SocketAddr| rapidhash_v3(address.to_string().as_bytes());
     let others = node.settings.routers.iter().filter(|a| **a != own);
-    others.filter(|a| rank(a) < rank(&own)).count() < READERS
+    others.filter(|a| rank(a) < rank(&own)).count() < READER_COUNT
 }
 
 async fn pause(node: &Node, wait: Duration) {
@@ -85,11 +85,11 @@
     pause.or(node.board.stop.wait()).await;
 }
 
-fn take(node: &Node, follower: &mut Follower, news: Followed) {
-    let records = match news {
+fn apply_read(node: &Node, follower: &mut Follower, followed: Followed) {
+    let records = match followed {
         Followed::Records { records, end, .. } => {
-            let seen = *node.log_seen.get();
-            node.log_seen.set(Seen { end, ..seen });
+            let state = *node.log_state.get();
+            node.log_state.set(LogState { end, ..state });
             records
         }
         Followed::Behind { first } => {
@@ -106,7 +106,7 @@
     let before = fold.revision();
     for (offset, bytes) in records {
         let applied = fold.apply_bytes(offset, &bytes);
-        note(node, &fold, offset, &applied);
+        record_applied(node, &fold, offset, &applied);
         if let Applied::Restored { next } = applied {
             // The snapshot covers less than what was skipped to reach it.
             follower.seek(next);
@@ -122,11 +122,11 @@
     // An operator who is told "accepted" may ask this router at once, so the
     // change is in force here before they are told.
     for (bytes, applied) in &read {
-        node.control.waiters.tell(bytes, applied);
+        node.control.waiters.notify(bytes, applied);
     }
 }
 
-fn note(node: &Node, fold: &Fold, offset: Offset, applied: &Applied) {
+fn record_applied(node: &Node, fold: &Fold, offset: Offset, applied: &Applied) {
     node.control.on_applied(applied, fold);
     // A snapshot taken from a peer stands at no offset of the log.
     let in_log = match applied {
@@ -135,20 +135,20 @@
         _ => false,
     };
     if in_log {
-        let seen = *node.log_seen.get();
+        let state = *node.log_state.get();
         let at = node.clock.now();
         let snapshot = offset;
-        node.log_seen.set(Seen {
+        node.log_state.set(LogState {
             snapshot,
             at,
-            part: None,
-            ..seen
+            part_time: None,
+            ..state
         });
     }
     if matches!(applied, Applied::Part) {
-        let seen = *node.log_seen.get();
-        let part = Some(node.clock.now());
-        node.log_seen.set(Seen { part, ..seen });
+        let state = *node.log_state.get();
+        let part_time = Some(node.clock.now());
+        node.log_state.set(LogState { part_time, ..state });
     }
     match applied {
         Applied::Accepted { revision } => {
@@ -161,42 +161,42 @@
 }
 
 /// Levels the configuration with an agent that reports an offset.
-pub(crate) fn level(node: &Node, link: &AgentLink, theirs: Offset) {
+pub(crate) fn sync_config(node: &Node, link: &AgentLink, theirs: Offset) {
     let own = node.book.next();
-    if !link.is_uneven(node.clock.now(), own, theirs) {
+    if !link.needs_sync(node.clock.now(), own, theirs) {
         return;
     }
     if theirs > own {
-        ask(node, link);
+        request_config(node, link);
         return;
     }
     for offer in node.book.push(theirs) {
-        link.pass_on(Body::ConfigOffer(offer));
+        link.send(Body::ConfigOffer(offer));
     }
 }
 
-fn ask(node: &Node, link: &AgentLink) {
+fn request_config(node: &Node, link: &AgentLink) {
     if let Some(ask) = node.book.ask(node.clock.now()) {
-        link.pass_on(Body::ConfigAsk(ask));
+        link.send(Body::ConfigAsk(ask));
     }
 }
 
 /// Takes what a peer offers.
-pub(crate) fn offered(node: &Node, link: &AgentLink, offer: &ConfigOffer) {
+pub(crate) fn on_offer(node: &Node, link: &AgentLink, offer: &ConfigOffer) {
     let now = node.clock.now();
-    let taken = node.book.take(now, offer, |fold, offset, applied| {
-        note(node, fold, offset, applied);
+    let offered = node.book.take(now, offer, |fold, offset, applied| {
+        record_applied(node, fold, offset, applied);
     });
-    if taken.gap {
-        ask(node, link);
+    if offered.gap {
+        request_config(node, link);
     }
-    if taken.changed {
+    if offered.changed {
         let fold = node.book.fold();
         log::info!(event = "config-from-peer", next = fold.next().0, revision = fold.revision().0; "");
         put_in_force(node, &fold);
     }
-    for (bytes, applied) in &taken.read {
-        node.control.waiters.tell(bytes, applied);
+    for (bytes, applied) in &offered.read {
+        node.control.waiters.notify(bytes, applied);
     }
 }
 
@@ -210,7 +210,7 @@
         let accounts = config.accounts.iter();
         shared.shares = accounts.map(|(n, a)| (n.clone(), a.share)).collect();
     };
-    node.admission.set(node.clock.now(), &config);
+    node.admission.set_accounts(node.clock.now(), &config);
     let fact = ConfigFact::new(config, fold.revision());
     node.board.config.set(fact);
 }
--- a/router/src/door/auth.rs
+++ b/router/src/ingress/auth.rs
@@ -9,7 +9,7 @@
 use snipeyoke_lib::config::KeyDigest;
 use snipeyoke_lib::ids::ClientAccount;
 
-use super::error::DoorError;
+use super::error::IngressError;
 use crate::board::ConfigFact;
 
 /// Returns the key of the `Authorization` header.
@@ -39,8 +39,12 @@
 pub(crate) fn account(
     headers: &HeaderMap,
     config: &ConfigFact,
-) -> Result<ClientAccount, DoorError> {
-    let key = bearer(headers).ok_or(DoorError::NoKey)?;
-    let digest = digest(key).ok_or(DoorError::BadKey)?;
-    config.keys.get(&digest).cloned().ok_or(DoorError::BadKey)
+) -> Result<ClientAccount, IngressError> {
+    let key = bearer(headers).ok_or(IngressError::NoKey)?;
+    let digest = digest(key).ok_or(IngressError::BadKey)?;
+    config
+        .keys
+        .get(&digest)
+        .cloned()
+        .ok_or(IngressError::BadKey)
 }
--- a/router/src/door/chat.rs
+++ b/router/src/ingress/chat.rs
@@ -20,15 +20,15 @@
 use snipeyoke_runtime::http::streamed;
 
 use super::error;
-use super::error::DoorError;
+use super::error::IngressError;
 use super::intake;
 use super::intake::Bound;
-use super::intake::Ticket;
+use super::intake::RequestContext;
 use super::reply;
 use super::reply::Head;
-use crate::drive::Finish;
-use crate::drive::Up;
-use crate::drive::Work;
+use crate::drive::DriverMessage;
+use crate::drive::PipelineData;
+use crate::drive::RequestResult;
 use crate::node::Node;
 
 /// The tokens generated where the caller names no limit.
@@ -56,33 +56,37 @@
 /// # Errors
 ///
 /// Returns [`DoorError`] for a request that is refused before it is driven.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     node: &Arc<Node>,
     id: RequestId,
     request: Request,
-) -> Result<Reply, DoorError> {
-    let intake = intake::admit(node, id, request.headers())?;
+) -> Result<Reply, IngressError> {
+    let authenticated = intake::authenticate(node, id, request.headers())?;
     let headers = request.headers().clone();
-    let bytes = intake::body(node, request).await?;
+    let bytes = intake::read_body(node, request).await?;
     let chat: ChatBody = serde_json::from_slice(&bytes).map_err(|e| bad_body(&e))?;
-    let bound = intake.bind(&chat.model)?;
-    let once = intake.once(&bound.pipeline, &headers, &bytes)?;
-    let (prompt, work) = prepare(&chat, bytes, &bound)?;
+    let bound = authenticated.bind(&chat.model)?;
+    let key = authenticated.idempotency_key(&bound.pipeline, &headers, &bytes)?;
+    let (prompt, data) = prepare(&chat, bytes, &bound)?;
     let model = chat.model;
-    let ticket = intake.start(node, bound, prompt, work, once, chat.stream);
+    let context = authenticated.start(node, bound, prompt, data, key, chat.stream);
     if chat.stream {
-        return Ok(stream_reply(id, model, ticket).await);
+        return Ok(stream_reply(id, model, context).await);
     }
-    Ok(whole_reply(id, &model, &ticket).await)
+    Ok(full_reply(id, &model, &context).await)
 }
 
-fn bad_body(error: &serde_json::Error) -> DoorError {
-    DoorError::BadBody {
+fn bad_body(error: &serde_json::Error) -> IngressError {
+    IngressError::BadBody {
         what: error.to_string(),
     }
 }
 
-fn prepare(chat: &ChatBody, body: Bytes, bound: &Bound) -> Result<(Prompt, Work), DoorError> {
+fn prepare(
+    chat: &ChatBody,
+    body: Bytes,
+    bound: &Bound,
+) -> Result<(Prompt, PipelineData), IngressError> {
     let texts = chat
         .messages
         .iter()
@@ -90,7 +94,7 @@
         .collect::<Option<Vec<_>>>();
     let Some(texts) = texts.filter(|t| !t.is_empty()) else {
         let what = "`messages` needs one message or more, each with role and text".to_owned();
-        return Err(DoorError::BadBody { what });
+        return Err(IngressError::BadBody { what });
     };
     let max = chat
         .max_completion_tokens
@@ -98,7 +102,7 @@
         .unwrap_or(DEFAULT_MAX_TOKENS);
     if max == 0 || max > MAX_TOKENS {
         let what = format!("`max_tokens` is {max}, give 1 to {MAX_TOKENS}");
-        return Err(DoorError::BadBody { what });
+        return Err(IngressError::BadBody { what });
     }
     let stages = &bound.pipeline.stages;
     let model = stages.iter().rev().find_map(|s| s.model.as_ref());
@@ -112,8 +116,8 @@
         .last()
         .map(|(_role, text)| text.clone())
         .unwrap_or_default();
-    let work = Work::new(chat.messages.clone(), query, body, max);
-    Ok((prompt, work))
+    let data = PipelineData::new(chat.messages.clone(), query, body, max);
+    Ok((prompt, data))
 }
 
 /// Returns a message's role and text; the text may come in parts.
@@ -129,30 +133,30 @@
     }
 }
 
-async fn whole_reply(id: RequestId, model: &str, ticket: &Ticket) -> Reply {
-    while let Ok(up) = ticket.up.recv().await {
-        if let Up::Done(finish) = up {
-            return finished(id, model, &finish);
+async fn full_reply(id: RequestId, model: &str, context: &RequestContext) -> Reply {
+    while let Ok(message) = context.messages.recv().await {
+        if let DriverMessage::Done(result) = message {
+            return final_reply(id, model, &result);
         }
     }
-    lost(id)
+    stopped_reply(id)
 }
 
 /// Answers for a driver that ended without a word, which only a stop does.
-pub(crate) fn lost(id: RequestId) -> Reply {
-    refusal(id, Outcome::Unknown, Reason::Stopped, None)
+pub(crate) fn stopped_reply(id: RequestId) -> Reply {
+    failure_reply(id, Outcome::Unknown, Reason::Stopped, None)
 }
 
-fn finished(id: RequestId, model: &str, finish: &Finish) -> Reply {
-    if finish.outcome != Outcome::Completed {
-        let reason = finish.reason.unwrap_or(Reason::EndpointFailure);
-        return refusal(id, finish.outcome, reason, finish.retry);
+fn final_reply(id: RequestId, model: &str, result: &RequestResult) -> Reply {
+    if result.outcome != Outcome::Completed {
+        let reason = result.reason.unwrap_or(Reason::EndpointFailure);
+        return failure_reply(id, result.outcome, reason, result.retry_after);
     }
     let head = Head {
         id,
         status: StatusCode::OK,
         outcome: Some(Outcome::Completed),
-        retry: None,
+        retry_after: None,
     };
     let body = json!({
         "id": id.to_string(),
@@ -160,101 +164,104 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "message": {"role": "assistant", "content": content(finish)},
+            "message": {"role": "assistant", "content": content(result)},
             "finish_reason": "stop",
         }],
         "usage": {
-            "prompt_tokens": finish.prompt_tokens,
-            "completion_tokens": finish.output_tokens,
-            "total_tokens": finish.prompt_tokens + finish.output_tokens,
+            "prompt_tokens": result.prompt_tokens,
+            "completion_tokens": result.output_tokens,
+            "total_tokens": result.prompt_tokens + result.output_tokens,
         },
     });
     reply::json(&head, &body)
 }
 
 /// Returns the answer's text: the last service's, or what was generated.
-fn content(finish: &Finish) -> String {
-    match &finish.output {
+fn content(result: &RequestResult) -> String {
+    match &result.output {
         Some(output) => String::from_utf8_lossy(output).into_owned(),
-        None => finish.text.clone(),
+        None => result.text.clone(),
     }
 }
 
 /// Builds the answer of a request that ended without one.
-pub(crate) fn refusal(
+pub(crate) fn failure_reply(
     id: RequestId,
     outcome: Outcome,
     reason: Reason,
-    retry: Option<std::time::Duration>,
+    retry_after: Option<std::time::Duration>,
 ) -> Reply {
-    let (status, message) = error::ended(outcome, reason);
+    let (status, message) = error::failure_message(outcome, reason);
     let head = Head {
         id,
         status,
         outcome: Some(outcome),
-        retry,
+        retry_after,
     };
     let code = reason.to_string();
-    reply::json(&head, &error::object("server_error", &message, Some(&code)))
+    reply::json(
+        &head,
+        &error::error_object("server_error", &message, Some(&code)),
+    )
 }
 
 /// Waits for the first piece before the head goes out.
 ///
 /// A refusal up to then still gets its own status.
-async fn stream_reply(id: RequestId, model: String, ticket: Ticket) -> Reply {
-    let first = ticket.up.recv().await;
+async fn stream_reply(id: RequestId, model: String, context: RequestContext) -> Reply {
+    let first = context.messages.recv().await;
     match first {
-        Ok(Up::Done(finish)) if finish.outcome != Outcome::Completed => {
-            finished(id, &model, &finish)
+        Ok(DriverMessage::Done(result)) if result.outcome != Outcome::Completed => {
+            final_reply(id, &model, &result)
         }
         Ok(first) => {
-            let Ticket { up, guard } = ticket;
-            let ups = stream::once(async { first }).chain(up);
-            let pieces = ups.map(move |up| {
+            let RequestContext { messages, guard } = context;
+            let all = stream::once(async { first }).chain(messages);
+            let events = all.map(move |message| {
                 // The guard lives in the stream: the driver learns of a caller
                 // who leaves when the connection drops its body.
                 let _alive = &guard;
-                event(id, &model, up)
+                stream_event(id, &model, message)
             });
             let head = Head {
                 id,
                 status: StatusCode::OK,
                 outcome: None,
-                retry: None,
+                retry_after: None,
             };
-            reply::with_body(&head, "text/event-stream", streamed(pieces))
+            reply::with_body(&head, "text/event-stream", streamed(events))
         }
-        Err(_ended) => lost(id),
+        Err(_ended) => stopped_reply(id),
     }
 }
 
-fn event(id: RequestId, model: &str, up: Up) -> Bytes {
-    let text = match up {
-        Up::Piece(data) => {
+fn stream_event(id: RequestId, model: &str, message: DriverMessage) -> Bytes {
+    let text = match message {
+        DriverMessage::Text(data) => {
             let text = String::from_utf8_lossy(&data);
             format!(
                 "data: {}\n\n",
                 chunk(id, model, &json!({"content": text}), None)
             )
         }
-        Up::Done(finish) => last_events(id, model, &finish),
+        DriverMessage::Done(result) => final_events(id, model, &result),
     };
     Bytes::from(text)
 }
 
-fn last_events(id: RequestId, model: &str, finish: &Finish) -> String {
-    let outcome = finish.outcome;
+fn final_events(id: RequestId, model: &str, result: &RequestResult) -> String {
+    let outcome = result.outcome;
     // Comment lines are passed over by every client library.
     let note = format!(": x-snipeyoke-outcome: {outcome}\n\n");
     if outcome != Outcome::Completed {
-        let reason = finish.reason.unwrap_or(Reason::EndpointFailure);
-        let (_status, message) = error::ended(outcome, reason);
+        let reason = result.reason.unwrap_or(Reason::EndpointFailure);
+        let (_status, message) = error::failure_message(outcome, reason);
         let code = reason.to_string();
-        let object = error::object("server_error", &message, Some(&code));
+        let body = error::error_object("server_error", &message, Some(&code));
         // Without `[DONE]` no client takes the broken answer for a whole one.
-        return format!("{note}data: {object}\n\n");
+        return format!("{note}data: {body}\n\n");
     }
-    let rest = match &finish.output {
+    let rest = match &result.output {
         Some(output) => {
             let text = String::from_utf8_lossy(output);
             let delta = json!({"content": text});
--- a/router/src/door/error.rs
+++ b/router/src/ingress/error.rs
@@ -16,7 +16,7 @@
 /// The reason why the door refuses a request before anything is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
-pub(crate) enum DoorError {
+pub(crate) enum IngressError {
     #[display("no bearer key: send `Authorization: Bearer KEY`")]
     NoKey,
     #[display("the key is not known: check it, or ask the operator of your client account")]
@@ -45,7 +45,7 @@
     Draining,
 }
 
-impl DoorError {
+impl IngressError {
     fn status(&self) -> StatusCode {
         match self {
             Self::NoKey | Self::BadKey => StatusCode::UNAUTHORIZED,
@@ -78,7 +78,7 @@
         }
     }
 
-    const fn retry(&self) -> Option<Duration> {
+    const fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::NoConfig | Self::Draining => Some(Duration::from_millis(500)),
             _ => None,
@@ -91,19 +91,19 @@
             id,
             status: self.status(),
             outcome: Some(self.outcome()),
-            retry: self.retry(),
+            retry_after: self.retry_after(),
         };
-        json(&head, &object(self.kind(), &self.to_string(), None))
+        json(&head, &error_object(self.kind(), &self.to_string(), None))
     }
 }
 
 /// Builds the dialect's error object.
-pub(crate) fn object(kind: &str, message: &str, code: Option<&str>) -> serde_json::Value {
+pub(crate) fn error_object(kind: &str, message: &str, code: Option<&str>) -> serde_json::Value {
     serde_json::json!({"error": {"message": message, "type": kind, "param": null, "code": code}})
 }
 
 /// Returns the status and wording of a request that ended without an answer.
-pub(crate) fn ended(outcome: Outcome, reason: Reason) -> (StatusCode, String) {
+pub(crate) fn failure_message(outcome: Outcome, reason: Reason) -> (StatusCode, String) {
     if outcome == Outcome::Unknown {
         let status = match reason {
             Reason::KeyConflict => StatusCode::CONFLICT,
--- a/router/src/door/intake.rs
+++ b/router/src/ingress/intake.rs
@@ -28,19 +28,19 @@
 use snipeyoke_wire::OnceKey;
 
 use super::auth;
-use super::error::DoorError;
+use super::error::IngressError;
 use crate::board::ConfigFact;
-use crate::drive::Finish;
+use crate::drive::DriverMessage;
+use crate::drive::IdempotencyKey;
 use crate::drive::Job;
-use crate::drive::Once;
-use crate::drive::Up;
-use crate::drive::Work;
+use crate::drive::PipelineData;
+use crate::drive::RequestResult;
 use crate::drive::drive;
 use crate::node::Node;
 
 /// A request whose caller is known.
 #[derive(Debug)]
-pub(crate) struct Intake {
+pub(crate) struct AuthenticatedRequest {
     pub(crate) id: RequestId,
     pub(crate) fact: Arc<ConfigFact>,
     pub(crate) account: ClientAccount,
@@ -56,16 +56,16 @@
 
 /// A request on its way.
 #[derive(Debug)]
-pub(crate) struct Ticket {
-    pub(crate) up: Receiver<Up>,
-    pub(crate) guard: Guard,
+pub(crate) struct RequestContext {
+    pub(crate) messages: Receiver<DriverMessage>,
+    pub(crate) guard: CallerGuard,
 }
 
 /// Tells the driver when the caller goes away.
 #[derive(Debug)]
-pub(crate) struct Guard(Flag);
+pub(crate) struct CallerGuard(Flag);
 
-impl Drop for Guard {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         self.0.set();
     }
@@ -77,16 +77,20 @@
 ///
 /// Returns [`DoorError`] while draining, without configuration, or for a key
 /// that is missing or unknown.
-pub(crate) fn admit(node: &Node, id: RequestId, headers: &HeaderMap) -> Result<Intake, DoorError> {
+pub(crate) fn authenticate(
+    node: &Node,
+    id: RequestId,
+    headers: &HeaderMap,
+) -> Result<AuthenticatedRequest, IngressError> {
     if node.board.drain.is_set() {
-        return Err(DoorError::Draining);
+        return Err(IngressError::Draining);
     }
     let fact = node.board.config.get();
     if !fact.is_known() {
-        return Err(DoorError::NoConfig);
+        return Err(IngressError::NoConfig);
     }
     let account = auth::account(headers, &fact)?;
-    Ok(Intake { id, fact, account })
+    Ok(AuthenticatedRequest { id, fact, account })
 }
 
 /// Reads the caller's body within its bounds.
@@ -94,34 +98,34 @@
 /// # Errors
 ///
 /// Returns [`DoorError`] for a body that is too large, too slow or broken off.
-pub(crate) async fn body(node: &Node, request: Request) -> Result<Bytes, DoorError> {
+pub(crate) async fn read_body(node: &Node, request: Request) -> Result<Bytes, IngressError> {
     let bounds = node.settings.bounds;
     let read = async {
         let body = collect(request.into_body(), bounds.body_bytes).await;
         body.map_err(|error| {
             if error.is_too_large() {
-                return DoorError::TooLarge {
+                return IngressError::TooLarge {
                     max: bounds.body_bytes,
                 };
             }
-            DoorError::SlowBody
+            IngressError::SlowBody
         })
     };
     let timeout = async {
         Timer::after(Duration::from_millis(bounds.body_ms)).await;
-        Err(DoorError::SlowBody)
+        Err(IngressError::SlowBody)
     };
     read.or(timeout).await
 }
 
-impl Intake {
+impl AuthenticatedRequest {
     /// Finds the pipeline that the caller's request kind is bound to.
     ///
     /// # Errors
     ///
     /// Returns [`DoorError`] if there is none.
-    pub(crate) fn bind(&self, kind: &str) -> Result<Bound, DoorError> {
-        let missing = || DoorError::NoKind {
+    pub(crate) fn bind(&self, kind: &str) -> Result<Bound, IngressError> {
+        let missing = || IngressError::NoKind {
             kind: kind.to_owned(),
         };
         let Ok(kind) = kind.parse::<RequestKind>() else {
@@ -141,27 +145,29 @@
     /// # Errors
     ///
     /// Returns [`DoorError`] if it is missing or no `UUIDv7`.
-    pub(crate) fn once(
+    pub(crate) fn idempotency_key(
         &self,
         pipeline: &Pipeline,
         headers: &HeaderMap,
         body: &[u8],
-    ) -> Result<Option<Once>, DoorError> {
+    ) -> Result<Option<IdempotencyKey>, IngressError> {
         if pipeline.is_idempotent() {
             return Ok(None);
         }
         let value = headers
             .get("idempotency-key")
-            .ok_or(DoorError::KeyMissing)?;
-        let text = value.to_str().map_err(|_binary| DoorError::KeyMalformed)?;
+            .ok_or(IngressError::KeyMissing)?;
+        let text = value
+            .to_str()
+            .map_err(|_binary| IngressError::KeyMalformed)?;
         // The draft writes the key as a quoted string; many clients leave the
         // quotes out.
         let key = lib::OnceKey {
             account: self.account.clone(),
-            key: lib::OnceKey::parse(text.trim().trim_matches('"')).map_err(DoorError::Key)?,
+            key: lib::OnceKey::parse(text.trim().trim_matches('"')).map_err(IngressError::Key)?,
             digest: Sha256::digest(body).into(),
         };
-        key.check_issue(Clock::wall()).map_err(DoorError::Key)?;
+        key.check_issue(Clock::wall()).map_err(IngressError::Key)?;
         let slot = key.slot();
         let key = OnceKey {
             key: Bytes::copy_from_slice(key.key.as_bytes()),
@@ -170,7 +176,7 @@
             slot: u32::from(slot.number()),
             fence: 0,
         };
-        Ok(Some(Once { key, slot }))
+        Ok(Some(IdempotencyKey { key, slot }))
     }
 
     /// Starts driving a request.
@@ -179,13 +185,13 @@
         node: &Arc<Node>,
         bound: Bound,
         prompt: Prompt,
-        work: Work,
-        once: Option<Once>,
+        data: PipelineData,
+        key: Option<IdempotencyKey>,
         stream: bool,
-    ) -> Ticket {
+    ) -> RequestContext {
         let last = bound.pipeline.stages.last();
-        let slot = once.as_ref().zip(last);
-        let slot = slot.and_then(|(once, stage)| node.owner(&stage.pool, once.slot));
+        let owner = key.as_ref().zip(last);
+        let owner = owner.and_then(|(key, stage)| node.owner(&stage.pool, key.slot));
         let now = node.clock.now();
         let deadline = now + bound.pipeline.deadline();
         let spec = RequestSpec {
@@ -197,46 +203,46 @@
             deadline,
             prompt,
             stream,
-            slot_owner: slot,
+            slot_owner: owner,
         };
-        let (send, up) = async_channel::unbounded();
-        let gone = Flag::default();
+        let (sender, messages) = async_channel::unbounded();
+        let caller_gone = Flag::default();
         let stop = Flag::default();
         node.control.records.begin(now, &spec, stop.clone());
-        let guard = Guard(gone.clone());
-        let taken = node.admission.admit(now, &spec, &mut node.shared());
-        if let Err(refusal) = taken {
-            refuse(node, &spec, refusal, &send);
-            return Ticket { up, guard };
+        let guard = CallerGuard(caller_gone.clone());
+        let admitted = node.admission.admit(now, &spec, &mut node.shared());
+        if let Err(refusal) = admitted {
+            refuse(node, &spec, refusal, &sender);
+            return RequestContext { messages, guard };
         }
         let job = Job {
             spec,
             config: Arc::clone(&self.fact.config),
-            work,
-            once,
-            up: send,
-            gone: gone.clone(),
+            data,
+            idempotency_key: key,
+            messages: sender,
+            caller_gone: caller_gone.clone(),
             stop,
         };
         node.outcomes.begin(self.id);
         node.requests.spawn(drive(Arc::clone(node), job));
-        Ticket { up, guard }
+        RequestContext { messages, guard }
     }
 }
 
 /// Answers a request that was not taken on, at once.
-fn refuse(node: &Node, spec: &RequestSpec, refusal: Refusal, up: &Sender<Up>) {
-    let finish = Finish {
+fn refuse(node: &Node, spec: &RequestSpec, refusal: Refusal, messages: &Sender<DriverMessage>) {
+    let result = RequestResult {
         outcome: Outcome::NotRun,
         reason: Some(refusal.reason),
-        retry: Some(refusal.retry_after),
+        retry_after: Some(refusal.retry_after),
         text: String::new(),
         output: None,
         prompt_tokens: 0,
         output_tokens: 0,
     };
     node.outcomes.begin(spec.request);
-    node.settled(spec, &finish);
+    node.on_outcome(spec, &result);
     // The receiver is held by the caller of this function.
-    let _told = up.try_send(Up::Done(Box::new(finish)));
+    let _sent = messages.try_send(DriverMessage::Done(Box::new(result)));
 }
--- a/router/src/door/mod.rs
+++ b/router/src/ingress/mod.rs
@@ -6,7 +6,7 @@
 mod intake;
 mod plain;
 mod reply;
-mod standing;
+mod status;
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -28,24 +28,24 @@
 
 pub(crate) use self::auth::bearer;
 pub(crate) use self::auth::digest;
-use self::error::DoorError;
+use self::error::IngressError;
 use self::reply::Head;
 use crate::control::drains;
 use crate::node::Node;
 
 /// How long a new router waits to meet an endpoint of each pool.
-const MEET_MAX: Duration = Duration::from_secs(5);
+const ENDPOINTS_WAIT_MAX: Duration = Duration::from_secs(5);
 
 /// The path prefix of plain requests and of questions about requests.
-const REQUESTS: &str = "/v1/requests/";
+const REQUESTS_PREFIX: &str = "/v1/requests/";
 
 /// Answers callers.
 #[derive(Debug)]
-pub(crate) struct Door {
+pub(crate) struct Ingress {
     node: Arc<Node>,
 }
 
-impl Door {
+impl Ingress {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -54,7 +54,7 @@
         let mut reply = self.route(request).await;
         // Closed after its answer, a connection can't meet the close with the
         // next request half way, which its caller could not tell from a failure.
-        if self.node.board.aside.is_set() {
+        if self.node.board.pre_drain.is_set() {
             let close = HeaderValue::from_static("close");
             reply.headers_mut().insert(CONNECTION, close);
         }
@@ -69,11 +69,13 @@
             (&Method::GET, "/healthz") => Ok(health(id, StatusCode::OK)),
             (&Method::GET, "/readyz") => Ok(health(id, self.readiness())),
             (&Method::GET, "/metrics") => Ok(Reply::new(full(measures::render()))),
-            (&Method::POST, "/v1/chat/completions") => chat::answer(&self.node, id, request).await,
-            (method, path) => match (method, path.strip_prefix(REQUESTS)) {
-                (&Method::POST, Some(kind)) => plain::answer(&self.node, id, kind, request).await,
-                (&Method::GET, Some(asked)) => standing::answer(&self.node, id, asked, &request),
-                _ => Err(DoorError::NoPath {
+            (&Method::POST, "/v1/chat/completions") => chat::handle(&self.node, id, request).await,
+            (method, path) => match (method, path.strip_prefix(REQUESTS_PREFIX)) {
+                (&Method::POST, Some(kind)) => plain::handle(&self.node, id, kind, request).await,
+                (&Method::GET, Some(requested)) => {
+                    status::handle(&self.node, id, requested, &request)
+                }
+                _ => Err(IngressError::NoPath {
                     path: path.to_owned(),
                 }),
             },
@@ -88,9 +90,9 @@
     ///
     /// A balancer that came before would find a router that refuses all. A pool
     /// without any endpoint must not keep the router out for good, though.
-    fn has_met(&self) -> bool {
+    fn has_endpoints(&self) -> bool {
         let now = self.node.clock.now();
-        if now.since(Time::ZERO) > MEET_MAX {
+        if now.since(Time::ZERO) > ENDPOINTS_WAIT_MAX {
             return true;
         }
         let config = self.node.board.config.get();
@@ -105,18 +107,18 @@
         // The balancer stops sending callers here, and may start again when the
         // drain ends; what comes meanwhile is served.
         let drained = drains::covers_self(&fact.config, &self.node.settings);
-        if board.aside.is_set() || drained || !fact.is_known() {
+        if board.pre_drain.is_set() || drained || !fact.is_known() {
             return StatusCode::SERVICE_UNAVAILABLE;
         }
-        if !board.met.is_set() && !self.has_met() {
+        if !board.endpoints_ready.is_set() && !self.has_endpoints() {
             return StatusCode::SERVICE_UNAVAILABLE;
         }
-        board.met.set();
+        board.endpoints_ready.set();
         StatusCode::OK
     }
 }
 
-impl Handler for Door {
+impl Handler for Ingress {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>> {
         // An exchange is in flight until its answer was sent. A caller on a slow
         // line still reads after the request has ended, and a router that left
@@ -134,7 +136,7 @@
         id,
         status,
         outcome: None,
-        retry: None,
+        retry_after: None,
     };
     let body =
         serde_json::json!({"status": if status.is_success() { "good" } else { "not-ready" }});
--- a/router/src/door/plain.rs
+++ b/router/src/ingress/plain.rs
@@ -15,13 +15,13 @@
 use snipeyoke_runtime::http::full;
 
 use super::chat;
-use super::error::DoorError;
+use super::error::IngressError;
 use super::intake;
 use super::reply;
 use super::reply::Head;
-use crate::drive::Finish;
-use crate::drive::Up;
-use crate::drive::Work;
+use crate::drive::DriverMessage;
+use crate::drive::PipelineData;
+use crate::drive::RequestResult;
 use crate::node::Node;
 
 /// The tokens that a generating stage of such a pipeline may use.
@@ -32,45 +32,45 @@
 /// # Errors
 ///
 /// Returns [`DoorError`] for a request that is refused before it is driven.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     node: &Arc<Node>,
     id: RequestId,
     kind: &str,
     request: Request,
-) -> Result<Reply, DoorError> {
-    let intake = intake::admit(node, id, request.headers())?;
-    let bound = intake.bind(kind)?;
+) -> Result<Reply, IngressError> {
+    let authenticated = intake::authenticate(node, id, request.headers())?;
+    let bound = authenticated.bind(kind)?;
     let headers = request.headers().clone();
-    let bytes = intake::body(node, request).await?;
+    let bytes = intake::read_body(node, request).await?;
     let checked = serde_json::from_slice::<IgnoredAny>(&bytes);
-    checked.map_err(|error| DoorError::BadBody {
+    checked.map_err(|error| IngressError::BadBody {
         what: error.to_string(),
     })?;
-    let once = intake.once(&bound.pipeline, &headers, &bytes)?;
+    let key = authenticated.idempotency_key(&bound.pipeline, &headers, &bytes)?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let messages = vec![json!({"role": "user", "content": text})];
-    let work = Work::new(messages, text, bytes, MAX_TOKENS);
-    let ticket = intake.start(node, bound, Prompt::default(), work, once, false);
-    while let Ok(up) = ticket.up.recv().await {
-        if let Up::Done(finish) = up {
-            return Ok(finished(id, *finish));
+    let data = PipelineData::new(messages, text, bytes, MAX_TOKENS);
+    let context = authenticated.start(node, bound, Prompt::default(), data, key, false);
+    while let Ok(message) = context.messages.recv().await {
+        if let DriverMessage::Done(result) = message {
+            return Ok(final_reply(id, *result));
         }
     }
-    Ok(chat::lost(id))
+    Ok(chat::stopped_reply(id))
 }
 
-fn finished(id: RequestId, finish: Finish) -> Reply {
-    if finish.outcome != Outcome::Completed {
-        let reason = finish.reason.unwrap_or(Reason::EndpointFailure);
-        return chat::refusal(id, finish.outcome, reason, finish.retry);
+fn final_reply(id: RequestId, result: RequestResult) -> Reply {
+    if result.outcome != Outcome::Completed {
+        let reason = result.reason.unwrap_or(Reason::EndpointFailure);
+        return chat::failure_reply(id, result.outcome, reason, result.retry_after);
     }
     let head = Head {
         id,
         status: StatusCode::OK,
         outcome: Some(Outcome::Completed),
-        retry: None,
+        retry_after: None,
     };
-    let text = json!({"text": finish.text}).to_string();
-    let output = finish.output.unwrap_or_else(|| Bytes::from(text));
+    let text = json!({"text": result.text}).to_string();
+    let output = result.output.unwrap_or_else(|| Bytes::from(text));
     reply::with_body(&head, "application/json", full(output))
 }
--- a/router/src/door/reply.rs
+++ b/router/src/ingress/reply.rs
@@ -25,7 +25,7 @@
     pub(crate) id: RequestId,
     pub(crate) status: StatusCode,
     pub(crate) outcome: Option<Outcome>,
-    pub(crate) retry: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
 /// Builds an answer with a JSON body.
@@ -43,9 +43,9 @@
     if let Some(outcome) = head.outcome {
         insert(headers, OUTCOME, &outcome.to_string());
     }
-    if let Some(retry) = head.retry {
+    if let Some(retry_after) = head.retry_after {
         // Whole seconds, rounded up: the standard header knows no fractions.
-        let seconds = retry.as_secs() + u64::from(retry.subsec_nanos() > 0);
+        let seconds = retry_after.as_secs() + u64::from(retry_after.subsec_nanos() > 0);
         insert(headers, RETRY_AFTER, &seconds.to_string());
     }
     reply
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -34,14 +34,14 @@
 use crate::node::Node;
 
 /// The time between two looks at the host list, which itself lags by more.
-const LIST_EVERY: Duration = Duration::from_secs(1);
+const HOST_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The pause after a failed accept, so that a lack of descriptors can't spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What a link's task and the view tell each other.
 #[derive(Debug, Clone)]
-pub(crate) struct Entry {
+pub(crate) struct LinkEntry {
     pub(crate) link: LinkId,
     pub(crate) peer: NodeId,
     kind: NodeKind,
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 struct Links {
     next: u64,
-    open: BTreeMap<LinkId, Entry>,
+    open: BTreeMap<LinkId, LinkEntry>,
 }
 
 impl Members {
@@ -76,17 +76,17 @@
     }
 
     /// Tells the view; after the view has ended nobody needs to know.
-    pub(crate) fn tell(&self, event: Event) {
+    pub(crate) fn notify(&self, event: Event) {
         if self.inbox.try_send(event).is_err() {
             log::debug!(event = "view-ended"; "");
         }
     }
 
     /// Notes a link on which the peer said hello.
-    pub(crate) fn open(&self, sender: LinkSender, profile: &Profile) -> Entry {
+    pub(crate) fn open(&self, sender: LinkSender, profile: &Profile) -> LinkEntry {
         let mut links = self.links();
         links.next += 1;
-        let entry = Entry {
+        let entry = LinkEntry {
             link: LinkId(links.next),
             peer: profile.node.clone(),
             kind: profile.kind,
@@ -113,7 +113,7 @@
     }
 
     /// Sends a frame to every linked router.
-    pub(crate) fn tell_routers(&self, body: &Body) {
+    pub(crate) fn send_to_routers(&self, body: &Body) {
         let links = self.links();
         let routers = links.open.values().filter(|e| e.kind == NodeKind::Router);
         for entry in routers {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn get(&self, link: LinkId) -> Option<Entry> {
+    fn get(&self, link: LinkId) -> Option<LinkEntry> {
         self.links().open.get(&link).cloned()
     }
 
@@ -144,13 +144,13 @@
             Event::LinkUp { link, profile, .. } => Some((*link, profile.node.clone())),
             _ => None,
         };
-        let mut wake = act(&node, &mut view, event);
+        let mut wake = handle_event(&node, &mut view, event);
         if let Some((link, peer)) = link {
             admit(&node, &view, link, &peer);
         }
         if node.board.drain.is_set() && !draining {
             draining = true;
-            wake = act(&node, &mut view, Event::Draining(true));
+            wake = handle_event(&node, &mut view, Event::Draining(true));
         }
         let Some(next) = next(&node, &events, wake, draining).await else {
             return;
@@ -175,7 +175,7 @@
 
 async fn next(node: &Node, events: &Receiver<Event>, wake: Time, draining: bool) -> Option<Event> {
     let event = async { events.recv().await.ok() };
-    let due = async {
+    let timer = async {
         Timer::after(wake.since(node.clock.now())).await;
         Some(Event::Tick)
     };
@@ -190,11 +190,11 @@
         node.board.stop.wait().await;
         None
     };
-    stopped.or(event).or(drain).or(due).await
+    stopped.or(event).or(drain).or(timer).await
 }
 
 /// Passes an event to the view, carries out the answer, returns when to wake.
-fn act(node: &Arc<Node>, view: &mut View, event: Event) -> Time {
+fn handle_event(node: &Arc<Node>, view: &mut View, event: Event) -> Time {
     let mut wake = Time::NEVER;
     for action in view.handle(node.clock.now(), event) {
         match action {
@@ -209,16 +209,16 @@
                     entry.retired.set();
                 }
             }
-            Action::SendHeartbeat { link, beat } => send(node, link, beat),
+            Action::SendHeartbeat { link, beat } => send_heartbeat(node, link, beat),
             Action::StateChanged {
                 node: peer,
                 from,
                 to,
-            } => note(node, view, &peer, from, to),
+            } => on_state_change(node, view, &peer, from, to),
             Action::HostLeaving(leaving) => {
                 log::warn!(event = "host-leaving", leaving = leaving; "");
                 if leaving {
-                    node.board.leave.set();
+                    node.board.host_leaving.set();
                 }
             }
             Action::WakeAt(at) => wake = at,
@@ -227,7 +227,7 @@
     wake
 }
 
-fn send(node: &Node, link: LinkId, beat: Beat) {
+fn send_heartbeat(node: &Node, link: LinkId, beat: Beat) {
     let config = node.board.config.get();
     let heartbeat = Heartbeat {
         incarnation: beat.incarnation.0,
@@ -247,20 +247,20 @@
 
 fn admit(node: &Node, view: &View, link: LinkId, peer: &NodeId) {
     let member = view.members().get(peer);
-    let taken = member.is_some_and(|m| m.link() == Some(link));
-    if taken && let Some(entry) = node.members.get(link) {
+    let is_current = member.is_some_and(|m| m.link() == Some(link));
+    if is_current && let Some(entry) = node.members.get(link) {
         entry.admitted.set();
     }
 }
 
 /// Logs a change of state and bars or admits the endpoint.
-fn note(node: &Node, view: &View, peer: &NodeId, from: PeerState, to: PeerState) {
+fn on_state_change(node: &Node, view: &View, peer: &NodeId, from: PeerState, to: PeerState) {
     log::info!(event = "peer-state", peer = peer.as_str(), from = from.to_string().as_str(), to = to.to_string().as_str(); "");
     let Some(member) = view.members().get(peer) else {
         return;
     };
     let profile = &member.profile;
-    node.control.peers.state(node.clock.now(), profile, to);
+    node.control.peers.set_state(node.clock.now(), profile, to);
     let (Some(endpoint), Some(pool)) = (&profile.endpoint, &profile.pool) else {
         return;
     };
@@ -269,11 +269,11 @@
     // would bar it only after three seconds. One that is alive again on the
     // same link must be let in, as nothing else would.
     match (to, member.incarnation()) {
-        (PeerState::Alive, Some(life)) if from != PeerState::Unheard => {
+        (PeerState::Alive, Some(incarnation)) if from != PeerState::Unheard => {
             let (domain, region) = (&profile.domain, &profile.region);
             shared
                 .fleet
-                .upsert(endpoint.clone(), pool.clone(), domain, region, life);
+                .upsert(endpoint.clone(), pool.clone(), domain, region, incarnation);
         }
         (PeerState::Slow, _) if from == PeerState::Alive => shared.fleet.mark_unreachable(endpoint),
         (PeerState::CutOff | PeerState::Dead, _) => shared.fleet.mark_unreachable(endpoint),
@@ -282,7 +282,7 @@
 }
 
 /// Reads the host list until the router stops.
-pub(crate) async fn follow_hosts(node: Arc<Node>, hosts: HttpHosts) {
+pub(crate) async fn poll_hosts(node: Arc<Node>, hosts: HttpHosts) {
     while !node.board.stop.is_set() {
         let stopped = async {
             node.board.stop.wait().await;
@@ -290,14 +290,14 @@
         };
         let list = hosts.list().or(stopped).await;
         if let Some(list) = &list {
-            node.control.peers.listed(list);
+            node.control.peers.set_hosts(list);
         }
         // An empty list names nobody and so tells nothing.
         if let Some(list) = list.filter(|l| !l.is_empty()) {
-            node.members.tell(Event::HostList(list));
+            node.members.notify(Event::HostList(list));
         }
         let pause = async {
-            Timer::after(LIST_EVERY).await;
+            Timer::after(HOST_LIST_INTERVAL).await;
         };
         pause.or(node.board.stop.wait()).await;
     }
@@ -317,7 +317,7 @@
             Some(Ok((stream, _peer))) => {
                 let owner = Arc::clone(&node);
                 node.scope
-                    .spawn(async move { connect::accepted(owner, stream).await });
+                    .spawn(async move { connect::serve_accepted(owner, stream).await });
             }
             Some(Err(error)) => {
                 log::warn!(event = "accept-failed", error = error.to_string().as_str(), remedy = "raise the descriptor limit"; "");
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -55,9 +55,9 @@
 use crate::board::Board;
 use crate::control::Control;
 use crate::control::Port;
-use crate::door::Door;
-use crate::drive::Finish;
+use crate::drive::RequestResult;
 use crate::follow;
+use crate::ingress::Ingress;
 use crate::members;
 use crate::members::Members;
 use crate::outcomes::Outcomes;
@@ -65,22 +65,22 @@
 use crate::settings::Raw;
 use crate::settings::Settings;
 use crate::snapshots;
-use crate::snapshots::Seen;
+use crate::snapshots::LogState;
 
 /// The version of the frames between processes.
-const PROTOCOL: u32 = 1;
+const PROTOCOL_VERSION: u32 = 1;
 
 /// The longest time to connect to the platform.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a leaving router still serves, for balancers to see it.
 ///
 /// With the refusals after it, new work ends within the 3 s that operators are
 /// promised, and a balancer that looks once a second has looked twice.
-const ASIDE: Duration = Duration::from_secs(2);
+const PRE_DRAIN_WAIT: Duration = Duration::from_secs(2);
 
 /// The pause between two looks at what a drain still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// The reason why a router can't start.
 #[derive(Debug)]
@@ -106,7 +106,7 @@
     /// The configuration as it is read and passed on.
     pub(crate) book: Book,
     /// What was last read of the configuration's topic.
-    pub(crate) log_seen: Fact<Seen>,
+    pub(crate) log_state: Fact<LogState>,
     pub(crate) agents: Agents,
     pub(crate) members: Members,
     pub(crate) admission: Admission,
@@ -149,7 +149,7 @@
     pub(crate) fn hello(&self) -> Hello {
         let own = &self.settings;
         Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             node: own.node.to_string(),
             kind: NodeKind::Router.into(),
             incarnation: self.incarnation.0,
@@ -163,26 +163,26 @@
     }
 
     /// Notes the end of a request that was taken on.
-    pub(crate) fn ended(&self, spec: &RequestSpec, finish: &Finish) {
-        let used = Tokens(finish.prompt_tokens + finish.output_tokens);
+    pub(crate) fn on_request_end(&self, spec: &RequestSpec, result: &RequestResult) {
+        let used = Tokens(result.prompt_tokens + result.output_tokens);
         self.admission.done(self.clock.now(), spec, used);
-        self.settled(spec, finish);
+        self.on_outcome(spec, result);
     }
 
     /// Notes the outcome of a request.
-    pub(crate) fn settled(&self, spec: &RequestSpec, finish: &Finish) {
-        let reason = finish
+    pub(crate) fn on_outcome(&self, spec: &RequestSpec, result: &RequestResult) {
+        let reason = result
             .reason
             .map_or_else(|| "-".to_owned(), |r| r.to_string());
-        let outcome = finish.outcome.to_string();
+        let outcome = result.outcome.to_string();
         metrics::counter!("snipeyoke_requests_total", "outcome" => outcome.clone(), "reason" => reason.clone()).increment(1);
         log::info!(target: "request", event = "request-ended", request = spec.request.to_string().as_str(), account = spec.account.as_str(), pipeline = spec.name.as_str(), outcome = outcome.as_str(), reason = reason.as_str(); "");
         self.outcomes
-            .note(spec.request, finish.outcome, finish.reason);
+            .finish(spec.request, result.outcome, result.reason);
         let now = self.clock.now();
         self.control
             .records
-            .finish(now, spec.request, finish.outcome, finish.reason);
+            .finish(now, spec.request, result.outcome, result.reason);
     }
 }
 
@@ -215,12 +215,12 @@
         let (members, events) = Members::new();
         let node = Arc::new(node(raw, execs, members));
         node.scope.spawn(members::accept(Arc::clone(&node), peers));
-        let client = Client::new(node.scope.clone(), CONNECT_LIMIT);
+        let client = Client::new(node.scope.clone(), CONNECT_TIMEOUT);
         let hosts = HttpHosts::new(client.clone(), node.settings.platform);
         let log: Arc<dyn LogStore> = Arc::new(HttpLog::new(client, node.settings.platform));
         let control = Scope::new(Arc::clone(&execs.control));
         control.spawn(members::run(Arc::clone(&node), events));
-        control.spawn(members::follow_hosts(Arc::clone(&node), hosts));
+        control.spawn(members::poll_hosts(Arc::clone(&node), hosts));
         control.spawn(admission::run(Arc::clone(&node)));
         control.spawn(follow::run(Arc::clone(&node), Arc::clone(&log)));
         control.spawn(snapshots::run(Arc::clone(&node), Arc::clone(&log)));
@@ -228,14 +228,15 @@
         // Operators look most of all while a router drains, so their port stays
         // open until it stops.
         let stop = node.board.stop.clone();
-        let asked = Scope::new(Arc::clone(&execs.control));
-        control.spawn(http::serve(operators, port, bounds, asked, stop));
-        let door = Arc::new(Door::new(Arc::clone(&node)));
+        let operator_conns = Scope::new(Arc::clone(&execs.control));
+        control.spawn(http::serve(operators, port, bounds, operator_conns, stop));
+        let ingress = Arc::new(Ingress::new(Arc::clone(&node)));
         let conns = Scope::new(Arc::clone(&execs.traffic));
         let drain = node.board.drain.clone();
-        let end = node.board.end.clone();
-        node.scope
-            .spawn(http::serve_until(listener, door, bounds, conns, drain, end));
+        let end = node.board.callers_closed.clone();
+        node.scope.spawn(http::serve_until(
+            listener, ingress, bounds, conns, drain, end,
+        ));
         log::info!(event = "router-up", node = node.settings.node.as_str(), callers = callers.to_string().as_str(), incarnation = node.incarnation.0; "");
         Ok(Self {
             node,
@@ -260,12 +261,12 @@
     /// Returns the number of agents that have reported to this router.
     #[must_use]
     pub fn reported_agents(&self) -> usize {
-        self.node.agents.reported()
+        self.node.agents.reported_count()
     }
 
     /// Waits until the platform's host list says that this host leaves.
     pub async fn told_to_leave(&self) {
-        self.node.board.leave.wait().await;
+        self.node.board.host_leaving.wait().await;
     }
 
     /// Drains as at SIGTERM.
@@ -279,25 +280,25 @@
     /// platform's balancer has gone elsewhere before the first refusal.
     pub async fn drain(&self, source: Source) {
         let board = &self.node.board;
-        board.aside.set();
+        board.pre_drain.set();
         log::info!(event = "drain-begins", source = source.to_string().as_str(), requests = self.node.requests.len(); "");
-        Timer::after(ASIDE).await;
+        Timer::after(PRE_DRAIN_WAIT).await;
         let mut drain = Drain::new(DrainSettings::default());
         let mut actions = drain.begin(self.node.clock.now(), source, true);
         while drain.phase() != Phase::Done {
-            self.carry(&actions);
-            Timer::after(DRAIN_LOOK).await;
+            self.execute(&actions);
+            Timer::after(DRAIN_POLL).await;
             let held = Held {
                 calls: self.node.in_flight(),
                 ..Held::default()
             };
             actions = drain.update(self.node.clock.now(), held);
         }
-        self.carry(&actions);
+        self.execute(&actions);
         self.stop().await;
     }
 
-    fn carry(&self, actions: &[DrainAction]) {
+    fn execute(&self, actions: &[DrainAction]) {
         for action in actions {
             match action {
                 DrainAction::Stop => self.node.board.drain.set(),
@@ -325,9 +326,9 @@
 
     /// Stops at once, cutting off what runs.
     pub async fn stop(&self) {
-        self.node.board.aside.set();
+        self.node.board.pre_drain.set();
         self.node.board.drain.set();
-        self.node.board.end.set();
+        self.node.board.callers_closed.set();
         self.node.board.stop.set();
         self.control.cancel_later().await;
         self.node.scope.cancel_later().await;
@@ -359,7 +360,7 @@
         clock: Clock::start(),
         board: Board::new(),
         book: Book::default(),
-        log_seen: Fact::new(Seen::default()),
+        log_state: Fact::new(LogState::default()),
         agents: Agents::default(),
         members,
         admission: Admission::new(Time::ZERO, raw.routers.len() + 1),
--- a/router/src/outcomes.rs
+++ b/router/src/outcomes.rs
@@ -11,11 +11,11 @@
 
 /// The requests remembered: about a minute of one router's share at the peak
 /// of 2,000 requests a second over 340 routers, many times over.
-const KEPT: usize = 16_384;
+const CAPACITY: usize = 16_384;
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum RequestStatus {
     Running,
     Ended(Outcome, Option<Reason>),
 }
@@ -28,30 +28,30 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    known: BTreeMap<RequestId, Standing>,
+    known: BTreeMap<RequestId, RequestStatus>,
     order: VecDeque<RequestId>,
 }
 
 impl Outcomes {
     pub(crate) fn begin(&self, id: RequestId) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        inner.known.insert(id, Standing::Running);
+        inner.known.insert(id, RequestStatus::Running);
         inner.order.push_back(id);
-        while inner.order.len() > KEPT {
+        while inner.order.len() > CAPACITY {
             if let Some(oldest) = inner.order.pop_front() {
                 inner.known.remove(&oldest);
             }
         }
     }
 
-    pub(crate) fn note(&self, id: RequestId, outcome: Outcome, reason: Option<Reason>) {
+    pub(crate) fn finish(&self, id: RequestId, outcome: Outcome, reason: Option<Reason>) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(standing) = inner.known.get_mut(&id) {
-            *standing = Standing::Ended(outcome, reason);
+        if let Some(status) = inner.known.get_mut(&id) {
+            *status = RequestStatus::Ended(outcome, reason);
         }
     }
 
-    pub(crate) fn get(&self, id: &RequestId) -> Option<Standing> {
+    pub(crate) fn get(&self, id: &RequestId) -> Option<RequestStatus> {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         inner.known.get(id).copied()
     }
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -17,7 +17,7 @@
 const THREADS_MAX: usize = 64;
 
 /// The largest body of a caller that a frame between processes can carry.
-pub const BODY_MAX: usize = 1 << 20;
+pub const BODY_MAX_BYTES: usize = 1 << 20;
 
 /// The settings as they stand in the file.
 #[derive(Debug, Clone)]
@@ -109,7 +109,7 @@
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            body_bytes: BODY_MAX,
+            body_bytes: BODY_MAX_BYTES,
             head_ms: 30_000,
             body_ms: 10_000,
             conns: 3_500,
@@ -152,7 +152,7 @@
         found: usize,
     },
     /// The largest body is out of range.
-    #[display("`bounds.body_bytes` is {found}: give 1 to {BODY_MAX}")]
+    #[display("`bounds.body_bytes` is {found}: give 1 to {BODY_MAX_BYTES}")]
     Body {
         /// The number found.
         found: usize,
@@ -182,7 +182,7 @@
             return Err(ValueError::Threads { found });
         }
         let found = raw.bounds.body_bytes;
-        if found == 0 || found > BODY_MAX {
+        if found == 0 || found > BODY_MAX_BYTES {
             return Err(ValueError::Body { found });
         }
         if raw.bounds.head_ms == 0 {
--- a/router/src/snapshots.rs
+++ b/router/src/snapshots.rs
@@ -34,20 +34,20 @@
 ///
 /// All routers find it due at about the same time. Each waits a random part of
 /// this, and the first one's snapshot spares the others theirs.
-const SPREAD: Duration = Duration::from_secs(5);
+const JITTER_MAX: Duration = Duration::from_secs(5);
 
 /// The tries to append one part.
 ///
 /// A snapshot that lacks one part is lost, with all that was sent of it. A part
 /// that is appended twice does no harm.
-const TRIES: usize = 3;
+const APPEND_ATTEMPTS: usize = 3;
 
 /// The pause between two looks, or two tries.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_PAUSE: Duration = Duration::from_secs(1);
 
 /// What is known of the log's topic.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Seen {
+pub(crate) struct LogState {
     /// The offset after the newest record, when last read.
     pub(crate) end: Offset,
     /// The newest snapshot, or the start of the topic.
@@ -55,19 +55,19 @@
     /// When that snapshot was read.
     pub(crate) at: Time,
     /// When the newest part of a snapshot not yet whole was read.
-    pub(crate) part: Option<Time>,
+    pub(crate) part_time: Option<Time>,
 }
 
 /// Publishes snapshots until the router stops.
 pub(crate) async fn run(node: Arc<Node>, log: Arc<dyn LogStore>) {
     let work = async {
         loop {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_PAUSE).await;
             if !is_due(&node) {
                 continue;
             }
-            let share: f64 = node.shared().rng.random();
-            Timer::after(SPREAD.mul_f64(share)).await;
+            let jitter: f64 = node.shared().rng.random();
+            Timer::after(JITTER_MAX.mul_f64(jitter)).await;
             if is_due(&node) {
                 publish(&node, log.as_ref()).await;
             }
@@ -77,19 +77,19 @@
 }
 
 fn is_due(node: &Node) -> bool {
-    let seen = node.log_seen.get();
+    let state = node.log_state.get();
     let next = node.book.next();
     // A state that is behind the log would be a snapshot of no use.
-    if next != seen.end || next == Offset(0) {
+    if next != state.end || next == Offset(0) {
         return false;
     }
     // Somebody is publishing, or stopped half-way if nothing comes any more.
     let now = node.clock.now();
-    if seen.part.is_some_and(|at| now.since(at) < SPREAD) {
+    if state.part_time.is_some_and(|at| now.since(at) < JITTER_MAX) {
         return false;
     }
-    let aged = now.since(seen.at) > AGE_MAX;
-    aged || next.0.saturating_sub(seen.snapshot.0) > RECORDS_MAX
+    let aged = now.since(state.at) > AGE_MAX;
+    aged || next.0.saturating_sub(state.snapshot.0) > RECORDS_MAX
 }
 
 async fn publish(node: &Node, log: &dyn LogStore) {
@@ -112,7 +112,7 @@
 
 /// Appends one record, the log service's limit for one append.
 async fn append(node: &Node, log: &dyn LogStore, record: Vec<u8>) -> bool {
-    for _try in 0..TRIES {
+    for _attempt in 0..APPEND_ATTEMPTS {
         if node.board.stop.is_set() {
             return false;
         }
@@ -124,7 +124,7 @@
         if let AppendEnd::Done { .. } = log.append(append).await {
             return true;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_PAUSE).await;
     }
     false
 }
