--- a/router/src/drive/work.rs
+++ b/router/src/drive/work.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 #[derive(Display, Error)]
 #[display("the endpoint's answer is not that of its role {role}: check what the pool serves")]
-pub(crate) struct AnswerError {
+pub(crate) struct OutputError {
     role: StageRole,
 }
 
@@ -191,26 +191,26 @@
     ///
     /// # Errors
     ///
-    /// Returns [`AnswerError`] if the answer lacks what the role promises.
+    /// Returns [`OutputError`] if the answer lacks what the role promises.
     pub(crate) fn parse_output(
         &self,
         role: StageRole,
         body: &Bytes,
-    ) -> Result<StageOutput, AnswerError> {
-        let wrong = || AnswerError { role };
+    ) -> Result<StageOutput, OutputError> {
+        let wrong = || OutputError { role };
         match role {
             StageRole::Encode => {
-                let answer: Embeddings = parse(body).ok_or_else(wrong)?;
-                let first = answer.data.into_iter().next().ok_or_else(wrong)?;
+                let output: Embeddings = parse(body).ok_or_else(wrong)?;
+                let first = output.data.into_iter().next().ok_or_else(wrong)?;
                 Ok(StageOutput::Embedding(first.embedding))
             }
             StageRole::Retrieve => {
-                let answer: Documents = parse(body).ok_or_else(wrong)?;
-                Ok(StageOutput::Documents(answer.documents))
+                let output: Documents = parse(body).ok_or_else(wrong)?;
+                Ok(StageOutput::Documents(output.documents))
             }
             StageRole::Rerank => {
-                let answer: Ranking = parse(body).ok_or_else(wrong)?;
-                self.reranked(&answer)
+                let output: Ranking = parse(body).ok_or_else(wrong)?;
+                self.reranked(&output)
                     .map(StageOutput::Documents)
                     .ok_or_else(wrong)
             }
