--- a/router/src/control/auth.rs
+++ b/router/src/control/auth.rs
@@ -1,4 +1,4 @@
-//! Who asks: an operator by the digest of their key.
+//! Authentication of operators by the digest of their key.
 
 use hyper::HeaderMap;
 use snipeyoke_lib::ids::Operator;
@@ -9,11 +9,11 @@
 use crate::ingress::digest;
 use crate::settings::OperatorKey;
 
-/// Finds the operator whose key the request carries.
+/// Returns the operator whose key the request carries.
 ///
-/// Every digest is compared whole and in constant time. A comparison that ends
-/// at the first difference would tell by its time how much of a digest was
-/// guessed; the key itself is never compared or logged.
+/// All digests are compared in full and in constant time, so that the response
+/// time does not reveal how much of a digest was guessed. The key itself is
+/// never compared or logged.
 pub(crate) fn operator(headers: &HeaderMap, known: &[OperatorKey]) -> Option<Operator> {
     let given = digest(bearer(headers)?)?.to_string();
     let mut found = None;
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -1,4 +1,4 @@
-//! From a change command to its answer, through the log.
+//! Executes change commands through the log.
 
 use std::time::Duration;
 
@@ -24,13 +24,13 @@
 use super::waiters::Waiter;
 use crate::node::Node;
 
-/// How long an operator waits for the log.
+/// The longest wait for the log to confirm a change.
 ///
-/// Longer than an append and its read take in a region far away, shorter than
-/// the tool's own limit, so that the answer says what is known.
+/// Longer than an append and its read take in a remote region, but shorter than
+/// the tool's own time-out, so that the operator gets the known state.
 const LOG_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What is known of the append.
+/// The known state of the append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Append {
     NotDone,
@@ -38,7 +38,7 @@
     Done,
 }
 
-/// Carries out a change command, or only plans it.
+/// Executes a change command, or only plans it for a dry run.
 pub(crate) async fn change(
     node: &Node,
     log: &dyn LogStore,
@@ -48,7 +48,7 @@
 ) -> ChangeAnswer {
     let in_force = node.board.config.get();
     let base = command.base.unwrap_or(in_force.revision);
-    // The words are checked on the configuration that the operator saw.
+    // The edit is validated against the configuration that the operator saw.
     let base_config = match NodeFacts(node).config(Some(base)) {
         Ok(base_config) => base_config.config,
         Err(error) => return invalid(&error),
@@ -108,8 +108,8 @@
             Timer::after(publisher.wake().since(now)).await;
             continue;
         };
-        // Until an answer comes the append may have happened; if this future
-        // is dropped meanwhile, that is what is known.
+        // The append may have happened before its response arrives. This state
+        // must stand if the future is dropped while it waits.
         let before = std::mem::replace(state, Append::Unanswered);
         let end = log.append(append).await;
         *state = match &end {
@@ -135,12 +135,13 @@
                 revision: *revision,
                 winner: winner
                     .as_deref()
-                    .map_or_else(|| "changes no longer remembered".to_owned(), by),
+                    .map_or_else(|| "changes that are no longer kept".to_owned(), by),
             }
         }
         Applied::Invalid(error) => invalid(error),
         other => {
-            let why = format!("the log read back {other:?}; ask 'show changes' for what stands");
+            let why =
+                format!("the log read back {other:?}; run 'show changes' to see the current state");
             ChangeAnswer::Unknown { why }
         }
     }
@@ -149,15 +150,15 @@
 fn timeout_answer(state: Append) -> ChangeAnswer {
     match state {
         Append::NotDone => ChangeAnswer::NotDone {
-            why: "the log service takes no appends; what is in force stays so, try again later"
+            why: "the log service accepts no appends; the configuration is unchanged, retry later"
                 .to_owned(),
         },
         Append::Unanswered => ChangeAnswer::Unknown {
-            why: "the log service did not answer the append; ask 'show changes' once it does"
+            why: "the log service did not confirm the append; run 'show changes' once it responds"
                 .to_owned(),
         },
         Append::Done => ChangeAnswer::Unknown {
-            why: "the log took the change, but this router has not read it back; ask again"
+            why: "the log accepted the change, but this router has not read it back yet; run 'show changes'"
                 .to_owned(),
         },
     }
--- a/router/src/control/drains.rs
+++ b/router/src/control/drains.rs
@@ -1,4 +1,4 @@
-//! What the operators' drains cover.
+//! Matches operators' drains against endpoints, hosts and routers.
 
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::config::DrainTarget;
@@ -9,14 +9,14 @@
 
 use crate::settings::Raw;
 
-/// Tells whether an operator drains an endpoint, its host or its domain.
+/// Returns whether an operator drains an endpoint, its host or its domain.
 pub(crate) fn covers(
     config: &Config,
     endpoint: &EndpointId,
     host: &HostId,
     domain: &FailureDomain,
 ) -> bool {
-    // Most of the time nothing is drained, and every report asks.
+    // Fast path: every load report calls this, and drains are rare.
     if config.drains.is_empty() {
         return false;
     }
@@ -28,7 +28,7 @@
     targets.iter().any(|t| config.drains.contains(t))
 }
 
-/// Tells whether an operator drains this router, its host or its domain.
+/// Returns whether an operator drains this router, its host or its domain.
 pub(crate) fn covers_self(config: &Config, own: &Raw) -> bool {
     let targets = [
         DrainTarget::Router(own.node.clone()),
@@ -38,7 +38,7 @@
     targets.iter().any(|t| config.drains.contains(t))
 }
 
-/// Tells whether this router sees what a drain names.
+/// Returns whether this router knows the target of a drain.
 pub(crate) fn is_known(facts: &dyn Facts, target: &DrainTarget) -> bool {
     let endpoints = facts.endpoints();
     match target {
--- a/router/src/control/endpoints.rs
+++ b/router/src/control/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints as their agents introduced them and last reported.
+//! The endpoints, as given in their agents' hello and last report.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -16,10 +16,10 @@
 
 use super::drains;
 
-/// The age up to which a report counts as fresh, as in the choice of endpoints.
+/// The age up to which a report counts as fresh, as in routing.
 const FRESH_AGE_MAX: Duration = Duration::from_secs(3);
 
-/// What is known of each endpoint; those that left stay until replaced.
+/// The state of each endpoint; endpoints that left stay until replaced.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoints {
     known: Mutex<BTreeMap<EndpointId, EndpointState>>,
@@ -35,7 +35,7 @@
 }
 
 impl Endpoints {
-    /// Notes an agent that introduced itself.
+    /// Adds the endpoint of an agent that sent its hello.
     pub(crate) fn add(&self, now: Time, endpoint: EndpointId, hello: Hello) {
         let known = EndpointState {
             hello,
@@ -47,7 +47,7 @@
         self.lock().insert(endpoint, known);
     }
 
-    /// Notes a report, with the revision in force at the agent.
+    /// Records a load report and the configuration revision of the agent.
     pub(crate) fn on_report(
         &self,
         now: Time,
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Notes that the link to an agent is gone.
+    /// Records that the link to an agent is closed.
     pub(crate) fn mark_unlinked(&self, endpoint: &EndpointId) {
         if let Some(known) = self.lock().get_mut(endpoint) {
             known.linked = false;
         }
     }
 
-    /// Returns the endpoints, in the order of their names.
+    /// Returns the endpoints, sorted by name.
     pub(crate) fn endpoints(&self, now: Time, config: &Config) -> Vec<EndpointFact> {
         let known = self.lock();
         let facts = known
@@ -78,7 +78,7 @@
         facts.collect()
     }
 
-    /// Returns the agents, in the order of their endpoints' names.
+    /// Returns the agents, sorted by the names of their endpoints.
     pub(crate) fn agents(&self, now: Time) -> Vec<NodeFact> {
         self.lock().values().filter_map(|s| s.node(now)).collect()
     }
--- a/router/src/control/facts.rs
+++ b/router/src/control/facts.rs
@@ -1,4 +1,4 @@
-//! What this router can tell, for the language.
+//! The facts of this router, as read by the query language.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 use crate::node::Node;
 
-/// A router's facts.
+/// The facts of a router.
 #[derive(Debug)]
 pub(crate) struct NodeFacts<'a>(pub(crate) &'a Node);
 
@@ -60,7 +60,7 @@
         let hosts = self.0.control.peers.hosts(config);
         hosts.ok_or(FactError::NotKept {
             what: "the host list",
-            remedy: "it was never read: look after the platform, or ask 'show nodes'",
+            remedy: "it was never read: check the platform, or run 'show nodes'",
         })
     }
 
@@ -74,7 +74,7 @@
     fn leases(&self) -> Result<Vec<LeaseFact>, FactError> {
         Err(FactError::NotKept {
             what: "leases",
-            remedy: "look for slots-owned in the agents' logs",
+            remedy: "search the agents' logs for slots-owned",
         })
     }
 
--- a/router/src/control/mod.rs
+++ b/router/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' control port: questions, changes, stops.
+//! The operators' control port: queries, changes and stops.
 
 mod auth;
 mod changes;
@@ -24,22 +24,22 @@
 pub(crate) use self::records::Records;
 pub(crate) use self::waiters::Waiters;
 
-/// What the control port knows beside the blackboard.
+/// The state of the control port beyond the board.
 #[derive(Debug, Default)]
 pub(crate) struct Control {
     /// The requests of this router.
     pub(crate) records: Records,
-    /// The endpoints that it sees.
+    /// The endpoints known to this router.
     pub(crate) endpoints: Endpoints,
-    /// The hosts and other routers.
+    /// The known hosts and other routers.
     pub(crate) peers: Peers,
-    /// The operators who wait for a change to be read back.
+    /// The operators waiting for a change to be read back.
     pub(crate) waiters: Waiters,
     history: Mutex<History>,
 }
 
 impl Control {
-    /// Remembers what a record did to the configuration.
+    /// Adds the effect of a record to the history.
     pub(crate) fn on_applied(&self, applied: &Applied, fold: &Fold) {
         metrics::gauge!("snipeyoke_config_revision").set(fold.revision().0 as f64);
         let mut history = self.history();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Locks the earlier configurations.
+    /// Locks the history of configurations.
     pub(crate) fn history(&self) -> MutexGuard<'_, History> {
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/router/src/control/peers.rs
+++ b/router/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Other routers, and the hosts of the host list.
+//! The other routers and the hosts of the host list.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -17,7 +17,7 @@
 use snipeyoke_lib::query::NodeFact;
 use snipeyoke_lib::time::Time;
 
-/// What is known of hosts and other routers.
+/// The known hosts and other routers.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     known: Mutex<Known>,
@@ -25,13 +25,13 @@
 
 #[derive(Debug, Default)]
 struct Known {
-    // None until the host list was read once.
+    // `None` until the host list is first read.
     hosts: Option<BTreeMap<HostId, HostFact>>,
     routers: BTreeMap<NodeId, (Profile, PeerState, Time)>,
 }
 
 impl Peers {
-    /// Notes the host list.
+    /// Replaces the hosts by those of a new host list.
     pub(crate) fn set_hosts(&self, list: &[Listed]) {
         let fact = |listed: &Listed| {
             let profile = &listed.profile;
@@ -48,7 +48,7 @@
         self.lock().hosts = Some(list.iter().map(fact).collect());
     }
 
-    /// Notes what the membership view makes of a router.
+    /// Records a router's state in the membership view.
     pub(crate) fn set_state(&self, now: Time, profile: &Profile, state: PeerState) {
         if profile.kind == NodeKind::Router {
             let entry = (profile.clone(), state, now);
@@ -69,7 +69,7 @@
         Some(hosts)
     }
 
-    /// Returns the other routers; `report` is the age of their present state.
+    /// Returns the other routers; `report` is the age of their current state.
     pub(crate) fn routers(&self, now: Time) -> Vec<NodeFact> {
         let fact = |(profile, state, since): &(Profile, PeerState, Time)| NodeFact {
             node: profile.node.clone(),
--- a/router/src/control/port.rs
+++ b/router/src/control/port.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: one statement in, lines of JSON out.
+//! The HTTP handler: one statement per request, JSON lines as the response.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -35,13 +35,13 @@
 use super::facts::NodeFacts;
 use crate::node::Node;
 
-/// The longest time for the text of a statement.
+/// The time-out for reading a statement.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The header with the identity of a change, the same when it is sent again.
+/// The header with the id of a change; a retry sends the same id.
 const CHANGE_HEADER: &str = "x-change-id";
 
-/// Answers operators.
+/// Handles requests of operators.
 #[derive(Debug)]
 pub(crate) struct Port {
     node: Arc<Node>,
@@ -58,7 +58,7 @@
         let Some(operator) = auth::operator(request.headers(), operators) else {
             metrics::counter!("snipeyoke_control_denied_total").increment(1);
             log::warn!(target: "control", event = "operator-unknown", path = request.uri().path(); "");
-            let text = "the key is missing or unknown: nothing was done".to_owned();
+            let text = "the key is missing or unknown: the statement was not executed".to_owned();
             return self.reply(StatusCode::UNAUTHORIZED, vec![Line::Error { text }], 0);
         };
         match (request.method(), request.uri().path()) {
@@ -85,7 +85,7 @@
         match statement {
             Statement::Query(query) => self.query(&query),
             Statement::Watch { show, .. } => self.query(&Query::Show(show)),
-            Statement::Help => self.bad_request("ask the tool for help".to_owned()),
+            Statement::Help => self.bad_request("help is part of the command-line tool".to_owned()),
             Statement::Command(Command::Stop(id)) => {
                 let stopped = self.node.control.records.stop(id);
                 self.reply(StatusCode::OK, vec![Line::Stop { stopped }], 0)
@@ -102,11 +102,11 @@
         let timeout = async {
             Timer::after(BODY_TIMEOUT).await;
             Err(format!(
-                "the text took over {BODY_TIMEOUT:?}: send it at once"
+                "the statement did not arrive within {BODY_TIMEOUT:?}: send it in one request"
             ))
         };
         let body = read.or(timeout).await?;
-        String::from_utf8(body.into()).map_err(|_binary| "the text is not UTF-8".to_owned())
+        String::from_utf8(body.into()).map_err(|_binary| "the statement is not UTF-8".to_owned())
     }
 
     fn query(&self, query: &Query) -> Reply {
@@ -131,14 +131,14 @@
         self.reply(StatusCode::OK, lines, 0)
     }
 
-    // A drain with a mistyped name would be accepted and drain nothing.
+    // A drain with a mistyped name is accepted but drains nothing.
     fn unknown_target_note(&self, edit: &Edit) -> Option<Line> {
         let Edit::Drain(target) = edit else {
             return None;
         };
         let known = NodeFacts(&self.node);
         (!super::drains::is_known(&known, target)).then(|| Line::Note {
-            text: format!("{target} is not seen by this router: check its name with 'show'"),
+            text: format!("{target} is not known to this router: check its name with 'show'"),
         })
     }
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns the identity that the tool gave the change, or a new one.
+/// Returns the change id sent by the tool, or a new one.
 fn change_id(headers: &HeaderMap) -> RecordId {
     let given = headers.get(CHANGE_HEADER).and_then(|v| v.to_str().ok());
     let parsed = given.and_then(|text| Uuid::parse_str(text).ok());
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -1,4 +1,4 @@
-//! The journal of this router's requests, and how to stop them.
+//! The journal of this router's requests, and the means to stop them.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -20,10 +20,10 @@
 use snipeyoke_lib::units::Bytes;
 use snipeyoke_runtime::flag::Flag;
 
-/// The memory of the journal: an eighth of a node's 256 MB.
+/// The memory budget of the journal: an eighth of a node's 256 MB.
 const JOURNAL_BYTES: Bytes = Bytes(32 << 20);
 
-/// The requests copied under one lock.
+/// The number of requests copied per lock acquisition.
 const PAGE_SIZE: usize = 64;
 
 /// Records requests for operators.
@@ -49,7 +49,7 @@
 }
 
 impl Records {
-    /// Notes a request that is about to be driven; `stop` ends it.
+    /// Records a request that is about to be driven; `stop` ends it.
     pub(crate) fn begin(&self, now: Time, spec: &RequestSpec, stop: Flag) {
         let accepted = Accepted::of(now, spec, None);
         self.journal().on_accept(now, accepted);
@@ -60,12 +60,12 @@
         self.running().insert(spec.request, running);
     }
 
-    /// Notes a decision of a request's chain.
+    /// Records a decision of a request's chain.
     pub(crate) fn on_decision(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
         self.journal().on_route(now, spec, decision);
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub(crate) fn on_attempt_end(
         &self,
         now: Time,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Notes the one outcome of a request.
+    /// Records the outcome of a request.
     pub(crate) fn finish(
         &self,
         now: Time,
@@ -114,7 +114,7 @@
         metrics::histogram!("snipeyoke_request_seconds", "pipeline" => pipeline, "outcome" => outcome.to_string()).record(elapsed_s);
     }
 
-    /// Stops a request; returns whether it runs here.
+    /// Stops a request; returns whether it runs on this router.
     pub(crate) fn stop(&self, id: RequestId) -> bool {
         let running = self.running();
         let found = running.get(&id);
@@ -124,22 +124,22 @@
         found.is_some()
     }
 
-    /// Returns what is recorded of a request.
+    /// Returns the record of a request.
     pub(crate) fn get(&self, id: RequestId) -> Option<Request> {
         self.journal().get(id).cloned()
     }
 
-    /// Returns the requests in flight of an account.
+    /// Returns the number of requests in flight of an account.
     pub(crate) fn active(&self, account: &ClientAccount) -> u32 {
         let running = self.running();
         let count = running.values().filter(|r| r.account == *account).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Shows every recorded request, the newest first.
+    /// Visits every recorded request, newest first.
     ///
-    /// A lock held over the whole journal would make every request at work wait
-    /// while an operator's question is evaluated; so it is held for a page.
+    /// The lock is held for one page at a time. Held for the whole journal, it
+    /// would block all running requests while a query is evaluated.
     pub(crate) fn for_each(&self, visit: &mut dyn FnMut(&Request)) {
         let mut before = None;
         loop {
@@ -161,7 +161,7 @@
     }
 }
 
-/// Returns the stage, pipeline and seconds of an attempt.
+/// Returns the stage, the pipeline and the duration in seconds of an attempt.
 fn attempt_measures(
     request: &Request,
     attempt: AttemptId,
--- a/router/src/control/waiters.rs
+++ b/router/src/control/waiters.rs
@@ -1,4 +1,4 @@
-//! Operators who wait until their change is read back from the log.
+//! Operators waiting for their change to be read back from the log.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,13 +11,13 @@
 use snipeyoke_lib::record::Record;
 use snipeyoke_lib::record::RecordId;
 
-/// Those who wait, by the record that they wait for.
+/// The waiters, by the id of the awaited record.
 #[derive(Debug, Default)]
 pub(crate) struct Waiters {
     waiting: Mutex<BTreeMap<RecordId, Sender<Applied>>>,
 }
 
-/// One who waits; forgotten when dropped.
+/// Waits for one record; unregisters when dropped.
 #[derive(Debug)]
 pub(crate) struct Waiter<'a> {
     waiters: &'a Waiters,
@@ -26,7 +26,7 @@
 }
 
 impl Waiters {
-    /// Begins to wait for a record; call it before the append.
+    /// Registers a waiter for a record; must be called before the append.
     pub(crate) fn wait(&self, id: RecordId) -> Waiter<'_> {
         let (sender, receiver) = async_channel::unbounded();
         self.lock().insert(id, sender);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Tells who waits for the record in `bytes` what it did.
+    /// Notifies the waiter for the record in `bytes` of its effect.
     pub(crate) fn notify(&self, bytes: &[u8], applied: &Applied) {
         let waiting = self.lock();
         if waiting.is_empty() {
--- a/router/src/drive/answer.rs
+++ b/router/src/drive/answer.rs
@@ -1,4 +1,4 @@
-//! What the driver tells the door.
+//! Messages from the driver of a request to the ingress.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 use snipeyoke_lib::outcome::Outcome;
 use snipeyoke_lib::outcome::Reason;
 
-/// The end of a request.
+/// The final result of a request.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestResult {
     pub(crate) outcome: Outcome,
     pub(crate) reason: Option<Reason>,
     pub(crate) retry_after: Option<Duration>,
-    /// The generated text, whole if the outcome is completed.
+    /// The generated text; complete only if the outcome is `Completed`.
     pub(crate) text: String,
-    /// The answer of a plain service.
+    /// The response body of a plain service.
     pub(crate) output: Option<Bytes>,
     pub(crate) prompt_tokens: u32,
     pub(crate) output_tokens: u32,
 }
 
-/// A message from the driver to the door.
+/// A message from the driver to the ingress.
 #[derive(Debug)]
 pub(crate) enum DriverMessage {
-    /// Text of the last stage, in order, each token once.
+    /// Text of the last stage, in order and without duplicate tokens.
     Text(Bytes),
-    /// The one end.
+    /// The final result, sent exactly once.
     Done(Box<RequestResult>),
 }
--- a/router/src/drive/ends.rs
+++ b/router/src/drive/ends.rs
@@ -1,4 +1,4 @@
-//! How the frames of an agent end an attempt.
+//! Conversion of an agent's frames to the end of an attempt.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 use super::work::StageOutput;
 use crate::agents::Signal;
 
-/// Tells why the end of a call is not known, if it isn't.
+/// Returns the reason if the end of a call is unknown.
 pub(super) fn unknown_end_reason(signal: &Signal) -> Option<Reason> {
     match signal {
         Signal::Lost { written: true } => Some(Reason::Connection),
         Signal::Reply(reply) if reply.end() == End::Unknown => {
             let reason = reply.reason.parse().unwrap_or(Reason::EndpointFailure);
-            // A conflict is an answer: the key stands for another body.
+            // A conflict is a definite result: the key was used with another body.
             (reason != Reason::KeyConflict).then_some(reason)
         }
         _ => None,
@@ -47,10 +47,14 @@
     }
 }
 
-/// Reads an attempt's answer out of its reply, or how else it ended.
+/// Parses the output of an attempt from its reply.
 ///
-/// An answer that lacks what its role promises is no answer: taken as
-/// completed it would reach the caller as a half result.
+/// Output that lacks the fields its role requires ends the attempt as unknown;
+/// if it counted as completed, the caller would receive an incomplete result.
+///
+/// # Errors
+///
+/// Returns the [`AttemptEnd`] of an attempt that did not complete.
 pub(super) fn attempt_end(
     data: &PipelineData,
     role: StageRole,
--- a/router/src/drive/mod.rs
+++ b/router/src/drive/mod.rs
@@ -1,4 +1,4 @@
-//! Drives a request's chain: carries out its actions, feeds it events.
+//! Drives the chain of a request: executes its actions and passes events to it.
 
 mod answer;
 mod ends;
--- a/router/src/drive/record.rs
+++ b/router/src/drive/record.rs
@@ -1,4 +1,4 @@
-//! What a driver notes of its attempts.
+//! State that a driver keeps for its attempts.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::work::StageOutput;
 use crate::agents::CallHandle;
 
-/// One attempt on its way.
+/// An attempt in flight.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
@@ -19,22 +19,21 @@
     pub(super) call: Option<CallHandle>,
     pub(super) output: Option<StageOutput>,
     pub(super) output_tokens: u32,
-    /// The call, kept while a missing answer could be resolved by it.
+    /// The call, kept so that it can be resent to resolve a missing reply.
     pub(super) resend: Option<Call>,
 }
 
-/// What the chain has heard once and need not hear again.
+/// Events that the chain has received and must not receive twice.
 ///
-/// The flags behind it stay set: without this a chain that goes on, because a
-/// non-idempotent call still runs, would be told without end and keep the
-/// thread busy.
+/// The flags that trigger them stay set. A chain that continues because a
+/// non-idempotent call still runs would receive the same event in a busy loop.
 #[derive(Debug, Default)]
 pub(super) struct Notified {
     pub(super) caller_gone: bool,
     pub(super) stopped: bool,
 }
 
-/// What an attempt is sent with.
+/// The parameters of a new attempt.
 pub(super) struct AttemptRequest {
     pub(super) attempt: AttemptId,
     pub(super) stage: usize,
--- a/router/src/drive/resolve.rs
+++ b/router/src/drive/resolve.rs
@@ -1,4 +1,4 @@
-//! Finds out what became of a non-idempotent call whose answer is missing.
+//! Resolves the outcome of a non-idempotent call whose reply is missing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,23 +21,23 @@
 use crate::agents::Signal;
 use crate::node::Node;
 
-/// The pause between two tries, for a link or an owner to come back.
+/// The pause between attempts, for a link or slot owner to recover.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The longest wait for one agent's answer to a question.
+/// The time-out of an outcome request to one agent.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The time left before the deadline in which the answer still gets out.
+/// The time reserved before the deadline for sending the response.
 const REPLY_MARGIN: Duration = Duration::from_millis(20);
 
-/// The idempotency key of a request that may run only once.
+/// The idempotency key of a request that must not run twice.
 #[derive(Debug, Clone)]
 pub(crate) struct IdempotencyKey {
     pub(crate) key: OnceKey,
     pub(crate) slot: KeySlot,
 }
 
-/// A call to be resolved.
+/// Resolves the outcome of one call.
 #[derive(Debug)]
 pub(crate) struct Resolver {
     pub(crate) attempt: AttemptId,
@@ -45,13 +45,13 @@
     pub(crate) pool: PoolName,
     pub(crate) slot: KeySlot,
     pub(crate) deadline: Time,
-    /// What was seen, in case nothing better is found.
+    /// The reason to report if the outcome stays unknown.
     pub(crate) reason: Reason,
     pub(crate) input_sender: Sender<Input>,
 }
 
 impl Resolver {
-    /// Reports the call's end to its driver, before the deadline.
+    /// Resolves the call and reports its end to the driver before the deadline.
     pub(crate) async fn run(self, node: Arc<Node>) {
         let limit = (self.deadline - REPLY_MARGIN).since(node.clock.now());
         let timeout = async {
@@ -75,11 +75,11 @@
         }
     }
 
-    /// Sends the call again until its owner tells how it ended.
+    /// Resends the call until the slot owner reports how it ended.
     ///
-    /// This is safe: the owner runs a key once, however often it is sent, and a
-    /// new owner refuses a key that is older than its claim. No refusal counts
-    /// as a proof here, since it says nothing of the first try.
+    /// Resending is safe: an owner runs each key once, and a new owner refuses
+    /// keys older than its claim. A "not run" reply proves nothing here, as it
+    /// does not cover the first attempt.
     async fn find_reply(&self, node: &Node) -> Option<Reply> {
         loop {
             if let Some(reply) = self.send(node).await {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Asks every agent of the pool: a former owner may have the answer.
+    /// Queries every agent of the pool, as a former owner may have the result.
     async fn query_pool(&self, node: &Node) -> Option<Reply> {
         let key = self.call.once.as_ref()?;
         let endpoints: Vec<EndpointId> = {
--- a/router/src/drive/run.rs
+++ b/router/src/drive/run.rs
@@ -1,4 +1,4 @@
-//! The loop around one chain.
+//! The event loop that drives the chain of one request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -44,16 +44,16 @@
 use crate::agents::Signal;
 use crate::node::Node;
 
-/// A request as the door hands it over.
+/// A request to drive, as passed on by the ingress.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) spec: RequestSpec,
     pub(crate) config: Arc<Config>,
     pub(crate) data: PipelineData,
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// Where pieces and the end go.
+    /// Receives the text chunks and the final result.
     pub(crate) messages: Sender<DriverMessage>,
-    /// Set when the caller goes away.
+    /// Set when the caller disconnects.
     pub(crate) caller_gone: Flag,
     /// Set when an operator stops the request.
     pub(crate) stop: Flag,
@@ -64,21 +64,21 @@
     job: Job,
     chain: Chain,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// The chunk that the chain is being told of.
+    /// The chunk that the chain is processing.
     chunk: Option<Chunk>,
-    /// The tokens of the stage's answer that have been taken.
+    /// The number of the stage's output tokens received so far.
     received_tokens: u32,
     wake: Time,
     input_sender: Sender<Input>,
-    /// Events that arose while actions were carried out.
+    /// Events caused by executing actions.
     pending: Vec<Event>,
     output_tokens: u32,
-    /// Whether the chain has heard that the caller left or an operator stops.
+    /// Whether the chain was notified of a disconnected caller or a stop.
     notified: Notified,
     done: bool,
 }
 
-/// Drives a request to its one outcome.
+/// Drives a request to its outcome.
 pub(crate) async fn drive(node: Arc<Node>, job: Job) {
     let (input_sender, inputs) = async_channel::unbounded();
     let chain = Chain::new(job.spec.clone());
@@ -99,7 +99,7 @@
     driver.run(inputs).await;
 }
 
-/// What the driver waits for.
+/// The events that wake the driver.
 enum Wakeup {
     Input(Box<Input>),
     Timer,
@@ -142,7 +142,7 @@
 
     async fn next(&self, inputs: &Receiver<Input>) -> Wakeup {
         let input = async {
-            // The feed has a sender in `self`, so the channel stays open.
+            // `self` holds a sender, so the channel stays open.
             match inputs.recv().await {
                 Ok(input) => Wakeup::Input(Box::new(input)),
                 Err(_closed) => std::future::pending().await,
@@ -239,7 +239,7 @@
         let event = if record.call.is_some() {
             Event::Sent { attempt }
         } else {
-            // Nothing was queued for a connection, so nothing can have run.
+            // Nothing was queued on a connection, so nothing can have run.
             let end = AttemptEnd::NotRun {
                 reason: Reason::Connection,
                 retry_after: None,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Takes the chunk at hand, unless all its tokens were there before.
+    /// Delivers the current chunk unless all its tokens were received before.
     fn deliver(&mut self, attempt: AttemptId, skip: u32) {
         let Some(chunk) = self.chunk.take() else {
             return;
@@ -313,7 +313,7 @@
         self.received_tokens = chunk.index + chunk.tokens;
         let text = String::from_utf8_lossy(&chunk.data);
         self.job.data.text.push_str(&text);
-        // Text of an earlier stage is an input of the next one, not an answer.
+        // Text of an earlier stage is input of the next one, not output.
         let spec = &self.job.spec;
         let stage = self.attempts.get(&attempt).map(|a| a.stage);
         let last = stage == Some(spec.pipeline.stages.len() - 1);
@@ -373,9 +373,9 @@
         }
         let record = self.attempts.get_mut(&attempt)?;
         match input.signal {
-            // Text can't be cut between the tokens of one chunk. An engine that
-            // takes an answer up inside a chunk that was taken would make the
-            // caller read some of its tokens twice, so its attempt ends here.
+            // Text can't be split between the tokens of a chunk. If an engine
+            // resumes inside a delivered chunk, the caller would get some tokens
+            // twice, so the attempt fails.
             Signal::Chunk(chunk) if partly_received(&chunk, self.received_tokens) => {
                 if let Some(call) = record.call.take() {
                     call.cancel();
@@ -435,7 +435,7 @@
         }
     }
 
-    /// Starts to find out how a non-idempotent attempt ended.
+    /// Starts resolving how a non-idempotent attempt ended.
     ///
     /// Returns whether the end will be reported later.
     fn resolve(&mut self, attempt: AttemptId, reason: Reason) -> bool {
@@ -464,7 +464,7 @@
         true
     }
 
-    /// Names the slot's present owner to the chain, which may wait for it.
+    /// Updates the current slot owner in the chain, which may wait for it.
     fn update_owner(&mut self) {
         if let (Some(key), Some(stage)) = (
             &self.job.idempotency_key,
@@ -474,7 +474,7 @@
         }
     }
 
-    /// Tells the journal how an attempt ended, for those who ask why.
+    /// Records the end of an attempt in the journal for later queries.
     fn record_end(&self, now: Time, event: &Event) {
         if let Event::Ended { attempt, end, .. } = event {
             let id = self.job.spec.request;
@@ -496,14 +496,14 @@
     }
 }
 
-/// Tells whether some, but not all, of a chunk's tokens have been taken.
+/// Returns whether some, but not all, tokens of a chunk were received.
 const fn partly_received(chunk: &Chunk, received_tokens: u32) -> bool {
     chunk.index < received_tokens && received_tokens < chunk.index.saturating_add(chunk.tokens)
 }
 
 impl Drop for Driver {
     fn drop(&mut self) {
-        // Attempts whose request has ended are of no use to anybody.
+        // The results of these attempts are no longer needed.
         for record in self.attempts.values_mut() {
             if let Some(call) = record.call.take() {
                 call.cancel();
--- a/router/src/drive/work.rs
+++ b/router/src/drive/work.rs
@@ -1,4 +1,4 @@
-//! What a request carries from stage to stage, and the bodies made of it.
+//! The data that passes between the stages of a request, and request bodies.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -12,60 +12,60 @@
 use snipeyoke_lib::config::StageRole;
 use snipeyoke_lib::ids::RequestId;
 
-/// The documents that a retrieval asks for.
+/// The number of documents requested from a retrieval stage.
 const RETRIEVE_COUNT: u32 = 8;
 
-/// The documents that are kept after reranking.
+/// The number of documents kept after reranking.
 const RERANK_COUNT: usize = 4;
 
-/// The model name sent where a stage names none.
+/// The model name sent if the stage has none.
 const DEFAULT_MODEL: &str = "default";
 
-/// The path of a plain service whose pool names none.
+/// The path of a plain service whose pool has none.
 const DEFAULT_PATH: &str = "/";
 
-/// An endpoint's answer that is not what its role promises.
+/// The error for output that does not match the role of its stage.
 #[derive(Debug)]
 #[derive(Display, Error)]
-#[display("the endpoint's answer is not that of its role {role}: check what the pool serves")]
+#[display("the endpoint's response does not fit the role {role}: check the services of the pool")]
 pub(crate) struct OutputError {
     role: StageRole,
 }
 
-/// A request's inputs and what its stages have added.
+/// The inputs of a request and the outputs of its stages so far.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PipelineData {
-    /// The caller's messages, in the chat dialect.
+    /// The caller's messages in the chat completions format.
     messages: Vec<Value>,
-    /// The text that is embedded and searched with.
+    /// The text to embed and to search for.
     query: String,
-    /// The caller's body as it came, for plain services.
+    /// The caller's unchanged body, for plain services.
     ///
-    /// Parsed and written again it would not be the same: numbers change their
-    /// form, and those beyond 64 bits their value.
+    /// Parsing and serializing would alter it: numbers change their form, and
+    /// those beyond 64 bits their value.
     input: Bytes,
     max_tokens: u32,
     embedding: Option<Box<RawValue>>,
     documents: Vec<Document>,
-    /// Text that the generating stage at work has given so far.
+    /// The text that the current generating stage has produced so far.
     pub(crate) text: String,
-    /// The whole text of the last generating stage that is done.
+    /// The full text of the last completed generating stage.
     pub(crate) draft: String,
-    /// The answer of the last plain service.
+    /// The response body of the last plain service.
     pub(crate) output: Option<Bytes>,
 }
 
-/// A stage's answer, read and checked.
+/// The parsed and validated output of a stage.
 #[derive(Debug)]
 pub(crate) enum StageOutput {
     Embedding(Box<RawValue>),
     Documents(Vec<Document>),
-    /// The text has been delivered piece by piece.
+    /// The text was already delivered in chunks.
     Text,
     Output(Bytes),
 }
 
-/// A document that a retrieval found.
+/// A document found by a retrieval stage.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub(crate) struct Document {
@@ -98,7 +98,7 @@
 }
 
 impl PipelineData {
-    /// Starts with what the caller sent.
+    /// Creates the data from the caller's request.
     pub(crate) fn new(messages: Vec<Value>, query: String, input: Bytes, max_tokens: u32) -> Self {
         Self {
             messages,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Builds the path and body for a stage.
+    /// Builds the path and body of the request to a stage.
     pub(crate) fn build_request(
         &self,
         id: RequestId,
@@ -159,10 +159,10 @@
         })
     }
 
-    /// Returns the messages with what earlier stages added, before the last one.
+    /// Returns the messages with the context of earlier stages before the last.
     ///
-    /// What comes before it is shared between requests and stays a common
-    /// prefix that engines have cached.
+    /// The messages before the context stay a common prefix of requests, which
+    /// engines have cached.
     fn prompt(&self) -> Vec<Value> {
         let mut context: Vec<&str> = self.documents.iter().map(|d| d.text.as_str()).collect();
         if !self.draft.is_empty() {
@@ -187,11 +187,11 @@
         }
     }
 
-    /// Reads the whole answer of a stage, taking nothing in yet.
+    /// Parses the output of a stage without applying it.
     ///
     /// # Errors
     ///
-    /// Returns [`OutputError`] if the answer lacks what the role promises.
+    /// Returns [`OutputError`] if the output lacks a field that the role requires.
     pub(crate) fn parse_output(
         &self,
         role: StageRole,
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Takes in the answer of a stage that is done.
+    /// Applies the output of a completed stage.
     pub(crate) fn apply(&mut self, taken: StageOutput) {
         match taken {
             StageOutput::Embedding(embedding) => self.embedding = Some(embedding),
--- a/router/src/ingress/auth.rs
+++ b/router/src/ingress/auth.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] if there is no key or no account has it.
+/// Returns [`IngressError`] if there is no key or no account has it.
 pub(crate) fn account(
     headers: &HeaderMap,
     config: &ConfigFact,
--- a/router/src/ingress/chat.rs
+++ b/router/src/ingress/chat.rs
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] for a request that is refused before it is driven.
+/// Returns [`IngressError`] for a request that is refused before it is driven.
 pub(crate) async fn handle(
     node: &Arc<Node>,
     id: RequestId,
--- a/router/src/ingress/intake.rs
+++ b/router/src/ingress/intake.rs
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] while draining, without configuration, or for a key
+/// Returns [`IngressError`] while draining, without configuration, or for a key
 /// that is missing or unknown.
 pub(crate) fn authenticate(
     node: &Node,
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] for a body that is too large, too slow or broken off.
+/// Returns [`IngressError`] for a body that is too large, too slow or broken off.
 pub(crate) async fn read_body(node: &Node, request: Request) -> Result<Bytes, IngressError> {
     let bounds = node.settings.bounds;
     let read = async {
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`DoorError`] if there is none.
+    /// Returns [`IngressError`] if there is none.
     pub(crate) fn bind(&self, kind: &str) -> Result<Bound, IngressError> {
         let missing = || IngressError::NoKind {
             kind: kind.to_owned(),
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`DoorError`] if it is missing or no `UUIDv7`.
+    /// Returns [`IngressError`] if it is missing or no `UUIDv7`.
     pub(crate) fn idempotency_key(
         &self,
         pipeline: &Pipeline,
--- a/router/src/ingress/plain.rs
+++ b/router/src/ingress/plain.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] for a request that is refused before it is driven.
+/// Returns [`IngressError`] for a request that is refused before it is driven.
 pub(crate) async fn handle(
     node: &Arc<Node>,
     id: RequestId,
--- a/router/src/ingress/status.rs
+++ b/router/src/ingress/status.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] if the caller or the request is not known here.
+/// Returns [`IngressError`] if the caller or the request is not known here.
 pub(crate) fn handle(
     node: &Node,
     id: RequestId,
