--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether the router takes a request on: limits first, then the deadline.
+//! Admission of requests: first by account limits, then by deadline.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,33 +26,33 @@
 
 use crate::node::Node;
 
-/// How often the shares are recomputed and told to the other routers.
+/// The interval at which shares are recomputed and usage is sent to other routers.
 const SHARE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes requests on, or refuses them before anything runs.
+/// Admits requests, or rejects them before anything runs.
 #[derive(Debug)]
 pub(crate) struct Admission {
     limiter: Mutex<Limiter>,
 }
 
 impl Admission {
-    /// Begins at a router among `routers` in all.
+    /// Creates the admission of one router out of `routers`.
     pub(crate) const fn new(now: Time, routers: usize) -> Self {
         Self {
             limiter: Mutex::new(Limiter::begin(now, routers)),
         }
     }
 
-    /// Takes over the accounts of the configuration in force.
+    /// Applies the accounts of the configuration in force.
     pub(crate) fn set_accounts(&self, now: Time, config: &Config) {
         self.limiter().set(now, &config.accounts);
     }
 
-    /// Takes a request on, or says why not and when to come back.
+    /// Admits a request, or returns why not and when to retry.
     ///
     /// # Errors
     ///
-    /// Returns [`Refusal`] over a limit or past all hope for the deadline.
+    /// Returns [`Refusal`] if the account is over a limit or the deadline can't be met.
     pub(crate) fn admit(
         &self,
         now: Time,
@@ -72,13 +72,13 @@
             .inspect_err(|_refusal| limiter.done(now, &spec.account, expected, Tokens(0)))
     }
 
-    /// Takes in what another router is asked for.
+    /// Records the usage that another router reports.
     pub(crate) fn on_usage(&self, now: Time, peer: &NodeId, usage: &Usage) {
         let uses = usage.accounts.iter().filter_map(from_wire).collect();
         self.limiter().on_peer(now, peer, usage.seq, uses);
     }
 
-    /// Notes the end of a request that was taken on.
+    /// Records the end of an admitted request.
     pub(crate) fn done(&self, now: Time, spec: &RequestSpec, used: Tokens) {
         self.limiter()
             .done(now, &spec.account, expected(spec), used);
@@ -93,7 +93,7 @@
     spec.prompt.tokens + spec.prompt.max_output
 }
 
-/// Keeps the shares up to date until the router stops.
+/// Updates the shares until the router stops.
 pub(crate) async fn run(node: Arc<Node>) {
     while !node.board.stop.is_set() {
         let pause = async {
@@ -119,8 +119,8 @@
     }
 }
 
-// A peer of another release, or a broken one, may tell of names or numbers that
-// no router can have; one of these in the sum would void the share of all.
+// A faulty peer, or one of another release, may report invalid names or numbers.
+// One of them in the sum would invalidate the shares of all routers.
 fn from_wire(theirs: &AccountUsage) -> Option<AccountUse> {
     let is_valid_rate = |rate: f64| rate.is_finite() && rate >= 0.0;
     let account = theirs.account.parse().ok()?;
--- a/router/src/agents.rs
+++ b/router/src/agents.rs
@@ -1,4 +1,4 @@
-//! Links to agents, and the calls on them.
+//! Links to agents, and the calls in flight on them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,30 +28,30 @@
 use snipeyoke_wire::Told;
 use snipeyoke_wire::frame::Body;
 
-/// The time after which the same offer or question is sent again.
+/// The delay before the same configuration offer or request is sent again.
 const SYNC_RETRY: Duration = Duration::from_secs(2);
 
-/// Something about one attempt, for its driver.
+/// A signal about one attempt, for its driver.
 #[derive(Debug)]
 pub(crate) struct Input {
     pub(crate) attempt: AttemptId,
     pub(crate) signal: Signal,
 }
 
-/// What happened to an attempt's call.
+/// An event of an attempt's call.
 #[derive(Debug)]
 pub(crate) enum Signal {
-    /// Tokens came.
+    /// Tokens arrived.
     Chunk(Chunk),
-    /// The agent answered.
+    /// The agent replied.
     Reply(Reply),
-    /// It was found out how a call without an answer ended.
+    /// The end of a call without a reply was resolved.
     Resolved(Reply),
-    /// The link failed; `written` tells whether the call may have been read.
+    /// The link failed; `written` is set if the agent may have received the call.
     Lost { written: bool },
 }
 
-/// When the configuration was last levelled over a link, and between what.
+/// The last configuration sync over a link: its offsets and its time.
 #[derive(Debug, Default)]
 struct LastSync {
     offsets: Option<(Offset, Offset)>,
@@ -64,7 +64,7 @@
     pub(crate) address: SocketAddr,
     sender: LinkSender,
     next: AtomicU64,
-    /// Set once the agent has reported its load on this link.
+    /// Set after the first load report of the agent on this link.
     pub(crate) reported: Flag,
     calls: Mutex<BTreeMap<u64, PendingCall>>,
     outcome_requests: Mutex<BTreeMap<u64, Sender<Reply>>>,
@@ -78,7 +78,7 @@
     written: Option<Written>,
 }
 
-/// A call on its way, to be cancelled.
+/// A handle to cancel a call in flight.
 #[derive(Debug)]
 pub(crate) struct CallHandle {
     link: Arc<AgentLink>,
@@ -92,12 +92,12 @@
 }
 
 impl Agents {
-    /// Notes an open link; an older one to the same endpoint is replaced.
+    /// Adds an open link, replacing an older one to the same endpoint.
     pub(crate) fn open(&self, endpoint: EndpointId, link: Arc<AgentLink>) {
         self.links().insert(endpoint, link);
     }
 
-    /// Forgets a link, unless a newer one took its place.
+    /// Removes a link unless a newer one has replaced it.
     ///
     /// Returns whether the endpoint has no link any more.
     pub(crate) fn close(&self, endpoint: &EndpointId, link: &Arc<AgentLink>) -> bool {
@@ -109,7 +109,7 @@
         same
     }
 
-    /// Sends a call; `None` proves that nothing was or will be written.
+    /// Sends a call; `None` guarantees that nothing was or will be written.
     pub(crate) fn call(
         &self,
         endpoint: &EndpointId,
@@ -121,7 +121,7 @@
         link.call(attempt, call, input_sender)
     }
 
-    /// Asks an agent what became of a key; `None` if there is no link to it.
+    /// Requests the outcome of a key from an agent; `None` if it has no link.
     pub(crate) fn request_outcome(
         &self,
         endpoint: &EndpointId,
@@ -131,7 +131,7 @@
         link.request_outcome(key)
     }
 
-    /// Sends an agent a frame that nobody waits for, if there is a link to it.
+    /// Sends a frame without a response to an agent, if it has a link.
     pub(crate) fn send(&self, endpoint: &EndpointId, body: Body) {
         let link = self.links().get(endpoint).cloned();
         if let Some(link) = link {
@@ -163,10 +163,10 @@
         }
     }
 
-    /// Tells whether to offer or ask, with these offsets here and there.
+    /// Returns whether the configuration needs a sync between these offsets.
     ///
     /// An agent reports twice a second, also while a snapshot of a megabyte is
-    /// on its way to it; each report would queue the same megabyte again.
+    /// in flight to it; without the delay each report would queue it again.
     pub(crate) fn needs_sync(&self, now: Time, own: Offset, theirs: Offset) -> bool {
         let mut last = self
             .last_sync
@@ -190,9 +190,9 @@
     ) -> Option<CallHandle> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         call.call = number;
-        // The entry is made and completed under one lock: a reply could come
-        // before the entry, or the link could fail between queueing the frame
-        // and noting whether it was written.
+        // One lock covers sending and inserting the entry: otherwise a reply could
+        // arrive before the entry exists, or the link could fail before it is
+        // known whether the frame was written.
         let mut calls = self.calls();
         let written = self.sender.send_tracked(Body::Call(call)).ok()?;
         let pending = PendingCall {
@@ -220,14 +220,14 @@
         Some(receive)
     }
 
-    /// Sends a frame that nobody waits for.
+    /// Sends a frame without a response.
     pub(crate) fn send(&self, body: Body) {
         if let Err(error) = self.sender.send(body) {
             log::debug!(event = "frame-unsent", error = error.to_string().as_str(); "");
         }
     }
 
-    /// Passes the answer to a question on to who asked.
+    /// Passes the response of an outcome request on to the requester.
     pub(crate) fn on_outcome_response(&self, response: Told) {
         let requester = self.outcome_requests().remove(&response.ask);
         if let (Some(requester), Some(reply)) = (requester, response.reply)
@@ -246,7 +246,7 @@
     /// Passes a chunk on to its driver.
     pub(crate) fn on_chunk(&self, chunk: Chunk) {
         let calls = self.calls();
-        // A late chunk of a cancelled call finds no entry and reaches nobody.
+        // A late chunk of a cancelled call has no entry and is dropped.
         if let Some(pending) = calls.get(&chunk.call) {
             pending.notify(Signal::Chunk(chunk));
         }
@@ -260,15 +260,15 @@
         }
     }
 
-    /// Tells whether no call waits for an answer.
+    /// Returns whether no call is in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.calls().is_empty()
     }
 
-    /// Ends every call, because the link is gone.
+    /// Ends every call after the link is lost.
     ///
-    /// Call it after the writer has ended: only then is it settled which calls
-    /// were never written.
+    /// Must be called after the writer has ended: only then is it final which
+    /// calls were never written.
     pub(crate) fn on_link_lost(&self) {
         self.outcome_requests().clear();
         let calls = std::mem::take(&mut *self.calls());
@@ -296,7 +296,7 @@
 }
 
 impl CallHandle {
-    /// Tells the agent that nobody waits; a late reply reaches nobody.
+    /// Cancels the call at the agent; a late reply is dropped.
     pub(crate) fn cancel(self) {
         let known = self.link.calls().remove(&self.number).is_some();
         let cancel = Cancel { call: self.number };
--- a/router/src/board.rs
+++ b/router/src/board.rs
@@ -1,4 +1,4 @@
-//! The blackboard: facts that controllers write and traffic reads.
+//! The board: shared state that controllers write and the traffic threads read.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use snipeyoke_runtime::board::Fact;
 use snipeyoke_runtime::flag::Flag;
 
-/// The configuration in force, with what is derived from it.
+/// The configuration in force and data derived from it.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ConfigFact {
     pub(crate) config: Arc<Config>,
     pub(crate) revision: Revision,
-    /// The account of each key.
+    /// The account of each key digest.
     pub(crate) keys: BTreeMap<KeyDigest, ClientAccount>,
 }
 
@@ -34,27 +34,27 @@
         }
     }
 
-    /// Tells whether any configuration has arrived.
+    /// Returns whether any configuration has arrived.
     pub(crate) fn is_known(&self) -> bool {
         self.revision > Revision::default()
     }
 }
 
-/// The typed board of a router.
+/// The board of a router.
 #[derive(Debug)]
 pub(crate) struct Board {
     pub(crate) config: Fact<ConfigFact>,
-    /// Set once the router has met its endpoints.
+    /// Set once the router has found its endpoints usable.
     pub(crate) endpoints_ready: Flag,
-    /// Set once the router asks to be passed over, while it still serves.
+    /// Set once the router reports not ready, while it still serves.
     pub(crate) pre_drain: Flag,
-    /// Set once the router takes nothing new.
+    /// Set once the router accepts no new requests.
     pub(crate) drain: Flag,
-    /// Set once callers are no longer answered.
+    /// Set once responses to callers end.
     pub(crate) callers_closed: Flag,
-    /// Set once the platform's host list says that the host leaves.
+    /// Set once the platform's host list marks the host as leaving.
     pub(crate) host_leaving: Flag,
-    /// Set once every task has to end.
+    /// Set once all tasks must end.
     pub(crate) stop: Flag,
 }
 
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -1,4 +1,4 @@
-//! Serves the link to each peer, and keeps the fleet view up to date.
+//! Serves the link to each peer and updates the fleet view.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -50,10 +50,10 @@
 use crate::members::LinkEntry;
 use crate::node::Node;
 
-/// The longest time to connect, and to hear the first frame.
+/// The time-out for connecting, and for receiving the first frame.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause between two looks whether a retired link has calls left.
+/// The poll interval while a retired link has calls in flight.
 const RETIRE_POLL: Duration = Duration::from_millis(50);
 
 /// The reason why a link to a peer ended.
@@ -72,7 +72,7 @@
     Closed,
 }
 
-/// The endpoint beside an agent.
+/// The endpoint served by an agent.
 struct AgentPeer {
     endpoint: EndpointId,
     pool: PoolName,
@@ -83,7 +83,7 @@
     hello: Hello,
 }
 
-/// A node as it introduced itself.
+/// The identity of a peer, from its hello.
 struct PeerIdentity {
     profile: Profile,
     incarnation: Incarnation,
@@ -91,7 +91,7 @@
 }
 
 impl PeerIdentity {
-    /// Returns the endpoint, if the node is an agent.
+    /// Returns the endpoint if the peer is an agent.
     fn agent(&self) -> Option<AgentPeer> {
         Some(AgentPeer {
             endpoint: self.profile.endpoint.clone()?,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Serves a link that another router dialed.
+/// Serves a link opened by another router.
 pub(crate) async fn serve_accepted(node: Arc<Node>, stream: Async<TcpStream>) {
     if let Err(error) = serve(&node, stream, None).await {
         log::info!(event = "link-down", error = error.to_string().as_str(); "");
@@ -232,8 +232,8 @@
         Ok(())
     };
     let serving = async {
-        // An older process under a known name must not take the endpoint's
-        // place, so nothing is read before the view has admitted the link.
+        // An older process with a known name must not replace the endpoint, so
+        // nothing is read before the view has admitted the link.
         entry.admitted.wait().or(entry.retired.wait()).await;
         if !entry.admitted.is_set() {
             return Ok(());
@@ -250,14 +250,14 @@
     if let Some(peer) = &peer {
         unregister_agent(node, peer, &link);
     }
-    // The writer ends first, so that it is settled what was written.
+    // The writer ends first, so that it is final what was written.
     entry.sender.close();
     scope.cancel().await;
     link.on_link_lost();
     result
 }
 
-/// Ends once the view has given the link up and no call is left on it.
+/// Waits until the view has retired the link and no call is in flight on it.
 async fn wait_retired(
     node: &Node,
     peer: Option<&AgentPeer>,
@@ -384,8 +384,8 @@
         notify_freed(node, peer);
     }
     let mut load = heartbeat.load.as_ref().map(load_report);
-    // The agent knows nothing of an operator's drain, and each of its reports
-    // would put it back into service.
+    // The agent does not know of an operator's drain, so each of its reports
+    // would end the drain here.
     if let Some(load) = &mut load {
         load.draining |= is_drained(node, peer);
     }
@@ -403,10 +403,10 @@
     endpoints.on_report(now, &peer.endpoint, load, revision);
 }
 
-/// Tells the other agents of a pool that one of them gave key slots up.
+/// Notifies the other agents of a pool that one of them released key slots.
 ///
-/// They look at the log each 15 s while they expect nothing, and for so long
-/// every call to these slots would be refused.
+/// Otherwise they would find out at their next poll of the log, up to 15 s
+/// later, and all calls to these slots would be refused until then.
 fn notify_freed(node: &Node, peer: &AgentPeer) {
     let others: Vec<EndpointId> = {
         let shared = node.shared();
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -158,7 +158,7 @@
                 .to_owned(),
         },
         Append::Done => ChangeAnswer::Unknown {
-            why: "the log accepted the change, but this router has not read it back yet; run 'show changes'"
+            why: "the log accepted the change, but this router has not read it back; run 'show changes'"
                 .to_owned(),
         },
     }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration, from the log or from peers, and puts it in force.
+//! Follows the configuration from the log or from peers and puts it in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,18 +22,18 @@
 use crate::node::Node;
 use crate::snapshots::LogState;
 
-/// The shortest pause of the loop, for a wake time that has just passed.
+/// The shortest pause of the loop, for a wake time that has already passed.
 const PAUSE_MIN: Duration = Duration::from_millis(1);
 
-/// The routers that hold long reads: two for each of 12 failure domains.
+/// The number of routers with long-poll reads: two per failure domain, for 12.
 ///
-/// 340 of them would have the service answer 340 reads for each change. The
-/// others get what these read through the agents that they share.
+/// If all 340 routers held a read, the log service would answer 340 reads per
+/// change. The others receive changes through the agents that they share.
 const READER_COUNT: usize = 24;
 
-/// The pause between two reads of the other routers.
+/// The mean pause between two reads of the other routers.
 ///
-/// It matters only if all readers and the agents shared with them are gone.
+/// Matters only if all readers and the agents shared with them are down.
 const RARE_READ_PAUSE: Duration = Duration::from_secs(30);
 
 /// Follows the configuration until the router stops.
@@ -42,7 +42,7 @@
     let holds = holds_reads(&node);
     while !node.board.stop.is_set() {
         let now = node.clock.now();
-        // What came from peers meanwhile need not be read again.
+        // Records that peers sent in the meantime are not read again.
         follower.seek(follower.next().max(node.book.next()));
         let Some(read) = follower.poll(now) else {
             pause(&node, follower.wake().since(now)).await;
@@ -67,10 +67,10 @@
     }
 }
 
-/// Tells whether this router is one of those that hold long reads.
+/// Returns whether this router holds long-poll reads.
 ///
-/// Every router ranks the addresses that it knows by the same hash; one that
-/// knows few others holds a read more often than needed, never less.
+/// All routers rank the addresses that they know by the same hash. A router that
+/// knows few others may hold an unneeded read, but a needed one is never missing.
 fn holds_reads(node: &Node) -> bool {
     let own = node.settings.listen.peers;
     let rank = |address: &std::net::SocketAddr| rapidhash_v3(address.to_string().as_bytes());
@@ -97,7 +97,7 @@
             return;
         }
         Followed::Failed => {
-            log::info!(event = "config-read-failed", remedy = "look after the log service"; "");
+            log::info!(event = "config-read-failed", remedy = "check the log service"; "");
             return;
         }
     };
@@ -119,8 +119,8 @@
         put_in_force(node, &fold);
     }
     drop(fold);
-    // An operator who is told "accepted" may ask this router at once, so the
-    // change is in force here before they are told.
+    // An operator may query this router right after "accepted", so the change
+    // is put in force before the operator is notified.
     for (bytes, applied) in &read {
         node.control.waiters.notify(bytes, applied);
     }
@@ -128,7 +128,7 @@
 
 fn record_applied(node: &Node, fold: &Fold, offset: Offset, applied: &Applied) {
     node.control.on_applied(applied, fold);
-    // A snapshot taken from a peer stands at no offset of the log.
+    // A snapshot received from a peer has no offset in the log.
     let in_log = match applied {
         Applied::Covered => true,
         Applied::Restored { next } => offset > *next,
@@ -160,7 +160,7 @@
     }
 }
 
-/// Levels the configuration with an agent that reports an offset.
+/// Syncs the configuration with an agent that reports its offset.
 pub(crate) fn sync_config(node: &Node, link: &AgentLink, theirs: Offset) {
     let own = node.book.next();
     if !link.needs_sync(node.clock.now(), own, theirs) {
@@ -181,7 +181,7 @@
     }
 }
 
-/// Takes what a peer offers.
+/// Applies a configuration offer from a peer.
 pub(crate) fn on_offer(node: &Node, link: &AgentLink, offer: &ConfigOffer) {
     let now = node.clock.now();
     let offered = node.book.take(now, offer, |fold, offset, applied| {
--- a/router/src/ingress/auth.rs
+++ b/router/src/ingress/auth.rs
@@ -1,4 +1,4 @@
-//! The client account behind a bearer key.
+//! Authentication of client accounts by bearer key.
 
 use std::fmt::Write;
 
@@ -28,14 +28,14 @@
     text.parse().ok()
 }
 
-/// Finds the client account that the request's key names.
+/// Returns the client account that the request's key belongs to.
 ///
-/// The look-up goes by the key's digest, so its time tells nothing about the
-/// key itself.
+/// The look-up is by the digest of the key, so its timing reveals nothing about
+/// the key itself.
 ///
 /// # Errors
 ///
-/// Returns [`IngressError`] if there is no key or no account has it.
+/// Returns [`IngressError`] if the key is missing or belongs to no account.
 pub(crate) fn account(
     headers: &HeaderMap,
     config: &ConfigFact,
--- a/router/src/ingress/chat.rs
+++ b/router/src/ingress/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: JSON and streamed answers.
+//! `POST /v1/chat/completions`: JSON and streamed responses.
 
 use std::sync::Arc;
 
@@ -31,13 +31,13 @@
 use crate::drive::RequestResult;
 use crate::node::Node;
 
-/// The tokens generated where the caller names no limit.
+/// The token limit of a request that sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The most tokens that a caller may ask for.
+/// The largest token limit that a request may set.
 const MAX_TOKENS: u32 = 32_768;
 
-/// The last event of a streamed answer.
+/// The last event of a streamed response.
 const DONE: &str = "data: [DONE]\n\n";
 
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     max_completion_tokens: Option<u32>,
 }
 
-/// Answers one chat request.
+/// Handles one chat request.
 ///
 /// # Errors
 ///
@@ -93,7 +93,7 @@
         .map(message_text)
         .collect::<Option<Vec<_>>>();
     let Some(texts) = texts.filter(|t| !t.is_empty()) else {
-        let what = "`messages` needs one message or more, each with role and text".to_owned();
+        let what = "`messages` needs at least one message, each with a role and text".to_owned();
         return Err(IngressError::BadBody { what });
     };
     let max = chat
@@ -101,7 +101,7 @@
         .or(chat.max_tokens)
         .unwrap_or(DEFAULT_MAX_TOKENS);
     if max == 0 || max > MAX_TOKENS {
-        let what = format!("`max_tokens` is {max}, give 1 to {MAX_TOKENS}");
+        let what = format!("`max_tokens` is {max}: give 1 to {MAX_TOKENS}");
         return Err(IngressError::BadBody { what });
     }
     let stages = &bound.pipeline.stages;
@@ -120,7 +120,7 @@
     Ok((prompt, data))
 }
 
-/// Returns a message's role and text; the text may come in parts.
+/// Returns the role and text of a message; the text may be split into parts.
 fn message_text(message: &Value) -> Option<(&str, String)> {
     let role = message.get("role")?.as_str()?;
     match message.get("content")? {
@@ -142,7 +142,7 @@
     stopped_reply(id)
 }
 
-/// Answers for a driver that ended without a word, which only a stop does.
+/// Builds the response for a driver that ended without a result, as on a stop.
 pub(crate) fn stopped_reply(id: RequestId) -> Reply {
     failure_reply(id, Outcome::Unknown, Reason::Stopped, None)
 }
@@ -176,7 +176,7 @@
     reply::json(&head, &body)
 }
 
-/// Returns the answer's text: the last service's, or what was generated.
+/// Returns the text of the response: the service's output or the generated text.
 fn content(result: &RequestResult) -> String {
     match &result.output {
         Some(output) => String::from_utf8_lossy(output).into_owned(),
@@ -184,7 +184,7 @@
     }
 }
 
-/// Builds the answer of a request that ended without one.
+/// Builds the response of a request that did not complete.
 pub(crate) fn failure_reply(
     id: RequestId,
     outcome: Outcome,
@@ -205,9 +205,9 @@
     )
 }
 
-/// Waits for the first piece before the head goes out.
+/// Streams the response, sending the head once the first message is there.
 ///
-/// A refusal up to then still gets its own status.
+/// A request that fails before that still gets its own status code.
 async fn stream_reply(id: RequestId, model: String, context: RequestContext) -> Reply {
     let first = context.messages.recv().await;
     match first {
@@ -218,8 +218,8 @@
             let RequestContext { messages, guard } = context;
             let all = stream::once(async { first }).chain(messages);
             let events = all.map(move |message| {
-                // The guard lives in the stream: the driver learns of a caller
-                // who leaves when the connection drops its body.
+                // The stream owns the guard, so the driver is notified when the
+                // connection drops the body of a disconnected caller.
                 let _alive = &guard;
                 stream_event(id, &model, message)
             });
@@ -251,14 +251,14 @@
 
 fn final_events(id: RequestId, model: &str, result: &RequestResult) -> String {
     let outcome = result.outcome;
-    // Comment lines are passed over by every client library.
+    // Client libraries ignore comment lines.
     let note = format!(": x-snipeyoke-outcome: {outcome}\n\n");
     if outcome != Outcome::Completed {
         let reason = result.reason.unwrap_or(Reason::EndpointFailure);
         let (_status, message) = error::failure_message(outcome, reason);
         let code = reason.to_string();
         let body = error::error_object("server_error", &message, Some(&code));
-        // Without `[DONE]` no client takes the broken answer for a whole one.
+        // `[DONE]` is left out so that clients detect the incomplete response.
         return format!("{note}data: {body}\n\n");
     }
     let rest = match &result.output {
--- a/router/src/ingress/error.rs
+++ b/router/src/ingress/error.rs
@@ -1,4 +1,4 @@
-//! Refusals of the door, in the dialect's error object.
+//! Errors of the ingress, as error objects of the chat completions API.
 
 use std::time::Duration;
 
@@ -13,33 +13,33 @@
 use super::reply::Head;
 use super::reply::json;
 
-/// The reason why the door refuses a request before anything is sent.
+/// The reason why the ingress rejects a request before anything is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub(crate) enum IngressError {
     #[display("no bearer key: send `Authorization: Bearer KEY`")]
     NoKey,
-    #[display("the key is not known: check it, or ask the operator of your client account")]
+    #[display("the key is unknown: check it, or contact the operator of your client account")]
     BadKey,
-    #[display("no path {path}: see docs/architecture.md for those there are")]
+    #[display("unknown path {path}: docs/architecture.md lists the valid ones")]
     NoPath { path: String },
     #[display("{kind:?} is not bound for this client account: ask the operator to bind it")]
     NoKind { kind: String },
-    #[display("the body is no such JSON: {what}; correct it")]
+    #[display("the body is not valid JSON for this path: {what}")]
     BadBody { what: String },
     #[display("the body has more than {max} bytes: send less")]
     TooLarge { max: usize },
-    #[display("the body did not arrive in time or broke off: send it again")]
+    #[display("the body did not arrive in time or was incomplete: send it again")]
     SlowBody,
-    #[display("this kind may run only once: send `Idempotency-Key` with a UUIDv7")]
+    #[display("this request kind must not run twice: send `Idempotency-Key` with a UUIDv7")]
     KeyMissing,
-    #[display("the idempotency key is no text: make a UUIDv7 for each new request")]
+    #[display("the idempotency key is not ASCII text: generate a UUIDv7 for each new request")]
     KeyMalformed,
     #[display("{_0}")]
     Key(KeyError),
-    #[display("no request {id} is known here: it may be at another router, or too old")]
+    #[display("request {id} is unknown to this router: it may be at another router, or too old")]
     NoRequest { id: String },
-    #[display("no configuration has arrived yet: try again shortly")]
+    #[display("no configuration has arrived yet: retry shortly")]
     NoConfig,
     #[display("this router is draining: use another")]
     Draining,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the outcome: a key that is too old may have run long ago.
+    /// Returns the outcome; a request with an expired key may have run before.
     const fn outcome(&self) -> Outcome {
         match self {
             Self::Key(KeyError::Old) => Outcome::Unknown,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Builds the answer that refuses request `id`.
+    /// Builds the error response for request `id`.
     pub(crate) fn reply(&self, id: RequestId) -> snipeyoke_runtime::http::Reply {
         let head = Head {
             id,
@@ -97,12 +97,12 @@
     }
 }
 
-/// Builds the dialect's error object.
+/// Builds an error object of the chat completions API.
 pub(crate) fn error_object(kind: &str, message: &str, code: Option<&str>) -> serde_json::Value {
     serde_json::json!({"error": {"message": message, "type": kind, "param": null, "code": code}})
 }
 
-/// Returns the status and wording of a request that ended without an answer.
+/// Returns the status and message of a request that did not complete.
 pub(crate) fn failure_message(outcome: Outcome, reason: Reason) -> (StatusCode, String) {
     if outcome == Outcome::Unknown {
         let status = match reason {
@@ -110,12 +110,12 @@
             _ => StatusCode::GATEWAY_TIMEOUT,
         };
         if reason == Reason::KeyConflict {
-            let text = "the idempotency key was used with another body, which may have run: make \
-                        a new key for a new request";
+            let text = "the idempotency key was used with another body, which may have run: \
+                        generate a new key for a new request";
             return (status, text.to_owned());
         }
         let message = format!(
-            "outcome unknown ({reason}): it may have run; ask GET /v1/requests/ID, or repeat it \
+            "outcome unknown ({reason}): it may have run; query GET /v1/requests/ID, or retry it \
              with the same idempotency key"
         );
         return (status, message);
@@ -126,11 +126,11 @@
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
     let remedy = match reason {
-        Reason::Limit => "the client account is over its limit: slow down",
-        Reason::KeyConflict => "the idempotency key was used with another body: make a new key",
-        Reason::Deadline => "the stages can't finish in time now: come back later",
-        Reason::NoEndpoint => "no endpoint can be reached now: come back later",
-        _ => "come back later",
+        Reason::Limit => "the client account is over its limit: reduce the request rate",
+        Reason::KeyConflict => "the idempotency key was used with another body: generate a new key",
+        Reason::Deadline => "the stages can't finish before the deadline now: retry later",
+        Reason::NoEndpoint => "no endpoint is reachable now: retry later",
+        _ => "retry later",
     };
     (status, format!("not run ({reason}): {remedy}"))
 }
--- a/router/src/ingress/intake.rs
+++ b/router/src/ingress/intake.rs
@@ -1,4 +1,4 @@
-//! What every request needs before it is driven.
+//! Checks and preparation common to all requests before they are driven.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 use crate::drive::drive;
 use crate::node::Node;
 
-/// A request whose caller is known.
+/// A request whose client account is known.
 #[derive(Debug)]
 pub(crate) struct AuthenticatedRequest {
     pub(crate) id: RequestId,
@@ -54,14 +54,14 @@
     pub(crate) pipeline: Arc<Pipeline>,
 }
 
-/// A request on its way.
+/// A request while it is handled.
 #[derive(Debug)]
 pub(crate) struct RequestContext {
     pub(crate) messages: Receiver<DriverMessage>,
     pub(crate) guard: CallerGuard,
 }
 
-/// Tells the driver when the caller goes away.
+/// Notifies the driver on drop that the caller disconnected.
 #[derive(Debug)]
 pub(crate) struct CallerGuard(Flag);
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Finds out who calls.
+/// Authenticates the caller.
 ///
 /// # Errors
 ///
@@ -93,11 +93,11 @@
     Ok(AuthenticatedRequest { id, fact, account })
 }
 
-/// Reads the caller's body within its bounds.
+/// Reads the caller's body within the limits of size and time.
 ///
 /// # Errors
 ///
-/// Returns [`IngressError`] for a body that is too large, too slow or broken off.
+/// Returns [`IngressError`] for a body that is too large, too slow or incomplete.
 pub(crate) async fn read_body(node: &Node, request: Request) -> Result<Bytes, IngressError> {
     let bounds = node.settings.bounds;
     let read = async {
@@ -119,7 +119,7 @@
 }
 
 impl AuthenticatedRequest {
-    /// Finds the pipeline that the caller's request kind is bound to.
+    /// Returns the pipeline bound to the caller's request kind.
     ///
     /// # Errors
     ///
@@ -140,11 +140,11 @@
         })
     }
 
-    /// Reads the idempotency key where the pipeline needs one.
+    /// Parses the idempotency key if the pipeline needs one.
     ///
     /// # Errors
     ///
-    /// Returns [`IngressError`] if it is missing or no `UUIDv7`.
+    /// Returns [`IngressError`] if it is missing or not a `UUIDv7`.
     pub(crate) fn idempotency_key(
         &self,
         pipeline: &Pipeline,
@@ -160,8 +160,8 @@
         let text = value
             .to_str()
             .map_err(|_binary| IngressError::KeyMalformed)?;
-        // The draft writes the key as a quoted string; many clients leave the
-        // quotes out.
+        // The IETF draft defines the key as a quoted string; many clients omit
+        // the quotes.
         let key = lib::OnceKey {
             account: self.account.clone(),
             key: lib::OnceKey::parse(text.trim().trim_matches('"')).map_err(IngressError::Key)?,
@@ -230,7 +230,7 @@
     }
 }
 
-/// Answers a request that was not taken on, at once.
+/// Sends the result of a request that was not admitted.
 fn refuse(node: &Node, spec: &RequestSpec, refusal: Refusal, messages: &Sender<DriverMessage>) {
     let result = RequestResult {
         outcome: Outcome::NotRun,
@@ -243,6 +243,6 @@
     };
     node.outcomes.begin(spec.request);
     node.on_outcome(spec, &result);
-    // The receiver is held by the caller of this function.
+    // The caller of this function holds the receiver.
     let _sent = messages.try_send(DriverMessage::Done(Box::new(result)));
 }
--- a/router/src/ingress/mod.rs
+++ b/router/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' door: HTTP in the usual dialect.
+//! The HTTP ingress for callers, compatible with the chat completions API.
 
 mod auth;
 mod chat;
@@ -33,13 +33,13 @@
 use crate::control::drains;
 use crate::node::Node;
 
-/// How long a new router waits to meet an endpoint of each pool.
+/// The longest wait of a new router for a usable endpoint of each pool.
 const ENDPOINTS_WAIT_MAX: Duration = Duration::from_secs(5);
 
-/// The path prefix of plain requests and of questions about requests.
+/// The path prefix of plain requests and of status queries.
 const REQUESTS_PREFIX: &str = "/v1/requests/";
 
-/// Answers callers.
+/// Handles requests of callers.
 #[derive(Debug)]
 pub(crate) struct Ingress {
     node: Arc<Node>,
@@ -52,8 +52,8 @@
 
     async fn answer(&self, request: Request) -> Reply {
         let mut reply = self.route(request).await;
-        // Closed after its answer, a connection can't meet the close with the
-        // next request half way, which its caller could not tell from a failure.
+        // Closing the connection with the response avoids a race with the next
+        // request, which the caller could not tell from a failure.
         if self.node.board.pre_drain.is_set() {
             let close = HeaderValue::from_static("close");
             reply.headers_mut().insert(CONNECTION, close);
@@ -86,10 +86,10 @@
         })
     }
 
-    /// Tells whether each pool has an endpoint that takes work.
+    /// Returns whether each pool has a usable endpoint.
     ///
-    /// A balancer that came before would find a router that refuses all. A pool
-    /// without any endpoint must not keep the router out for good, though.
+    /// Before that a balancer would send requests to a router that rejects all
+    /// of them. The wait is bounded, as a pool may have no endpoint at all.
     fn has_endpoints(&self) -> bool {
         let now = self.node.clock.now();
         if now.since(Time::ZERO) > ENDPOINTS_WAIT_MAX {
@@ -104,8 +104,8 @@
     fn readiness(&self) -> StatusCode {
         let board = &self.node.board;
         let fact = board.config.get();
-        // The balancer stops sending callers here, and may start again when the
-        // drain ends; what comes meanwhile is served.
+        // The balancer stops sending requests here and may resume when the
+        // drain ends; requests that still arrive are served.
         let drained = drains::covers_self(&fact.config, &self.node.settings);
         if board.pre_drain.is_set() || drained || !fact.is_known() {
             return StatusCode::SERVICE_UNAVAILABLE;
@@ -120,9 +120,9 @@
 
 impl Handler for Ingress {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>> {
-        // An exchange is in flight until its answer was sent. A caller on a slow
-        // line still reads after the request has ended, and a router that left
-        // then would cut the answer off.
+        // An exchange is in flight until its response is sent. A slow caller
+        // still reads after the request has ended, and a router that exited then
+        // would truncate the response.
         let token = Arc::clone(&self.node.exchanges);
         Box::pin(async move {
             let reply = self.answer(request).await;
--- a/router/src/ingress/plain.rs
+++ b/router/src/ingress/plain.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/requests/{kind}`: any JSON, for pipelines that end in a service.
+//! `POST /v1/requests/{kind}`: any JSON, for pipelines that end in a plain service.
 
 use std::sync::Arc;
 
@@ -24,10 +24,10 @@
 use crate::drive::RequestResult;
 use crate::node::Node;
 
-/// The tokens that a generating stage of such a pipeline may use.
+/// The token limit of a generating stage in such a pipeline.
 const MAX_TOKENS: u32 = 256;
 
-/// Answers one plain request.
+/// Handles one plain request.
 ///
 /// # Errors
 ///
--- a/router/src/ingress/reply.rs
+++ b/router/src/ingress/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 /// The header with the request's outcome.
 pub(crate) const OUTCOME: HeaderName = HeaderName::from_static("x-snipeyoke-outcome");
 
-/// What the head of an answer says.
+/// The fields of the head of a response.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Head {
     pub(crate) id: RequestId,
@@ -28,12 +28,12 @@
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json(head: &Head, body: &serde_json::Value) -> Reply {
     with_body(head, "application/json", full(body.to_string()))
 }
 
-/// Builds an answer with any body.
+/// Builds a response with any body.
 pub(crate) fn with_body(head: &Head, kind: &'static str, body: ReplyBody) -> Reply {
     let mut reply = Reply::new(body);
     *reply.status_mut() = head.status;
@@ -44,7 +44,7 @@
         insert(headers, OUTCOME, &outcome.to_string());
     }
     if let Some(retry_after) = head.retry_after {
-        // Whole seconds, rounded up: the standard header knows no fractions.
+        // Rounded up to whole seconds: `Retry-After` allows no fractions.
         let seconds = retry_after.as_secs() + u64::from(retry_after.subsec_nanos() > 0);
         insert(headers, RETRY_AFTER, &seconds.to_string());
     }
--- a/router/src/ingress/status.rs
+++ b/router/src/ingress/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/requests/{id}`: how a request stands.
+//! `GET /v1/requests/{id}`: the status of a request.
 
 use hyper::StatusCode;
 use serde_json::json;
@@ -13,11 +13,11 @@
 use crate::node::Node;
 use crate::outcomes::RequestStatus;
 
-/// Answers a question about a request.
+/// Handles a status query.
 ///
 /// # Errors
 ///
-/// Returns [`IngressError`] if the caller or the request is not known here.
+/// Returns [`IngressError`] if the caller or the request is unknown.
 pub(crate) fn handle(
     node: &Node,
     id: RequestId,
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry process: owns each request until its one outcome.
+//! The entry process: owns each request until its outcome.
 
 mod admission;
 mod agents;
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -1,4 +1,4 @@
-//! Carries out what the membership view decides: dials, links, heartbeats.
+//! Executes the actions of the membership view: dials, links, heartbeats.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -33,26 +33,26 @@
 use crate::connect;
 use crate::node::Node;
 
-/// The time between two looks at the host list, which itself lags by more.
+/// The poll interval of the host list, which itself lags by more than that.
 const HOST_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The pause after a failed accept, so that a lack of descriptors can't spin.
+/// The pause after a failed accept, to avoid a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a link's task and the view tell each other.
+/// The state shared between a link's task and the membership view.
 #[derive(Debug, Clone)]
 pub(crate) struct LinkEntry {
     pub(crate) link: LinkId,
     pub(crate) peer: NodeId,
     kind: NodeKind,
     pub(crate) sender: LinkSender,
-    /// Set once the view takes the link for the peer's.
+    /// Set once the view accepts this as the peer's current link.
     pub(crate) admitted: Flag,
-    /// Set once the link has to end, after its calls.
+    /// Set once the link must end after its calls in flight.
     pub(crate) retired: Flag,
 }
 
-/// The links of a router and the way to its membership view.
+/// The links of a router and the inbox of its membership view.
 #[derive(Debug)]
 pub(crate) struct Members {
     inbox: Sender<Event>,
@@ -66,23 +66,23 @@
 }
 
 impl Members {
-    /// Builds the links' side and the view's inbox.
+    /// Creates the links and the receiving end of the view's inbox.
     pub(crate) fn new() -> (Self, Receiver<Event>) {
-        // Unbounded, but each link holds back its own reading by the speed of
-        // its peer's heartbeats, and links are bounded.
+        // Unbounded, but each link sends events only at the rate of its peer's
+        // heartbeats, and the number of links is bounded.
         let (inbox, events) = async_channel::unbounded();
         let links = Mutex::default();
         (Self { inbox, links }, events)
     }
 
-    /// Tells the view; after the view has ended nobody needs to know.
+    /// Sends an event to the view; events after its end are dropped.
     pub(crate) fn notify(&self, event: Event) {
         if self.inbox.try_send(event).is_err() {
             log::debug!(event = "view-ended"; "");
         }
     }
 
-    /// Notes a link on which the peer said hello.
+    /// Adds a link whose peer has sent its hello.
     pub(crate) fn open(&self, sender: LinkSender, profile: &Profile) -> LinkEntry {
         let mut links = self.links();
         links.next += 1;
@@ -98,7 +98,7 @@
         entry
     }
 
-    /// Forgets a link that has ended.
+    /// Removes a link that has ended.
     pub(crate) fn close(&self, link: LinkId) {
         self.links().open.remove(&link);
     }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Runs the view until the router stops.
+/// Runs the membership view until the router stops.
 pub(crate) async fn run(node: Arc<Node>, events: Receiver<Event>) {
     let mut view = View::new(profile(&node), node.incarnation, ViewSettings::default());
     let own = &node.settings;
@@ -193,7 +193,7 @@
     stopped.or(event).or(drain).or(timer).await
 }
 
-/// Passes an event to the view, carries out the answer, returns when to wake.
+/// Passes an event to the view, executes its actions, returns the next wake time.
 fn handle_event(node: &Arc<Node>, view: &mut View, event: Event) -> Time {
     let mut wake = Time::NEVER;
     for action in view.handle(node.clock.now(), event) {
@@ -253,7 +253,7 @@
     }
 }
 
-/// Logs a change of state and bars or admits the endpoint.
+/// Logs a state change and marks the endpoint as reachable or not.
 fn on_state_change(node: &Node, view: &View, peer: &NodeId, from: PeerState, to: PeerState) {
     log::info!(event = "peer-state", peer = peer.as_str(), from = from.to_string().as_str(), to = to.to_string().as_str(); "");
     let Some(member) = view.members().get(peer) else {
@@ -265,9 +265,9 @@
         return;
     };
     let mut shared = node.shared();
-    // A peer that falls silent is barred at once: the age of its last report
-    // would bar it only after three seconds. One that is alive again on the
-    // same link must be let in, as nothing else would.
+    // A silent peer is excluded at once; the age of its last report would do so
+    // only after 3 s. A peer alive again on the same link must be added back
+    // here, as nothing else does it.
     match (to, member.incarnation()) {
         (PeerState::Alive, Some(incarnation)) if from != PeerState::Unheard => {
             let (domain, region) = (&profile.domain, &profile.region);
@@ -281,7 +281,7 @@
     }
 }
 
-/// Reads the host list until the router stops.
+/// Polls the host list until the router stops.
 pub(crate) async fn poll_hosts(node: Arc<Node>, hosts: HttpHosts) {
     while !node.board.stop.is_set() {
         let stopped = async {
@@ -292,7 +292,7 @@
         if let Some(list) = &list {
             node.control.peers.set_hosts(list);
         }
-        // An empty list names nobody and so tells nothing.
+        // An empty list carries no information.
         if let Some(list) = list.filter(|l| !l.is_empty()) {
             node.members.notify(Event::HostList(list));
         }
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -1,4 +1,4 @@
-//! The router as a whole: what it shares, how it starts and leaves.
+//! The router: its shared state, start and shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -67,19 +67,19 @@
 use crate::snapshots;
 use crate::snapshots::LogState;
 
-/// The version of the frames between processes.
+/// The version of the frame protocol between processes.
 const PROTOCOL_VERSION: u32 = 1;
 
-/// The longest time to connect to the platform.
+/// The time-out for connecting to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a leaving router still serves, for balancers to see it.
+/// The time a leaving router still serves, so that balancers notice the drain.
 ///
-/// With the refusals after it, new work ends within the 3 s that operators are
-/// promised, and a balancer that looks once a second has looked twice.
+/// A balancer that polls once a second polls twice in it. New work still ends
+/// within the 3 s guaranteed to operators.
 const PRE_DRAIN_WAIT: Duration = Duration::from_secs(2);
 
-/// The pause between two looks at what a drain still waits for.
+/// The poll interval for the work that a drain waits for.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// The reason why a router can't start.
@@ -96,16 +96,16 @@
     },
 }
 
-/// What the tasks of a router share.
+/// The state shared by the tasks of a router.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Raw,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: Clock,
     pub(crate) board: Board,
-    /// The configuration as it is read and passed on.
+    /// The configuration as read and passed on to peers.
     pub(crate) book: Book,
-    /// What was last read of the configuration's topic.
+    /// The state of the configuration topic when last read.
     pub(crate) log_state: Fact<LogState>,
     pub(crate) agents: Agents,
     pub(crate) members: Members,
@@ -114,33 +114,33 @@
     pub(crate) control: Control,
     /// Requests in flight; the parent of their tasks.
     pub(crate) requests: Scope,
-    /// Counted once for each exchange whose answer is not yet sent, besides
-    /// the router's own.
+    /// Its reference count is the number of exchanges whose response is not yet
+    /// sent, plus one for the router itself.
     pub(crate) exchanges: Arc<()>,
-    /// Everything else on the traffic threads.
+    /// All other tasks on the traffic threads.
     pub(crate) scope: Scope,
     shared: Mutex<Shared>,
     slots: Mutex<SlotMap>,
 }
 
 impl Node {
-    /// Locks the state behind the decisions, for one short step.
+    /// Locks the state of routing decisions; hold it only for short steps.
     pub(crate) fn shared(&self) -> MutexGuard<'_, Shared> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the map of key slots, for one short step.
+    /// Locks the map of key slots; hold it only for short steps.
     pub(crate) fn slots(&self) -> MutexGuard<'_, SlotMap> {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the endpoint whose agent owns a key slot, as far as known.
+    /// Returns the endpoint whose agent owns a key slot, if known.
     pub(crate) fn owner(&self, pool: &PoolName, slot: KeySlot) -> Option<EndpointId> {
         let slots = self.slots();
         slots.owner(pool, slot).map(|owner| owner.endpoint.clone())
     }
 
-    /// Returns the requests that run, and the answers still being sent.
+    /// Returns the number of requests or responses in flight, whichever is larger.
     pub(crate) fn in_flight(&self) -> usize {
         let sending = Arc::strong_count(&self.exchanges) - 1;
         self.requests.len().max(sending)
@@ -162,14 +162,14 @@
         }
     }
 
-    /// Notes the end of a request that was taken on.
+    /// Records the end of an admitted request.
     pub(crate) fn on_request_end(&self, spec: &RequestSpec, result: &RequestResult) {
         let used = Tokens(result.prompt_tokens + result.output_tokens);
         self.admission.done(self.clock.now(), spec, used);
         self.on_outcome(spec, result);
     }
 
-    /// Notes the outcome of a request.
+    /// Records the outcome of a request.
     pub(crate) fn on_outcome(&self, spec: &RequestSpec, result: &RequestResult) {
         let reason = result
             .reason
@@ -225,8 +225,8 @@
         control.spawn(follow::run(Arc::clone(&node), Arc::clone(&log)));
         control.spawn(snapshots::run(Arc::clone(&node), Arc::clone(&log)));
         let port = Arc::new(Port::new(Arc::clone(&node), log));
-        // Operators look most of all while a router drains, so their port stays
-        // open until it stops.
+        // Operators need the port most while a router drains, so it stays open
+        // until the router stops.
         let stop = node.board.stop.clone();
         let operator_conns = Scope::new(Arc::clone(&execs.control));
         control.spawn(http::serve(operators, port, bounds, operator_conns, stop));
@@ -264,20 +264,21 @@
         self.node.agents.reported_count()
     }
 
-    /// Waits until the platform's host list says that this host leaves.
+    /// Waits until the platform's host list marks this host as leaving.
     pub async fn told_to_leave(&self) {
         self.node.board.host_leaving.wait().await;
     }
 
-    /// Drains as at SIGTERM.
+    /// Drains as on SIGTERM.
     pub async fn leave(&self) {
         self.drain(Source::Signal).await;
     }
 
-    /// Drains: steps aside, takes nothing new, finishes what runs, and ends.
+    /// Drains: reports not ready, rejects new requests, finishes the running
+    /// ones, and stops.
     ///
-    /// For `ASIDE` it still serves while `/readyz` says no, so that the
-    /// platform's balancer has gone elsewhere before the first refusal.
+    /// It serves for `PRE_DRAIN_WAIT` with `/readyz` failing, so that the
+    /// platform's balancer sends requests elsewhere before the first rejection.
     pub async fn drain(&self, source: Source) {
         let board = &self.node.board;
         board.pre_drain.set();
@@ -314,8 +315,8 @@
                 DrainAction::Report { held, overdue } => {
                     log::warn!(event = "drain-held", held = held.to_string().as_str(), overdue = overdue; "");
                 }
-                // A router holds no lease, and its requests end by their own
-                // deadlines; leaving is the caller's next step.
+                // A router holds no lease, and its requests end at their own
+                // deadlines. The caller of this function exits.
                 DrainAction::Move
                 | DrainAction::HandOver
                 | DrainAction::Resume
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Stops at once, cutting off what runs.
+    /// Stops at once and aborts running requests.
     pub async fn stop(&self) {
         self.node.board.pre_drain.set();
         self.node.board.drain.set();
--- a/router/src/outcomes.rs
+++ b/router/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! The outcomes of recent requests, for callers who ask.
+//! The outcomes of recent requests, for status queries of callers.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -9,18 +9,18 @@
 use snipeyoke_lib::outcome::Outcome;
 use snipeyoke_lib::outcome::Reason;
 
-/// The requests remembered: about a minute of one router's share at the peak
-/// of 2,000 requests a second over 340 routers, many times over.
+/// The number of requests kept: many times a minute of one router's share at
+/// the peak of 2,000 requests a second over 340 routers.
 const CAPACITY: usize = 16_384;
 
-/// How a request stands.
+/// The status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestStatus {
     Running,
     Ended(Outcome, Option<Reason>),
 }
 
-/// Remembers how the latest requests stand.
+/// Keeps the status of the latest requests.
 #[derive(Debug, Default)]
 pub(crate) struct Outcomes {
     inner: Mutex<Inner>,
--- a/router/src/program.rs
+++ b/router/src/program.rs
@@ -1,4 +1,4 @@
-//! The router as a program of its own.
+//! The router as a standalone program.
 
 use snipeyoke_lib::drain::Source;
 use snipeyoke_runtime::program::Program;
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -13,20 +13,20 @@
 use snipeyoke_lib::ids::Region;
 use snipeyoke_runtime::settings::Checked;
 
-/// The most traffic threads of a router.
+/// The maximum number of traffic threads of a router.
 const THREADS_MAX: usize = 64;
 
-/// The largest body of a caller that a frame between processes can carry.
+/// The largest caller body, in bytes, that a frame between processes can carry.
 pub const BODY_MAX_BYTES: usize = 1 << 20;
 
-/// The settings as they stand in the file.
+/// The settings as written in the file.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Raw {
     /// The name of this process.
     pub node: NodeId,
-    /// The host it runs on.
+    /// The host that it runs on.
     pub host: HostId,
     /// The failure domain of the host.
     pub domain: FailureDomain,
@@ -34,10 +34,10 @@
     pub region: Region,
     /// The addresses to listen on.
     pub listen: Listen,
-    /// Agents to begin with; the host list adds others.
+    /// The initial agents; the host list adds others.
     #[serde(default)]
     pub agents: Vec<SocketAddr>,
-    /// Routers to begin with; the host list adds others.
+    /// The initial routers; the host list adds others.
     #[serde(default)]
     pub routers: Vec<SocketAddr>,
     /// The platform's address.
@@ -45,10 +45,10 @@
     /// The policy for choosing endpoints.
     #[serde(default)]
     pub policy: PolicyName,
-    /// The operators who may ask and change.
+    /// The operators allowed to query and to change.
     #[serde(default)]
     pub operators: Vec<OperatorKey>,
-    /// What callers may take.
+    /// The limits on callers.
     #[serde(default)]
     pub bounds: Bounds,
     /// The number of traffic threads.
@@ -67,7 +67,7 @@
     "info".to_owned()
 }
 
-/// The addresses of a router.
+/// The addresses that a router listens on.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -91,18 +91,18 @@
     pub digest: KeyDigest,
 }
 
-/// What a caller may take of a router.
+/// The limits on callers of a router.
 #[derive(Debug, Clone, Copy)]
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
     /// The largest body, in bytes.
     pub body_bytes: usize,
-    /// The longest time for a head, and of an idle connection, in milliseconds.
+    /// The time-out for a request head and for an idle connection, in milliseconds.
     pub head_ms: u64,
-    /// The longest time for a body, in milliseconds.
+    /// The time-out for a request body, in milliseconds.
     pub body_ms: u64,
-    /// The most connections at once.
+    /// The maximum number of open connections.
     pub conns: usize,
 }
 
@@ -122,14 +122,14 @@
 #[derive(Display, derive_more::FromStr, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// Predicted completion against cost.
+    /// Weighs the predicted completion time against the cost.
     #[default]
     #[display("predicted")]
     Predicted,
-    /// Each endpoint in turn.
+    /// Selects the endpoints in turn.
     #[display("round-robin")]
     RoundRobin,
-    /// The endpoint with the fewest calls in flight.
+    /// Selects the endpoint with the fewest calls in flight.
     #[display("least-outstanding")]
     LeastOutstanding,
 }
@@ -141,23 +141,23 @@
     pub raw: Raw,
 }
 
-/// The reason why a value is refused.
+/// The reason why a value is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum ValueError {
-    /// The threads are out of range.
+    /// The number of threads is out of range.
     #[display("`threads` is {found}: give 1 to {THREADS_MAX}")]
     Threads {
         /// The number found.
         found: usize,
     },
-    /// The largest body is out of range.
+    /// The body size limit is out of range.
     #[display("`bounds.body_bytes` is {found}: give 1 to {BODY_MAX_BYTES}")]
     Body {
         /// The number found.
         found: usize,
     },
-    /// A bound is zero.
+    /// A limit is zero.
     #[display("`bounds.{key}` is 0: give at least 1")]
     Zero {
         /// The key.
@@ -166,7 +166,7 @@
 }
 
 impl ValueError {
-    /// Tells whether the number of threads was refused.
+    /// Returns whether the number of threads was rejected.
     #[must_use]
     pub const fn is_threads(&self) -> bool {
         matches!(self, Self::Threads { .. })
--- a/router/src/snapshots.rs
+++ b/router/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Publishes snapshots of the configuration before retention takes its records.
+//! Publishes snapshots of the configuration before log retention drops its records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,40 +21,40 @@
 
 use crate::node::Node;
 
-/// The records after a snapshot at which the next one is due.
+/// The number of records after a snapshot at which the next one is due.
 const RECORDS_MAX: u64 = 64;
 
 /// The age of a snapshot at which the next one is due.
 ///
-/// The log keeps records for six hours or more, so a reader always finds a
-/// snapshot, also when nobody has changed anything for days.
+/// The log keeps records for six hours or more, so readers always find a
+/// snapshot, even if nothing has changed for days.
 const AGE_MAX: Duration = Duration::from_mins(30);
 
-/// The longest pause before a due snapshot is published.
+/// The maximum random delay before a due snapshot is published.
 ///
-/// All routers find it due at about the same time. Each waits a random part of
-/// this, and the first one's snapshot spares the others theirs.
+/// It is due on all routers at about the same time. Each waits a random fraction
+/// of this, and the others skip theirs after the first snapshot.
 const JITTER_MAX: Duration = Duration::from_secs(5);
 
-/// The tries to append one part.
+/// The attempts to append one part of a snapshot.
 ///
-/// A snapshot that lacks one part is lost, with all that was sent of it. A part
-/// that is appended twice does no harm.
+/// If one part is missing, the whole snapshot is lost. Appending a part twice is
+/// harmless.
 const APPEND_ATTEMPTS: usize = 3;
 
-/// The pause between two looks, or two tries.
+/// The poll interval, and the pause between two attempts.
 const POLL_PAUSE: Duration = Duration::from_secs(1);
 
-/// What is known of the log's topic.
+/// The state of the configuration topic in the log.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LogState {
-    /// The offset after the newest record, when last read.
+    /// The offset after the newest record at the last read.
     pub(crate) end: Offset,
-    /// The newest snapshot, or the start of the topic.
+    /// The offset of the newest snapshot, or of the start of the topic.
     pub(crate) snapshot: Offset,
-    /// When that snapshot was read.
+    /// The time when that snapshot was read.
     pub(crate) at: Time,
-    /// When the newest part of a snapshot not yet whole was read.
+    /// The time when the newest part of an incomplete snapshot was read.
     pub(crate) part_time: Option<Time>,
 }
 
@@ -79,11 +79,11 @@
 fn is_due(node: &Node) -> bool {
     let state = node.log_state.get();
     let next = node.book.next();
-    // A state that is behind the log would be a snapshot of no use.
+    // A snapshot of a state behind the log would be of no use.
     if next != state.end || next == Offset(0) {
         return false;
     }
-    // Somebody is publishing, or stopped half-way if nothing comes any more.
+    // Another router is publishing, or stopped half-way if no more parts arrive.
     let now = node.clock.now();
     if state.part_time.is_some_and(|at| now.since(at) < JITTER_MAX) {
         return false;
@@ -110,7 +110,7 @@
     log::info!(event = "config-snapshot", covers = covers.0, parts, bytes, done; "");
 }
 
-/// Appends one record, the log service's limit for one append.
+/// Appends one record, as the log service limits an append to one.
 async fn append(node: &Node, log: &dyn LogStore, record: Vec<u8>) -> bool {
     for _attempt in 0..APPEND_ATTEMPTS {
         if node.board.stop.is_set() {
--- a/router/tests/settings.rs
+++ b/router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Bytes from the settings file: JSON with comments, changed at random.
+//! Parses randomly damaged settings files: JSON with comments.
 
 use std::path::Path;
 
@@ -13,10 +13,10 @@
 use snipeyoke_runtime::settings::SettingsError;
 use snipeyoke_runtime::settings::parse;
 
-/// The inputs tried.
+/// The number of inputs.
 const CASES: u32 = 4_000;
 
-/// The corpus: every key once, with comments.
+/// A valid file with every key once, and with comments.
 const CORPUS: &str = r#"{
   // who it is
   "node": "r-1", "host": "h-1", "domain": "hall-a", "region": "bergen",
@@ -34,8 +34,8 @@
 
 #[test]
 fn any_text_is_settings_or_an_error_that_names_the_file() {
-    // A mistake in the file must end the start with a message, not with a
-    // router that runs on values that nobody wrote.
+    // A damaged file must end the start with an error that names the file, not
+    // start a router with values that nobody wrote.
     read(CORPUS).expect("the corpus is right");
     let damage = vec((any::<usize>(), any::<u8>()), 1..5);
     let inputs = (damage, any::<usize>(), any::<bool>()).prop_map(|(damage, cut, whole)| {
