--- a/router/src/drive/run.rs
+++ b/router/src/drive/run.rs
@@ -117,7 +117,7 @@
                 }
             }
             let event = match self.next(&inputs).await {
-                Wakeup::Input(input) => self.to_event(*input),
+                Wakeup::Input(input) => self.event_from(*input),
                 Wakeup::Timer => {
                     self.wake = Time::NEVER;
                     Some(Event::Wake)
@@ -363,7 +363,7 @@
         }
     }
 
-    fn to_event(&mut self, input: Input) -> Option<Event> {
+    fn event_from(&mut self, input: Input) -> Option<Event> {
         let attempt = input.attempt;
         let missing = unknown_end_reason(&input.signal);
         if let Some(reason) = missing
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -57,9 +57,9 @@
         let Some(end) = answered.or(stopped).await else {
             return;
         };
-        let followed = follower.answered(node.clock.now(), end);
-        let read = !matches!(followed, Followed::Failed);
-        apply_read(&node, &mut follower, followed);
+        let read_result = follower.answered(node.clock.now(), end);
+        let read = !matches!(read_result, Followed::Failed);
+        apply_read(&node, &mut follower, read_result);
         if read && !holds {
             let jitter: f64 = node.shared().rng.random_range(0.5..1.5);
             pause(&node, RARE_READ_PAUSE.mul_f64(jitter)).await;
@@ -85,8 +85,8 @@
     pause.or(node.board.stop.wait()).await;
 }
 
-fn apply_read(node: &Node, follower: &mut Follower, followed: Followed) {
-    let records = match followed {
+fn apply_read(node: &Node, follower: &mut Follower, read_result: Followed) {
+    let records = match read_result {
         Followed::Records { records, end, .. } => {
             let state = *node.log_state.get();
             node.log_state.set(LogState { end, ..state });
