--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -129,13 +129,14 @@
             base,
         },
         Applied::Lost { revision, winner } => {
-            let by = |w: &snipeyoke_lib::config::Winner| format!("{} ({})", w.change, w.author);
+            let describe =
+                |w: &snipeyoke_lib::config::Winner| format!("{} ({})", w.change, w.author);
             ChangeAnswer::Lost {
                 base,
                 revision: *revision,
                 winner: winner
                     .as_deref()
-                    .map_or_else(|| "changes that are no longer kept".to_owned(), by),
+                    .map_or_else(|| "changes that are no longer kept".to_owned(), describe),
             }
         }
         Applied::Invalid(error) => invalid(error),
--- a/router/src/control/mod.rs
+++ b/router/src/control/mod.rs
@@ -20,7 +20,7 @@
 
 pub(crate) use self::endpoints::Endpoints;
 pub(crate) use self::peers::Peers;
-pub(crate) use self::port::Port;
+pub(crate) use self::port::ControlPort;
 pub(crate) use self::records::Records;
 pub(crate) use self::waiters::Waiters;
 
--- a/router/src/control/port.rs
+++ b/router/src/control/port.rs
@@ -43,12 +43,12 @@
 
 /// Handles requests of operators.
 #[derive(Debug)]
-pub(crate) struct Port {
+pub(crate) struct ControlPort {
     node: Arc<Node>,
     log: Arc<dyn LogStore>,
 }
 
-impl Port {
+impl ControlPort {
     pub(crate) fn new(node: Arc<Node>, log: Arc<dyn LogStore>) -> Self {
         Self { node, log }
     }
@@ -167,7 +167,7 @@
     RecordId(parsed.unwrap_or_else(Uuid::now_v7))
 }
 
-impl Handler for Port {
+impl Handler for ControlPort {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>> {
         Box::pin(self.route(request))
     }
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -105,9 +105,9 @@
         };
         let pipeline = request.accepted.pipeline.to_string();
         let elapsed_s = request.elapsed(now).as_secs_f64();
-        let late = request.is_late(now);
+        let is_late = request.is_late(now);
         drop(journal);
-        if late {
+        if is_late {
             metrics::counter!("snipeyoke_requests_late_total", "pipeline" => pipeline.clone())
                 .increment(1);
         }
--- a/router/src/drive/run.rs
+++ b/router/src/drive/run.rs
@@ -155,7 +155,7 @@
             };
             Wakeup::Timer
         };
-        let gone = async {
+        let caller_gone = async {
             if self.notified.caller_gone {
                 return std::future::pending().await;
             }
@@ -169,7 +169,7 @@
             self.job.stop.wait().await;
             Wakeup::Stopped
         };
-        input.or(wake).or(gone).or(stopped).await
+        input.or(wake).or(caller_gone).or(stopped).await
     }
 
     fn step(&mut self, event: Event) {
@@ -195,14 +195,14 @@
                 priority,
                 resume_from,
             } => {
-                let send = AttemptRequest {
+                let request = AttemptRequest {
                     attempt,
                     stage,
                     remaining,
                     priority,
                     resume: resume_from,
                 };
-                self.send(&send, endpoint);
+                self.send(&request, endpoint);
             }
             Action::Cancel { attempt } => self.cancel(attempt),
             Action::Deliver { attempt, skip } => self.deliver(attempt, skip),
@@ -217,11 +217,11 @@
         }
     }
 
-    fn send(&mut self, send: &AttemptRequest, endpoint: EndpointId) {
-        let attempt = send.attempt;
-        let stage = &self.job.spec.pipeline.stages[send.stage];
+    fn send(&mut self, request: &AttemptRequest, endpoint: EndpointId) {
+        let attempt = request.attempt;
+        let stage = &self.job.spec.pipeline.stages[request.stage];
         let role = stage.role;
-        let call = self.call(send);
+        let call = self.call(request);
         let resend = call.once.is_some().then(|| call.clone());
         let handle = self
             .node
@@ -229,7 +229,7 @@
             .call(&endpoint, attempt, call, self.input_sender.clone());
         let record = Attempt {
             endpoint,
-            stage: send.stage,
+            stage: request.stage,
             role,
             call: handle,
             output: None,
@@ -255,15 +255,15 @@
         self.pending.push(event);
     }
 
-    fn call(&self, send: &AttemptRequest) -> Call {
+    fn call(&self, request: &AttemptRequest) -> Call {
         let spec = &self.job.spec;
-        let stage = &spec.pipeline.stages[send.stage];
+        let stage = &spec.pipeline.stages[request.stage];
         let pool = &self.job.config.pools[&stage.pool];
         let id = spec.request;
-        let (path, body) = self
-            .job
-            .data
-            .build_request(id, stage, pool, send.priority, send.resume);
+        let (path, body) =
+            self.job
+                .data
+                .build_request(id, stage, pool, request.priority, request.resume);
         let generates = stage.role == StageRole::Generate;
         let key = if stage.idempotent {
             None
@@ -279,8 +279,8 @@
             role: wire_role(stage.role).into(),
             path,
             body,
-            left_us: u64::try_from(send.remaining.as_micros()).unwrap_or(u64::MAX),
-            priority: u32::from(send.priority),
+            left_us: u64::try_from(request.remaining.as_micros()).unwrap_or(u64::MAX),
+            priority: u32::from(request.priority),
             stream: generates,
             once: key.map(|k| k.key.clone()),
             prefix: Vec::new(),
@@ -290,8 +290,8 @@
             } else {
                 0
             },
-            resume_from: send.resume,
-            attempt: send.attempt.0,
+            resume_from: request.resume,
+            attempt: request.attempt.0,
         }
     }
 
@@ -365,8 +365,8 @@
 
     fn event_from(&mut self, input: Input) -> Option<Event> {
         let attempt = input.attempt;
-        let missing = unknown_end_reason(&input.signal);
-        if let Some(reason) = missing
+        let unknown_end = unknown_end_reason(&input.signal);
+        if let Some(reason) = unknown_end
             && self.resolve(attempt, reason)
         {
             return None;
@@ -449,7 +449,7 @@
         let Some(stage) = self.job.spec.pipeline.stages.last() else {
             return false;
         };
-        let resolve = Resolver {
+        let resolver = Resolver {
             attempt,
             call,
             pool: stage.pool.clone(),
@@ -460,7 +460,7 @@
         };
         log::info!(event = "attempt-unresolved", request = self.job.spec.request.to_string().as_str(), reason = reason.to_string().as_str(); "");
         let node = Arc::clone(&self.node);
-        self.node.requests.spawn(resolve.run(node));
+        self.node.requests.spawn(resolver.run(node));
         true
     }
 
--- a/router/src/drive/work.rs
+++ b/router/src/drive/work.rs
@@ -197,26 +197,26 @@
         role: StageRole,
         body: &Bytes,
     ) -> Result<StageOutput, OutputError> {
-        let wrong = || OutputError { role };
+        let output_error = || OutputError { role };
         match role {
             StageRole::Encode => {
-                let output: Embeddings = parse(body).ok_or_else(wrong)?;
-                let first = output.data.into_iter().next().ok_or_else(wrong)?;
+                let output: Embeddings = parse(body).ok_or_else(output_error)?;
+                let first = output.data.into_iter().next().ok_or_else(output_error)?;
                 Ok(StageOutput::Embedding(first.embedding))
             }
             StageRole::Retrieve => {
-                let output: Documents = parse(body).ok_or_else(wrong)?;
+                let output: Documents = parse(body).ok_or_else(output_error)?;
                 Ok(StageOutput::Documents(output.documents))
             }
             StageRole::Rerank => {
-                let output: Ranking = parse(body).ok_or_else(wrong)?;
+                let output: Ranking = parse(body).ok_or_else(output_error)?;
                 self.reranked(&output)
                     .map(StageOutput::Documents)
-                    .ok_or_else(wrong)
+                    .ok_or_else(output_error)
             }
             StageRole::Generate => Ok(StageOutput::Text),
             StageRole::Call => {
-                let _checked: Value = parse(body).ok_or_else(wrong)?;
+                let _checked: Value = parse(body).ok_or_else(output_error)?;
                 Ok(StageOutput::Output(body.clone()))
             }
         }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -176,8 +176,8 @@
 }
 
 fn request_config(node: &Node, link: &AgentLink) {
-    if let Some(ask) = node.book.ask(node.clock.now()) {
-        link.send(Body::ConfigAsk(ask));
+    if let Some(request) = node.book.ask(node.clock.now()) {
+        link.send(Body::ConfigAsk(request));
     }
 }
 
--- a/router/src/ingress/chat.rs
+++ b/router/src/ingress/chat.rs
@@ -22,7 +22,7 @@
 use super::error;
 use super::error::IngressError;
 use super::intake;
-use super::intake::Bound;
+use super::intake::PipelineBinding;
 use super::intake::RequestContext;
 use super::reply;
 use super::reply::Head;
@@ -65,11 +65,11 @@
     let headers = request.headers().clone();
     let bytes = intake::read_body(node, request).await?;
     let chat: ChatBody = serde_json::from_slice(&bytes).map_err(|e| bad_body(&e))?;
-    let bound = authenticated.bind(&chat.model)?;
-    let key = authenticated.idempotency_key(&bound.pipeline, &headers, &bytes)?;
-    let (prompt, data) = prepare(&chat, bytes, &bound)?;
+    let binding = authenticated.bind(&chat.model)?;
+    let key = authenticated.idempotency_key(&binding.pipeline, &headers, &bytes)?;
+    let (prompt, data) = prepare(&chat, bytes, &binding)?;
     let model = chat.model;
-    let context = authenticated.start(node, bound, prompt, data, key, chat.stream);
+    let context = authenticated.start(node, binding, prompt, data, key, chat.stream);
     if chat.stream {
         return Ok(stream_reply(id, model, context).await);
     }
@@ -85,7 +85,7 @@
 fn prepare(
     chat: &ChatBody,
     body: Bytes,
-    bound: &Bound,
+    binding: &PipelineBinding,
 ) -> Result<(Prompt, PipelineData), IngressError> {
     let texts = chat
         .messages
@@ -104,7 +104,7 @@
         let what = format!("`max_tokens` is {max}: give 1 to {MAX_TOKENS}");
         return Err(IngressError::BadBody { what });
     }
-    let stages = &bound.pipeline.stages;
+    let stages = &binding.pipeline.stages;
     let model = stages.iter().rev().find_map(|s| s.model.as_ref());
     let text = prefix::prompt_text(texts.iter().map(|(role, text)| (*role, text.as_str())));
     let prompt = Prompt {
--- a/router/src/ingress/intake.rs
+++ b/router/src/ingress/intake.rs
@@ -48,7 +48,7 @@
 
 /// A request bound to its pipeline.
 #[derive(Debug)]
-pub(crate) struct Bound {
+pub(crate) struct PipelineBinding {
     pub(crate) kind: RequestKind,
     pub(crate) name: PipelineName,
     pub(crate) pipeline: Arc<Pipeline>,
@@ -124,16 +124,16 @@
     /// # Errors
     ///
     /// Returns [`IngressError`] if there is none.
-    pub(crate) fn bind(&self, kind: &str) -> Result<Bound, IngressError> {
-        let missing = || IngressError::NoKind {
+    pub(crate) fn bind(&self, kind: &str) -> Result<PipelineBinding, IngressError> {
+        let not_found = || IngressError::NoKind {
             kind: kind.to_owned(),
         };
         let Ok(kind) = kind.parse::<RequestKind>() else {
-            return Err(missing());
+            return Err(not_found());
         };
         let bound = self.fact.config.bound(&self.account, &kind);
-        let (name, pipeline) = bound.ok_or_else(missing)?;
-        Ok(Bound {
+        let (name, pipeline) = bound.ok_or_else(not_found)?;
+        Ok(PipelineBinding {
             kind,
             name: name.clone(),
             pipeline: Arc::new(pipeline.clone()),
@@ -183,23 +183,23 @@
     pub(crate) fn start(
         self,
         node: &Arc<Node>,
-        bound: Bound,
+        binding: PipelineBinding,
         prompt: Prompt,
         data: PipelineData,
         key: Option<IdempotencyKey>,
         stream: bool,
     ) -> RequestContext {
-        let last = bound.pipeline.stages.last();
+        let last = binding.pipeline.stages.last();
         let owner = key.as_ref().zip(last);
         let owner = owner.and_then(|(key, stage)| node.owner(&stage.pool, key.slot));
         let now = node.clock.now();
-        let deadline = now + bound.pipeline.deadline();
+        let deadline = now + binding.pipeline.deadline();
         let spec = RequestSpec {
             request: self.id,
             account: self.account,
-            kind: bound.kind,
-            name: bound.name,
-            pipeline: bound.pipeline,
+            kind: binding.kind,
+            name: binding.name,
+            pipeline: binding.pipeline,
             deadline,
             prompt,
             stream,
--- a/router/src/ingress/plain.rs
+++ b/router/src/ingress/plain.rs
@@ -39,18 +39,18 @@
     request: Request,
 ) -> Result<Reply, IngressError> {
     let authenticated = intake::authenticate(node, id, request.headers())?;
-    let bound = authenticated.bind(kind)?;
+    let binding = authenticated.bind(kind)?;
     let headers = request.headers().clone();
     let bytes = intake::read_body(node, request).await?;
     let checked = serde_json::from_slice::<IgnoredAny>(&bytes);
     checked.map_err(|error| IngressError::BadBody {
         what: error.to_string(),
     })?;
-    let key = authenticated.idempotency_key(&bound.pipeline, &headers, &bytes)?;
+    let key = authenticated.idempotency_key(&binding.pipeline, &headers, &bytes)?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let messages = vec![json!({"role": "user", "content": text})];
     let data = PipelineData::new(messages, text, bytes, MAX_TOKENS);
-    let context = authenticated.start(node, bound, Prompt::default(), data, key, false);
+    let context = authenticated.start(node, binding, Prompt::default(), data, key, false);
     while let Ok(message) = context.messages.recv().await {
         if let DriverMessage::Done(result) = message {
             return Ok(final_reply(id, *result));
--- a/router/src/ingress/status.rs
+++ b/router/src/ingress/status.rs
@@ -25,13 +25,13 @@
     request: &Request,
 ) -> Result<Reply, IngressError> {
     let _caller = intake::authenticate(node, id, request.headers())?;
-    let missing = || IngressError::NoRequest {
+    let not_found = || IngressError::NoRequest {
         id: requested.to_owned(),
     };
     let Ok(requested_id) = requested.parse::<RequestId>() else {
-        return Err(missing());
+        return Err(not_found());
     };
-    let status = node.outcomes.get(&requested_id).ok_or_else(missing)?;
+    let status = node.outcomes.get(&requested_id).ok_or_else(not_found)?;
     let (state, outcome, reason) = match status {
         RequestStatus::Running => ("running", None, None),
         RequestStatus::Ended(outcome, reason) => ("ended", Some(outcome), reason),
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -152,7 +152,7 @@
             draining = true;
             wake = handle_event(&node, &mut view, Event::Draining(true));
         }
-        let Some(next) = next(&node, &events, wake, draining).await else {
+        let Some(next) = next_event(&node, &events, wake, draining).await else {
             return;
         };
         event = next;
@@ -173,7 +173,12 @@
     }
 }
 
-async fn next(node: &Node, events: &Receiver<Event>, wake: Time, draining: bool) -> Option<Event> {
+async fn next_event(
+    node: &Node,
+    events: &Receiver<Event>,
+    wake: Time,
+    draining: bool,
+) -> Option<Event> {
     let event = async { events.recv().await.ok() };
     let timer = async {
         Timer::after(wake.since(node.clock.now())).await;
@@ -199,9 +204,9 @@
     for action in view.handle(node.clock.now(), event) {
         match action {
             Action::Connect { address } => {
-                let owner = Arc::clone(node);
+                let task_node = Arc::clone(node);
                 node.scope
-                    .spawn(async move { connect::dial(owner, address).await });
+                    .spawn(async move { connect::dial(task_node, address).await });
             }
             Action::Disconnect { link, reason } => {
                 log::info!(event = "link-given-up", link = link.0, reason = reason.to_string().as_str(); "");
@@ -315,9 +320,9 @@
         match accepted.or(&mut stopped).await {
             None => return,
             Some(Ok((stream, _peer))) => {
-                let owner = Arc::clone(&node);
+                let task_node = Arc::clone(&node);
                 node.scope
-                    .spawn(async move { connect::serve_accepted(owner, stream).await });
+                    .spawn(async move { connect::serve_accepted(task_node, stream).await });
             }
             Some(Err(error)) => {
                 log::warn!(event = "accept-failed", error = error.to_string().as_str(), remedy = "raise the descriptor limit"; "");
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -54,7 +54,7 @@
 use crate::agents::Agents;
 use crate::board::Board;
 use crate::control::Control;
-use crate::control::Port;
+use crate::control::ControlPort;
 use crate::drive::RequestResult;
 use crate::follow;
 use crate::ingress::Ingress;
@@ -203,8 +203,8 @@
     /// Returns [`StartError`] if an address can't be bound.
     pub fn start(settings: Settings, execs: &Execs) -> Result<Self, StartError> {
         let raw = settings.raw;
-        let (listener, callers) = listen(raw.listen.callers)?;
-        let (operators, control_at) = listen(raw.listen.control)?;
+        let (caller_listener, callers) = listen(raw.listen.callers)?;
+        let (control_listener, operators) = listen(raw.listen.control)?;
         let bounds = Bounds {
             head_time: Duration::from_millis(raw.bounds.head_ms),
             conns: raw.bounds.conns,
@@ -213,7 +213,7 @@
         let wrap = |source| StartError::Listen { address, source };
         let peers = http::bind(address).map_err(wrap)?;
         let (members, events) = Members::new();
-        let node = Arc::new(node(raw, execs, members));
+        let node = Arc::new(build_node(raw, execs, members));
         node.scope.spawn(members::accept(Arc::clone(&node), peers));
         let client = Client::new(node.scope.clone(), CONNECT_TIMEOUT);
         let hosts = HttpHosts::new(client.clone(), node.settings.platform);
@@ -224,24 +224,35 @@
         control.spawn(admission::run(Arc::clone(&node)));
         control.spawn(follow::run(Arc::clone(&node), Arc::clone(&log)));
         control.spawn(snapshots::run(Arc::clone(&node), Arc::clone(&log)));
-        let port = Arc::new(Port::new(Arc::clone(&node), log));
+        let port = Arc::new(ControlPort::new(Arc::clone(&node), log));
         // Operators need the port most while a router drains, so it stays open
         // until the router stops.
         let stop = node.board.stop.clone();
         let operator_conns = Scope::new(Arc::clone(&execs.control));
-        control.spawn(http::serve(operators, port, bounds, operator_conns, stop));
+        control.spawn(http::serve(
+            control_listener,
+            port,
+            bounds,
+            operator_conns,
+            stop,
+        ));
         let ingress = Arc::new(Ingress::new(Arc::clone(&node)));
         let conns = Scope::new(Arc::clone(&execs.traffic));
         let drain = node.board.drain.clone();
-        let end = node.board.callers_closed.clone();
+        let callers_closed = node.board.callers_closed.clone();
         node.scope.spawn(http::serve_until(
-            listener, ingress, bounds, conns, drain, end,
+            caller_listener,
+            ingress,
+            bounds,
+            conns,
+            drain,
+            callers_closed,
         ));
         log::info!(event = "router-up", node = node.settings.node.as_str(), callers = callers.to_string().as_str(), incarnation = node.incarnation.0; "");
         Ok(Self {
             node,
             callers,
-            operators: control_at,
+            operators,
             control,
         })
     }
@@ -345,8 +356,8 @@
     Ok((listener, bound))
 }
 
-fn node(raw: Raw, execs: &Execs, members: Members) -> Node {
-    let home = RouterLocation {
+fn build_node(raw: Raw, execs: &Execs, members: Members) -> Node {
+    let location = RouterLocation {
         domain: raw.domain.clone(),
         region: raw.region.clone(),
     };
@@ -370,7 +381,7 @@
         requests: Scope::new(Arc::clone(&execs.traffic)),
         exchanges: Arc::default(),
         scope: Scope::new(Arc::clone(&execs.traffic)),
-        shared: Mutex::new(Shared::new(home, policy, incarnation.0)),
+        shared: Mutex::new(Shared::new(location, policy, incarnation.0)),
         slots: Mutex::default(),
         settings: raw,
     }
