--- a/router/src/agents.rs
+++ b/router/src/agents.rs
@@ -267,7 +267,7 @@
 
     /// Ends every call after the link is lost.
     ///
-    /// Must be called after the writer has ended: only then is it final which
+    /// Must be called after the writer has ended: only then is it certain which
     /// calls were never written.
     pub(crate) fn on_link_lost(&self) {
         self.outcome_requests().clear();
--- a/router/src/board.rs
+++ b/router/src/board.rs
@@ -44,13 +44,13 @@
 #[derive(Debug)]
 pub(crate) struct Board {
     pub(crate) config: Fact<ConfigFact>,
-    /// Set once the router has found its endpoints usable.
+    /// Set once the wait for usable endpoints is over.
     pub(crate) endpoints_ready: Flag,
     /// Set once the router reports not ready, while it still serves.
     pub(crate) pre_drain: Flag,
     /// Set once the router accepts no new requests.
     pub(crate) drain: Flag,
-    /// Set once responses to callers end.
+    /// Set once callers get no more responses.
     pub(crate) callers_closed: Flag,
     /// Set once the platform's host list marks the host as leaving.
     pub(crate) host_leaving: Flag,
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -250,7 +250,7 @@
     if let Some(peer) = &peer {
         unregister_agent(node, peer, &link);
     }
-    // The writer ends first, so that it is final what was written.
+    // The writer ends first; only then is it certain which frames were written.
     entry.sender.close();
     scope.cancel().await;
     link.on_link_lost();
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -108,8 +108,8 @@
             Timer::after(publisher.wake().since(now)).await;
             continue;
         };
-        // The append may have happened before its response arrives. This state
-        // must stand if the future is dropped while it waits.
+        // The append may succeed before its response arrives; if the future is
+        // dropped meanwhile, the result is unknown.
         let before = std::mem::replace(state, Append::Unanswered);
         let end = log.append(append).await;
         *state = match &end {
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -25,7 +25,7 @@
 /// The shortest pause of the loop, for a wake time that has already passed.
 const PAUSE_MIN: Duration = Duration::from_millis(1);
 
-/// The number of routers with long-poll reads: two per failure domain, for 12.
+/// The number of routers with long-poll reads: two for each of 12 failure domains.
 ///
 /// If all 340 routers held a read, the log service would answer 340 reads per
 /// change. The others receive changes through the agents that they share.
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -75,8 +75,8 @@
 
 /// The time a leaving router still serves, so that balancers notice the drain.
 ///
-/// A balancer that polls once a second polls twice in it. New work still ends
-/// within the 3 s guaranteed to operators.
+/// A balancer that polls once a second polls twice within it. New requests are
+/// rejected after it, so that they end within the 3 s guaranteed to operators.
 const PRE_DRAIN_WAIT: Duration = Duration::from_secs(2);
 
 /// The poll interval for the work that a drain waits for.
--- a/router/src/outcomes.rs
+++ b/router/src/outcomes.rs
@@ -9,8 +9,8 @@
 use snipeyoke_lib::outcome::Outcome;
 use snipeyoke_lib::outcome::Reason;
 
-/// The number of requests kept: many times a minute of one router's share at
-/// the peak of 2,000 requests a second over 340 routers.
+/// The number of requests kept: many times one router's share of a minute at the
+/// peak of 2,000 requests a second over 340 routers.
 const CAPACITY: usize = 16_384;
 
 /// The status of a request.
--- a/router/src/snapshots.rs
+++ b/router/src/snapshots.rs
@@ -110,7 +110,7 @@
     log::info!(event = "config-snapshot", covers = covers.0, parts, bytes, done; "");
 }
 
-/// Appends one record, as the log service limits an append to one.
+/// Appends one record; a full one is near the limit of the log service for one append.
 async fn append(node: &Node, log: &dyn LogStore, record: Vec<u8>) -> bool {
     for _attempt in 0..APPEND_ATTEMPTS {
         if node.board.stop.is_set() {
