--- a/router/src/admission.rs
+++ b/router/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether the router takes a request on: limits first, then the deadline.
+//! Admission of requests: first by account limits, then by deadline.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,33 +26,33 @@
 
 use crate::node::Node;
 
-/// How often the shares are recomputed and told to the other routers.
-const TICK: Duration = Duration::from_millis(500);
+/// The interval at which shares are recomputed and usage is sent to other routers.
+const SHARE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes requests on, or refuses them before anything runs.
+/// Admits requests, or rejects them before anything runs.
 #[derive(Debug)]
 pub(crate) struct Admission {
     limiter: Mutex<Limiter>,
 }
 
 impl Admission {
-    /// Begins at a router among `routers` in all.
+    /// Creates the admission of one router out of `routers`.
     pub(crate) const fn new(now: Time, routers: usize) -> Self {
         Self {
             limiter: Mutex::new(Limiter::new(now, routers)),
         }
     }
 
-    /// Takes over the accounts of the configuration in force.
-    pub(crate) fn set(&self, now: Time, config: &Config) {
+    /// Applies the accounts of the configuration in force.
+    pub(crate) fn set_accounts(&self, now: Time, config: &Config) {
         self.limiter().set_accounts(now, &config.accounts);
     }
 
-    /// Takes a request on, or says why not and when to come back.
+    /// Admits a request, or returns why not and when to retry.
     ///
     /// # Errors
     ///
-    /// Returns [`Refusal`] over a limit or past all hope for the deadline.
+    /// Returns [`Refusal`] if the account is over a limit or the deadline can't be met.
     pub(crate) fn admit(
         &self,
         now: Time,
@@ -72,13 +72,13 @@
             .inspect_err(|_refusal| limiter.done(now, &spec.account, expected, Tokens(0)))
     }
 
-    /// Takes in what another router is asked for.
+    /// Records the usage that another router reports.
     pub(crate) fn on_usage(&self, now: Time, peer: &NodeId, usage: &Usage) {
-        let uses = usage.accounts.iter().filter_map(heard).collect();
+        let uses = usage.accounts.iter().filter_map(from_wire).collect();
         self.limiter().on_report(now, peer, usage.seq, uses);
     }
 
-    /// Notes the end of a request that was taken on.
+    /// Records the end of an admitted request.
     pub(crate) fn done(&self, now: Time, spec: &RequestSpec, used: Tokens) {
         self.limiter()
             .done(now, &spec.account, expected(spec), used);
@@ -93,24 +93,24 @@
     spec.prompt.tokens + spec.prompt.max_output
 }
 
-/// Keeps the shares up to date until the router stops.
+/// Updates the shares until the router stops.
 pub(crate) async fn run(node: Arc<Node>) {
     while !node.board.stop.is_set() {
         let pause = async {
-            Timer::after(TICK).await;
+            Timer::after(SHARE_INTERVAL).await;
         };
         pause.or(node.board.stop.wait()).await;
         let now = node.clock.now();
         let uses = node.admission.limiter().tick(now);
         let usage = Usage {
             seq: Clock::wall().as_millis(),
-            accounts: uses.iter().map(told).collect(),
+            accounts: uses.iter().map(to_wire).collect(),
         };
-        node.members.tell_routers(&Body::Usage(usage));
+        node.members.send_to_routers(&Body::Usage(usage));
     }
 }
 
-fn told(own: &AccountDemand) -> AccountUsage {
+fn to_wire(own: &AccountDemand) -> AccountUsage {
     AccountUsage {
         account: own.account.to_string(),
         requests: own.requests,
@@ -119,12 +119,12 @@
     }
 }
 
-// A peer of another release, or a broken one, may tell of names or numbers that
-// no router can have; one of these in the sum would void the share of all.
-fn heard(theirs: &AccountUsage) -> Option<AccountDemand> {
-    let sound = |rate: f64| rate.is_finite() && rate >= 0.0;
+// A faulty peer, or one of another release, may report invalid names or numbers.
+// One of them in the sum would invalidate the shares of all routers.
+fn from_wire(theirs: &AccountUsage) -> Option<AccountDemand> {
+    let is_valid_rate = |rate: f64| rate.is_finite() && rate >= 0.0;
     let account = theirs.account.parse().ok()?;
-    (sound(theirs.requests) && sound(theirs.tokens)).then_some(AccountDemand {
+    (is_valid_rate(theirs.requests) && is_valid_rate(theirs.tokens)).then_some(AccountDemand {
         account,
         requests: theirs.requests,
         tokens: theirs.tokens,
--- a/router/src/control/facts.rs
+++ b/router/src/control/facts.rs
@@ -1,4 +1,4 @@
-//! What this router can tell, for the language.
+//! The facts of this router, as read by the query language.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 use crate::node::Node;
 
-/// A router's facts.
+/// The facts of a router.
 #[derive(Debug)]
 pub(crate) struct NodeFacts<'a>(pub(crate) &'a Node);
 
@@ -28,7 +28,7 @@
     }
 
     fn requests(&self, visit: &mut dyn FnMut(&Request)) {
-        self.0.control.records.each(visit);
+        self.0.control.records.for_each(visit);
     }
 
     fn request(&self, id: RequestId) -> Option<Request> {
@@ -37,7 +37,7 @@
 
     fn config(&self, at: Option<Revision>) -> Result<ConfigFact, FactError> {
         let in_force = self.0.board.config.get();
-        if at.is_none_or(|asked| asked == in_force.revision) {
+        if at.is_none_or(|wanted| wanted == in_force.revision) {
             return Ok(ConfigFact {
                 revision: in_force.revision,
                 config: std::sync::Arc::clone(&in_force.config),
@@ -52,7 +52,7 @@
 
     fn endpoints(&self) -> Vec<EndpointFact> {
         let config = &self.0.board.config.get().config;
-        self.0.control.sight.endpoints(self.now(), config)
+        self.0.control.endpoints.endpoints(self.now(), config)
     }
 
     fn hosts(&self) -> Result<Vec<HostFact>, FactError> {
@@ -60,21 +60,21 @@
         let hosts = self.0.control.peers.hosts(config);
         hosts.ok_or(FactError::NotKept {
             what: "the host list",
-            remedy: "it was never read: look after the platform, or ask 'show nodes'",
+            remedy: "it was never read: check the platform, or run 'show nodes'",
         })
     }
 
     fn nodes(&self) -> Vec<NodeFact> {
         let mut nodes = vec![own(self.0)];
         nodes.extend(self.0.control.peers.routers(self.now()));
-        nodes.extend(self.0.control.sight.agents(self.now()));
+        nodes.extend(self.0.control.endpoints.agents(self.now()));
         nodes
     }
 
     fn leases(&self) -> Result<Vec<LeaseFact>, FactError> {
         Err(FactError::NotKept {
             what: "leases",
-            remedy: "look for slots-owned in the agents' logs",
+            remedy: "search the agents' logs for slots-owned",
         })
     }
 
--- a/router/src/control/port.rs
+++ b/router/src/control/port.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: one statement in, lines of JSON out.
+//! The HTTP handler: one statement per request, JSON lines as the response.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -35,20 +35,20 @@
 use super::facts::NodeFacts;
 use crate::node::Node;
 
-/// The longest time for the text of a statement.
-const BODY_TIME: Duration = Duration::from_secs(5);
+/// The time-out for reading a statement.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The header with the identity of a change, the same when it is sent again.
+/// The header with the id of a change; a retry sends the same id.
 const CHANGE_HEADER: &str = "x-change-id";
 
-/// Answers operators.
+/// Handles requests of operators.
 #[derive(Debug)]
-pub(crate) struct Port {
+pub(crate) struct ControlPort {
     node: Arc<Node>,
     log: Arc<dyn LogStore>,
 }
 
-impl Port {
+impl ControlPort {
     pub(crate) fn new(node: Arc<Node>, log: Arc<dyn LogStore>) -> Self {
         Self { node, log }
     }
@@ -58,7 +58,7 @@
         let Some(operator) = auth::operator(request.headers(), operators) else {
             metrics::counter!("snipeyoke_control_denied_total").increment(1);
             log::warn!(target: "control", event = "operator-unknown", path = request.uri().path(); "");
-            let text = "the key is missing or unknown: nothing was done".to_owned();
+            let text = "the key is missing or unknown: the statement was not executed".to_owned();
             return self.reply(StatusCode::UNAUTHORIZED, vec![Line::Error { text }], 0);
         };
         match (request.method(), request.uri().path()) {
@@ -75,17 +75,17 @@
         let id = change_id(request.headers());
         let text = match self.text(request).await {
             Ok(text) => text,
-            Err(text) => return self.bad(text),
+            Err(text) => return self.bad_request(text),
         };
         let statement = match parse_one(&text) {
             Ok(statement) => statement,
-            Err(error) => return self.bad(error.to_string()),
+            Err(error) => return self.bad_request(error.to_string()),
         };
         log::info!(target: "control", event = "statement", operator = operator.as_str(), text = statement.to_string().as_str(); "");
         match statement {
             Statement::Query(query) => self.query(&query),
             Statement::Watch { show, .. } => self.query(&Query::Show(show)),
-            Statement::Help => self.bad("ask the tool for help".to_owned()),
+            Statement::Help => self.bad_request("help is part of the command-line tool".to_owned()),
             Statement::Command(Command::Stop(id)) => {
                 let stopped = self.node.control.records.stop(id);
                 self.reply(StatusCode::OK, vec![Line::Stop { stopped }], 0)
@@ -100,11 +100,13 @@
             body.map_err(|error| error.to_string())
         };
         let timeout = async {
-            Timer::after(BODY_TIME).await;
-            Err(format!("the text took over {BODY_TIME:?}: send it at once"))
+            Timer::after(BODY_TIMEOUT).await;
+            Err(format!(
+                "the statement did not arrive within {BODY_TIMEOUT:?}: send it in one request"
+            ))
         };
         let body = read.or(timeout).await?;
-        String::from_utf8(body.into()).map_err(|_binary| "the text is not UTF-8".to_owned())
+        String::from_utf8(body.into()).map_err(|_binary| "the statement is not UTF-8".to_owned())
     }
 
     fn query(&self, query: &Query) -> Reply {
@@ -121,7 +123,7 @@
     }
 
     async fn change(&self, operator: Operator, id: RecordId, change: &ChangeCommand) -> Reply {
-        let mut lines: Vec<_> = self.unseen(&change.edit).into_iter().collect();
+        let mut lines: Vec<_> = self.unknown_target_note(&change.edit).into_iter().collect();
         let log = self.log.as_ref();
         let answer = changes::change(&self.node, log, operator.clone(), id, change).await;
         log::info!(target: "control", event = "change", operator = operator.as_str(), record = id.to_string().as_str(), change = change.to_string().as_str(), answer = answer.to_string().as_str(); "");
@@ -129,18 +131,18 @@
         self.reply(StatusCode::OK, lines, 0)
     }
 
-    // A drain with a mistyped name would be accepted and drain nothing.
-    fn unseen(&self, edit: &Edit) -> Option<Line> {
+    // A drain with a mistyped name is accepted but drains nothing.
+    fn unknown_target_note(&self, edit: &Edit) -> Option<Line> {
         let Edit::Drain(target) = edit else {
             return None;
         };
         let known = NodeFacts(&self.node);
-        (!super::drains::is_seen(&known, target)).then(|| Line::Note {
-            text: format!("{target} is not seen by this router: check its name with 'show'"),
+        (!super::drains::is_known(&known, target)).then(|| Line::Note {
+            text: format!("{target} is not known to this router: check its name with 'show'"),
         })
     }
 
-    fn bad(&self, text: String) -> Reply {
+    fn bad_request(&self, text: String) -> Reply {
         self.reply(StatusCode::BAD_REQUEST, vec![Line::Error { text }], 0)
     }
 
@@ -158,14 +160,14 @@
     }
 }
 
-/// Returns the identity that the tool gave the change, or a new one.
+/// Returns the change id sent by the tool, or a new one.
 fn change_id(headers: &HeaderMap) -> RecordId {
     let given = headers.get(CHANGE_HEADER).and_then(|v| v.to_str().ok());
     let parsed = given.and_then(|text| Uuid::parse_str(text).ok());
     RecordId(parsed.unwrap_or_else(Uuid::now_v7))
 }
 
-impl Handler for Port {
+impl Handler for ControlPort {
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>> {
         Box::pin(self.route(request))
     }
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -1,4 +1,4 @@
-//! The journal of this router's requests, and how to stop them.
+//! The journal of this router's requests, and the means to stop them.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -20,11 +20,11 @@
 use snipeyoke_lib::units::Bytes;
 use snipeyoke_runtime::flag::Flag;
 
-/// The memory of the journal: an eighth of a node's 256 MB.
-const MEMORY: Bytes = Bytes(32 << 20);
+/// The memory budget of the journal: an eighth of a node's 256 MB.
+const JOURNAL_BYTES: Bytes = Bytes(32 << 20);
 
-/// The requests copied under one lock.
-const PAGE: usize = 64;
+/// The number of requests copied per lock acquisition.
+const PAGE_SIZE: usize = 64;
 
 /// Records requests for operators.
 #[derive(Debug)]
@@ -42,14 +42,14 @@
 impl Default for Records {
     fn default() -> Self {
         Self {
-            journal: Mutex::new(Journal::new(MEMORY)),
+            journal: Mutex::new(Journal::new(JOURNAL_BYTES)),
             running: Mutex::default(),
         }
     }
 }
 
 impl Records {
-    /// Notes a request that is about to be driven; `stop` ends it.
+    /// Records a request that is about to be driven; `stop` ends it.
     pub(crate) fn begin(&self, now: Time, spec: &RequestSpec, stop: Flag) {
         let accepted = Accepted::of(now, spec, None);
         self.journal().on_accept(now, accepted);
@@ -60,25 +60,33 @@
         self.running().insert(spec.request, running);
     }
 
-    /// Notes a decision of a request's chain.
-    pub(crate) fn route(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
+    /// Records a decision of a request's chain.
+    pub(crate) fn on_decision(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
         self.journal().on_route(now, spec, decision);
     }
 
-    /// Notes the end of an attempt.
-    pub(crate) fn ended(&self, now: Time, id: RequestId, attempt: AttemptId, end: &AttemptEnd) {
+    /// Records the end of an attempt.
+    pub(crate) fn on_attempt_end(
+        &self,
+        now: Time,
+        id: RequestId,
+        attempt: AttemptId,
+        end: &AttemptEnd,
+    ) {
         let mut journal = self.journal();
         journal.on_attempt_end(now, id, attempt, end);
-        let found = journal.get(id).and_then(|r| measure_of(r, attempt, now));
+        let found = journal
+            .get(id)
+            .and_then(|r| attempt_measures(r, attempt, now));
         drop(journal);
-        if let Some((stage, pipeline, took)) = found {
-            let how = ending(end);
-            metrics::counter!("snipeyoke_attempts_total", "pipeline" => pipeline.clone(), "stage" => stage.clone(), "end" => how).increment(1);
-            metrics::histogram!("snipeyoke_attempt_seconds", "pipeline" => pipeline, "stage" => stage).record(took);
+        if let Some((stage, pipeline, elapsed_s)) = found {
+            let label = end_label(end);
+            metrics::counter!("snipeyoke_attempts_total", "pipeline" => pipeline.clone(), "stage" => stage.clone(), "end" => label).increment(1);
+            metrics::histogram!("snipeyoke_attempt_seconds", "pipeline" => pipeline, "stage" => stage).record(elapsed_s);
         }
     }
 
-    /// Notes the one outcome of a request.
+    /// Records the outcome of a request.
     pub(crate) fn finish(
         &self,
         now: Time,
@@ -96,17 +104,17 @@
             return;
         };
         let pipeline = request.accepted.pipeline.to_string();
-        let took = request.elapsed(now).as_secs_f64();
-        let late = request.is_late(now);
+        let elapsed_s = request.elapsed(now).as_secs_f64();
+        let is_late = request.is_late(now);
         drop(journal);
-        if late {
+        if is_late {
             metrics::counter!("snipeyoke_requests_late_total", "pipeline" => pipeline.clone())
                 .increment(1);
         }
-        metrics::histogram!("snipeyoke_request_seconds", "pipeline" => pipeline, "outcome" => outcome.to_string()).record(took);
+        metrics::histogram!("snipeyoke_request_seconds", "pipeline" => pipeline, "outcome" => outcome.to_string()).record(elapsed_s);
     }
 
-    /// Stops a request; returns whether it runs here.
+    /// Stops a request; returns whether it runs on this router.
     pub(crate) fn stop(&self, id: RequestId) -> bool {
         let running = self.running();
         let found = running.get(&id);
@@ -116,26 +124,26 @@
         found.is_some()
     }
 
-    /// Returns what is recorded of a request.
+    /// Returns the record of a request.
     pub(crate) fn get(&self, id: RequestId) -> Option<Request> {
         self.journal().get(id).cloned()
     }
 
-    /// Returns the requests in flight of an account.
+    /// Returns the number of requests in flight of an account.
     pub(crate) fn active(&self, account: &ClientAccount) -> u32 {
         let running = self.running();
         let count = running.values().filter(|r| r.account == *account).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Shows every recorded request, the newest first.
+    /// Visits every recorded request, newest first.
     ///
-    /// A lock held over the whole journal would make every request at work wait
-    /// while an operator's question is evaluated; so it is held for a page.
-    pub(crate) fn each(&self, visit: &mut dyn FnMut(&Request)) {
+    /// The lock is held for one page at a time. Held for the whole journal, it
+    /// would block all running requests while a query is evaluated.
+    pub(crate) fn for_each(&self, visit: &mut dyn FnMut(&Request)) {
         let mut before = None;
         loop {
-            let page = self.journal().page(before, PAGE);
+            let page = self.journal().page(before, PAGE_SIZE);
             let Some(last) = page.last() else {
                 return;
             };
@@ -153,8 +161,12 @@
     }
 }
 
-/// Returns the stage, pipeline and seconds of an attempt.
-fn measure_of(request: &Request, attempt: AttemptId, now: Time) -> Option<(String, String, f64)> {
+/// Returns the stage, the pipeline and the duration in seconds of an attempt.
+fn attempt_measures(
+    request: &Request,
+    attempt: AttemptId,
+    now: Time,
+) -> Option<(String, String, f64)> {
     let found = request.attempts.iter().rev();
     let mut found = found.filter(|a| a.decision.attempt == attempt);
     let found = found.next()?;
@@ -163,7 +175,7 @@
     Some((stage, pipeline, found.actual(now).as_secs_f64()))
 }
 
-const fn ending(end: &AttemptEnd) -> &'static str {
+const fn end_label(end: &AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Completed => "completed",
         AttemptEnd::NotRun { .. } => "not-run",
--- a/router/src/drive/mod.rs
+++ b/router/src/drive/mod.rs
@@ -1,4 +1,4 @@
-//! Drives a request's chain: carries out its actions, feeds it events.
+//! Drives the chain of a request: executes its actions and passes events to it.
 
 mod answer;
 mod ends;
@@ -7,9 +7,9 @@
 mod run;
 mod work;
 
-pub(crate) use answer::Finish;
-pub(crate) use answer::Up;
-pub(crate) use resolve::Once;
+pub(crate) use answer::DriverMessage;
+pub(crate) use answer::RequestResult;
+pub(crate) use resolve::IdempotencyKey;
 pub(crate) use run::Job;
 pub(crate) use run::drive;
-pub(crate) use work::Work;
+pub(crate) use work::PipelineData;
--- a/router/src/drive/record.rs
+++ b/router/src/drive/record.rs
@@ -1,4 +1,4 @@
-//! What a driver notes of its attempts.
+//! State that a driver keeps for its attempts.
 
 use std::time::Duration;
 
@@ -7,38 +7,37 @@
 use snipeyoke_lib::ids::EndpointId;
 use snipeyoke_wire::Call;
 
-use super::work::Taken;
+use super::work::StageOutput;
 use crate::agents::CallHandle;
 
-/// One attempt on its way.
+/// An attempt in flight.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
     pub(super) stage: usize,
     pub(super) role: StageRole,
     pub(super) call: Option<CallHandle>,
-    pub(super) taken: Option<Taken>,
+    pub(super) output: Option<StageOutput>,
     pub(super) output_tokens: u32,
-    /// The call, kept while a missing answer could be resolved by it.
-    pub(super) once: Option<Call>,
+    /// The call, kept so that it can be resent to resolve a missing reply.
+    pub(super) resend: Option<Call>,
 }
 
-/// What the chain has heard once and need not hear again.
+/// Events that the chain has received and must not receive twice.
 ///
-/// The flags behind it stay set: without this a chain that goes on, because a
-/// non-idempotent call still runs, would be told without end and keep the
-/// thread busy.
+/// The flags that trigger them stay set. A chain that continues because a
+/// non-idempotent call still runs would receive the same event in a busy loop.
 #[derive(Debug, Default)]
-pub(super) struct Told {
-    pub(super) gone: bool,
+pub(super) struct Notified {
+    pub(super) caller_gone: bool,
     pub(super) stopped: bool,
 }
 
-/// What an attempt is sent with.
-pub(super) struct Sending {
+/// The parameters of a new attempt.
+pub(super) struct AttemptRequest {
     pub(super) attempt: AttemptId,
     pub(super) stage: usize,
-    pub(super) left: Duration,
+    pub(super) remaining: Duration,
     pub(super) priority: u8,
     pub(super) resume: u32,
 }
--- a/router/src/door/auth.rs
+++ b/router/src/ingress/auth.rs
@@ -1,4 +1,4 @@
-//! The client account behind a bearer key.
+//! Authentication of client accounts by bearer key.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 use snipeyoke_lib::config::KeyDigest;
 use snipeyoke_lib::ids::ClientAccount;
 
-use super::error::DoorError;
+use super::error::IngressError;
 use crate::board::ConfigFact;
 
 /// Returns the key of the `Authorization` header.
@@ -28,19 +28,23 @@
     text.parse().ok()
 }
 
-/// Finds the client account that the request's key names.
+/// Returns the client account that the request's key belongs to.
 ///
-/// The look-up goes by the key's digest, so its time tells nothing about the
-/// key itself.
+/// The look-up is by the digest of the key, so its timing reveals nothing about
+/// the key itself.
 ///
 /// # Errors
 ///
-/// Returns [`DoorError`] if there is no key or no account has it.
+/// Returns [`IngressError`] if the key is missing or belongs to no account.
 pub(crate) fn account(
     headers: &HeaderMap,
     config: &ConfigFact,
-) -> Result<ClientAccount, DoorError> {
-    let key = bearer(headers).ok_or(DoorError::NoKey)?;
-    let digest = digest(key).ok_or(DoorError::BadKey)?;
-    config.keys.get(&digest).cloned().ok_or(DoorError::BadKey)
+) -> Result<ClientAccount, IngressError> {
+    let key = bearer(headers).ok_or(IngressError::NoKey)?;
+    let digest = digest(key).ok_or(IngressError::BadKey)?;
+    config
+        .keys
+        .get(&digest)
+        .cloned()
+        .ok_or(IngressError::BadKey)
 }
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,13 +1,13 @@
-//! The entry process: owns each request until its one outcome.
+//! The entry process: owns each request until its outcome.
 
 mod admission;
 mod agents;
 mod board;
 mod connect;
 mod control;
-mod door;
 mod drive;
 mod follow;
+mod ingress;
 mod members;
 mod node;
 mod outcomes;
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -1,4 +1,4 @@
-//! Carries out what the membership view decides: dials, links, heartbeats.
+//! Executes the actions of the membership view: dials, links, heartbeats.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -33,26 +33,26 @@
 use crate::connect;
 use crate::node::Node;
 
-/// The time between two looks at the host list, which itself lags by more.
-const LIST_EVERY: Duration = Duration::from_secs(1);
+/// The poll interval of the host list, which itself lags by more than that.
+const HOST_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The pause after a failed accept, so that a lack of descriptors can't spin.
+/// The pause after a failed accept, to avoid a busy loop without descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a link's task and the view tell each other.
+/// The state shared between a link's task and the membership view.
 #[derive(Debug, Clone)]
-pub(crate) struct Entry {
+pub(crate) struct LinkEntry {
     pub(crate) link: LinkId,
     pub(crate) peer: NodeId,
     kind: NodeKind,
     pub(crate) sender: LinkSender,
-    /// Set once the view takes the link for the peer's.
+    /// Set once the view accepts this as the peer's current link.
     pub(crate) admitted: Flag,
-    /// Set once the link has to end, after its calls.
+    /// Set once the link must end after its calls in flight.
     pub(crate) retired: Flag,
 }
 
-/// The links of a router and the way to its membership view.
+/// The links of a router and the inbox of its membership view.
 #[derive(Debug)]
 pub(crate) struct Members {
     inbox: Sender<Event>,
@@ -62,31 +62,31 @@
 #[derive(Debug, Default)]
 struct Links {
     next: u64,
-    open: BTreeMap<LinkId, Entry>,
+    open: BTreeMap<LinkId, LinkEntry>,
 }
 
 impl Members {
-    /// Builds the links' side and the view's inbox.
+    /// Creates the links and the receiving end of the view's inbox.
     pub(crate) fn new() -> (Self, Receiver<Event>) {
-        // Unbounded, but each link holds back its own reading by the speed of
-        // its peer's heartbeats, and links are bounded.
+        // Unbounded, but each link sends events only at the rate of its peer's
+        // heartbeats, and the number of links is bounded.
         let (inbox, events) = async_channel::unbounded();
         let links = Mutex::default();
         (Self { inbox, links }, events)
     }
 
-    /// Tells the view; after the view has ended nobody needs to know.
-    pub(crate) fn tell(&self, event: Event) {
+    /// Sends an event to the view; events after its end are dropped.
+    pub(crate) fn notify(&self, event: Event) {
         if self.inbox.try_send(event).is_err() {
             log::debug!(event = "view-ended"; "");
         }
     }
 
-    /// Notes a link on which the peer said hello.
-    pub(crate) fn open(&self, sender: LinkSender, profile: &Profile) -> Entry {
+    /// Adds a link whose peer has sent its hello.
+    pub(crate) fn open(&self, sender: LinkSender, profile: &Profile) -> LinkEntry {
         let mut links = self.links();
         links.next += 1;
-        let entry = Entry {
+        let entry = LinkEntry {
             link: LinkId(links.next),
             peer: profile.node.clone(),
             kind: profile.kind,
@@ -98,7 +98,7 @@
         entry
     }
 
-    /// Forgets a link that has ended.
+    /// Removes a link that has ended.
     pub(crate) fn close(&self, link: LinkId) {
         self.links().open.remove(&link);
     }
@@ -113,7 +113,7 @@
     }
 
     /// Sends a frame to every linked router.
-    pub(crate) fn tell_routers(&self, body: &Body) {
+    pub(crate) fn send_to_routers(&self, body: &Body) {
         let links = self.links();
         let routers = links.open.values().filter(|e| e.kind == NodeKind::Router);
         for entry in routers {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn get(&self, link: LinkId) -> Option<Entry> {
+    fn get(&self, link: LinkId) -> Option<LinkEntry> {
         self.links().open.get(&link).cloned()
     }
 
@@ -132,7 +132,7 @@
     }
 }
 
-/// Runs the view until the router stops.
+/// Runs the membership view until the router stops.
 pub(crate) async fn run(node: Arc<Node>, events: Receiver<Event>) {
     let mut view = View::new(profile(&node), node.incarnation, ViewSettings::default());
     let own = &node.settings;
@@ -144,15 +144,15 @@
             Event::LinkUp { link, profile, .. } => Some((*link, profile.node.clone())),
             _ => None,
         };
-        let mut wake = act(&node, &mut view, event);
+        let mut wake = handle_event(&node, &mut view, event);
         if let Some((link, peer)) = link {
             admit(&node, &view, link, &peer);
         }
         if node.board.drain.is_set() && !draining {
             draining = true;
-            wake = act(&node, &mut view, Event::Draining(true));
+            wake = handle_event(&node, &mut view, Event::Draining(true));
         }
-        let Some(next) = next(&node, &events, wake, draining).await else {
+        let Some(next) = next_event(&node, &events, wake, draining).await else {
             return;
         };
         event = next;
@@ -173,9 +173,14 @@
     }
 }
 
-async fn next(node: &Node, events: &Receiver<Event>, wake: Time, draining: bool) -> Option<Event> {
+async fn next_event(
+    node: &Node,
+    events: &Receiver<Event>,
+    wake: Time,
+    draining: bool,
+) -> Option<Event> {
     let event = async { events.recv().await.ok() };
-    let due = async {
+    let timer = async {
         Timer::after(wake.since(node.clock.now())).await;
         Some(Event::Tick)
     };
@@ -190,18 +195,18 @@
         node.board.stop.wait().await;
         None
     };
-    stopped.or(event).or(drain).or(due).await
+    stopped.or(event).or(drain).or(timer).await
 }
 
-/// Passes an event to the view, carries out the answer, returns when to wake.
-fn act(node: &Arc<Node>, view: &mut View, event: Event) -> Time {
+/// Passes an event to the view, executes its actions, returns the next wake time.
+fn handle_event(node: &Arc<Node>, view: &mut View, event: Event) -> Time {
     let mut wake = Time::NEVER;
     for action in view.handle(node.clock.now(), event) {
         match action {
             Action::Connect { address } => {
-                let owner = Arc::clone(node);
+                let task_node = Arc::clone(node);
                 node.scope
-                    .spawn(async move { connect::dial(owner, address).await });
+                    .spawn(async move { connect::dial(task_node, address).await });
             }
             Action::Disconnect { link, reason } => {
                 log::info!(event = "link-given-up", link = link.0, reason = reason.to_string().as_str(); "");
@@ -209,16 +214,16 @@
                     entry.retired.set();
                 }
             }
-            Action::SendHeartbeat { link, beat } => send(node, link, beat),
+            Action::SendHeartbeat { link, beat } => send_heartbeat(node, link, beat),
             Action::StateChanged {
                 node: peer,
                 from,
                 to,
-            } => note(node, view, &peer, from, to),
+            } => on_state_change(node, view, &peer, from, to),
             Action::HostLeaving(leaving) => {
                 log::warn!(event = "host-leaving", leaving = leaving; "");
                 if leaving {
-                    node.board.leave.set();
+                    node.board.host_leaving.set();
                 }
             }
             Action::WakeAt(at) => wake = at,
@@ -227,7 +232,7 @@
     wake
 }
 
-fn send(node: &Node, link: LinkId, beat: Beat) {
+fn send_heartbeat(node: &Node, link: LinkId, beat: Beat) {
     let config = node.board.config.get();
     let heartbeat = Heartbeat {
         incarnation: beat.incarnation.0,
@@ -247,33 +252,33 @@
 
 fn admit(node: &Node, view: &View, link: LinkId, peer: &NodeId) {
     let member = view.members().get(peer);
-    let taken = member.is_some_and(|m| m.link() == Some(link));
-    if taken && let Some(entry) = node.members.get(link) {
+    let is_current = member.is_some_and(|m| m.link() == Some(link));
+    if is_current && let Some(entry) = node.members.get(link) {
         entry.admitted.set();
     }
 }
 
-/// Logs a change of state and bars or admits the endpoint.
-fn note(node: &Node, view: &View, peer: &NodeId, from: PeerState, to: PeerState) {
+/// Logs a state change and marks the endpoint as reachable or not.
+fn on_state_change(node: &Node, view: &View, peer: &NodeId, from: PeerState, to: PeerState) {
     log::info!(event = "peer-state", peer = peer.as_str(), from = from.to_string().as_str(), to = to.to_string().as_str(); "");
     let Some(member) = view.members().get(peer) else {
         return;
     };
     let profile = &member.profile;
-    node.control.peers.state(node.clock.now(), profile, to);
+    node.control.peers.set_state(node.clock.now(), profile, to);
     let (Some(endpoint), Some(pool)) = (&profile.endpoint, &profile.pool) else {
         return;
     };
     let mut shared = node.shared();
-    // A peer that falls silent is barred at once: the age of its last report
-    // would bar it only after three seconds. One that is alive again on the
-    // same link must be let in, as nothing else would.
+    // A silent peer is excluded at once; the age of its last report would do so
+    // only after 3 s. A peer alive again on the same link must be added back
+    // here, as nothing else does it.
     match (to, member.incarnation()) {
-        (PeerState::Alive, Some(life)) if from != PeerState::Unheard => {
+        (PeerState::Alive, Some(incarnation)) if from != PeerState::Unheard => {
             let (domain, region) = (&profile.domain, &profile.region);
             shared
                 .fleet
-                .upsert(endpoint.clone(), pool.clone(), domain, region, life);
+                .upsert(endpoint.clone(), pool.clone(), domain, region, incarnation);
         }
         (PeerState::Slow, _) if from == PeerState::Alive => shared.fleet.mark_unreachable(endpoint),
         (PeerState::CutOff | PeerState::Dead, _) => shared.fleet.mark_unreachable(endpoint),
@@ -281,8 +286,8 @@
     }
 }
 
-/// Reads the host list until the router stops.
-pub(crate) async fn follow_hosts(node: Arc<Node>, hosts: HttpHosts) {
+/// Polls the host list until the router stops.
+pub(crate) async fn poll_hosts(node: Arc<Node>, hosts: HttpHosts) {
     while !node.board.stop.is_set() {
         let stopped = async {
             node.board.stop.wait().await;
@@ -290,14 +295,14 @@
         };
         let list = hosts.list().or(stopped).await;
         if let Some(list) = &list {
-            node.control.peers.listed(list);
+            node.control.peers.set_hosts(list);
         }
-        // An empty list names nobody and so tells nothing.
+        // An empty list carries no information.
         if let Some(list) = list.filter(|l| !l.is_empty()) {
-            node.members.tell(Event::HostList(list));
+            node.members.notify(Event::HostList(list));
         }
         let pause = async {
-            Timer::after(LIST_EVERY).await;
+            Timer::after(HOST_LIST_INTERVAL).await;
         };
         pause.or(node.board.stop.wait()).await;
     }
@@ -315,9 +320,9 @@
         match accepted.or(&mut stopped).await {
             None => return,
             Some(Ok((stream, _peer))) => {
-                let owner = Arc::clone(&node);
+                let task_node = Arc::clone(&node);
                 node.scope
-                    .spawn(async move { connect::accepted(owner, stream).await });
+                    .spawn(async move { connect::serve_accepted(task_node, stream).await });
             }
             Some(Err(error)) => {
                 log::warn!(event = "accept-failed", error = error.to_string().as_str(), remedy = "raise the descriptor limit"; "");
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -1,4 +1,4 @@
-//! The router as a whole: what it shares, how it starts and leaves.
+//! The router: its shared state, start and shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -54,10 +54,10 @@
 use crate::agents::Agents;
 use crate::board::Board;
 use crate::control::Control;
-use crate::control::Port;
-use crate::door::Door;
-use crate::drive::Finish;
+use crate::control::ControlPort;
+use crate::drive::RequestResult;
 use crate::follow;
+use crate::ingress::Ingress;
 use crate::members;
 use crate::members::Members;
 use crate::outcomes::Outcomes;
@@ -65,22 +65,22 @@
 use crate::settings::Raw;
 use crate::settings::Settings;
 use crate::snapshots;
-use crate::snapshots::Seen;
+use crate::snapshots::LogState;
 
-/// The version of the frames between processes.
-const PROTOCOL: u32 = 1;
+/// The version of the frame protocol between processes.
+const PROTOCOL_VERSION: u32 = 1;
 
-/// The longest time to connect to the platform.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// The time-out for connecting to the platform.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a leaving router still serves, for balancers to see it.
+/// The time a leaving router still serves, so that balancers notice the drain.
 ///
-/// With the refusals after it, new work ends within the 3 s that operators are
-/// promised, and a balancer that looks once a second has looked twice.
-const ASIDE: Duration = Duration::from_secs(2);
+/// A balancer that polls once a second polls twice within it. New requests are
+/// rejected after it, so that they end within the 3 s guaranteed to operators.
+const PRE_DRAIN_WAIT: Duration = Duration::from_secs(2);
 
-/// The pause between two looks at what a drain still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// The poll interval for the work that a drain waits for.
+const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// The reason why a router can't start.
 #[derive(Debug)]
@@ -96,17 +96,17 @@
     },
 }
 
-/// What the tasks of a router share.
+/// The state shared by the tasks of a router.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Raw,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: Clock,
     pub(crate) board: Board,
-    /// The configuration as it is read and passed on.
+    /// The configuration as read and passed on to peers.
     pub(crate) book: Book,
-    /// What was last read of the configuration's topic.
-    pub(crate) log_seen: Fact<Seen>,
+    /// The state of the configuration topic when last read.
+    pub(crate) log_state: Fact<LogState>,
     pub(crate) agents: Agents,
     pub(crate) members: Members,
     pub(crate) admission: Admission,
@@ -114,33 +114,33 @@
     pub(crate) control: Control,
     /// Requests in flight; the parent of their tasks.
     pub(crate) requests: Scope,
-    /// Counted once for each exchange whose answer is not yet sent, besides
-    /// the router's own.
+    /// Its reference count is the number of exchanges whose response is not yet
+    /// sent, plus one for the router itself.
     pub(crate) exchanges: Arc<()>,
-    /// Everything else on the traffic threads.
+    /// All other tasks on the traffic threads.
     pub(crate) scope: Scope,
     shared: Mutex<Shared>,
     slots: Mutex<SlotMap>,
 }
 
 impl Node {
-    /// Locks the state behind the decisions, for one short step.
+    /// Locks the state of routing decisions; hold it only for short steps.
     pub(crate) fn shared(&self) -> MutexGuard<'_, Shared> {
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the map of key slots, for one short step.
+    /// Locks the map of key slots; hold it only for short steps.
     pub(crate) fn slots(&self) -> MutexGuard<'_, SlotMap> {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the endpoint whose agent owns a key slot, as far as known.
+    /// Returns the endpoint whose agent owns a key slot, if known.
     pub(crate) fn owner(&self, pool: &PoolName, slot: KeySlot) -> Option<EndpointId> {
         let slots = self.slots();
         slots.owner(pool, slot).map(|owner| owner.endpoint.clone())
     }
 
-    /// Returns the requests that run, and the answers still being sent.
+    /// Returns the number of requests or responses in flight, whichever is larger.
     pub(crate) fn in_flight(&self) -> usize {
         let sending = Arc::strong_count(&self.exchanges) - 1;
         self.requests.len().max(sending)
@@ -149,7 +149,7 @@
     pub(crate) fn hello(&self) -> Hello {
         let own = &self.settings;
         Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             node: own.node.to_string(),
             kind: NodeKind::Router.into(),
             incarnation: self.incarnation.0,
@@ -162,27 +162,27 @@
         }
     }
 
-    /// Notes the end of a request that was taken on.
-    pub(crate) fn ended(&self, spec: &RequestSpec, finish: &Finish) {
-        let used = Tokens(finish.prompt_tokens + finish.output_tokens);
+    /// Records the end of an admitted request.
+    pub(crate) fn on_request_end(&self, spec: &RequestSpec, result: &RequestResult) {
+        let used = Tokens(result.prompt_tokens + result.output_tokens);
         self.admission.done(self.clock.now(), spec, used);
-        self.settled(spec, finish);
+        self.on_outcome(spec, result);
     }
 
-    /// Notes the outcome of a request.
-    pub(crate) fn settled(&self, spec: &RequestSpec, finish: &Finish) {
-        let reason = finish
+    /// Records the outcome of a request.
+    pub(crate) fn on_outcome(&self, spec: &RequestSpec, result: &RequestResult) {
+        let reason = result
             .reason
             .map_or_else(|| "-".to_owned(), |r| r.to_string());
-        let outcome = finish.outcome.to_string();
+        let outcome = result.outcome.to_string();
         metrics::counter!("snipeyoke_requests_total", "outcome" => outcome.clone(), "reason" => reason.clone()).increment(1);
         log::info!(target: "request", event = "request-ended", request = spec.request.to_string().as_str(), account = spec.account.as_str(), pipeline = spec.name.as_str(), outcome = outcome.as_str(), reason = reason.as_str(); "");
         self.outcomes
-            .note(spec.request, finish.outcome, finish.reason);
+            .finish(spec.request, result.outcome, result.reason);
         let now = self.clock.now();
         self.control
             .records
-            .finish(now, spec.request, finish.outcome, finish.reason);
+            .finish(now, spec.request, result.outcome, result.reason);
     }
 }
 
@@ -203,8 +203,8 @@
     /// Returns [`StartError`] if an address can't be bound.
     pub fn start(settings: Settings, execs: &Execs) -> Result<Self, StartError> {
         let raw = settings.raw;
-        let (listener, callers) = listen(raw.listen.callers)?;
-        let (operators, control_at) = listen(raw.listen.control)?;
+        let (caller_listener, callers) = listen(raw.listen.callers)?;
+        let (control_listener, operators) = listen(raw.listen.control)?;
         let bounds = Bounds {
             head_time: Duration::from_millis(raw.bounds.head_ms),
             conns: raw.bounds.conns,
@@ -213,34 +213,46 @@
         let wrap = |source| StartError::Listen { address, source };
         let peers = http::bind(address).map_err(wrap)?;
         let (members, events) = Members::new();
-        let node = Arc::new(node(raw, execs, members));
+        let node = Arc::new(build_node(raw, execs, members));
         node.scope.spawn(members::accept(Arc::clone(&node), peers));
-        let client = Client::new(node.scope.clone(), CONNECT_LIMIT);
+        let client = Client::new(node.scope.clone(), CONNECT_TIMEOUT);
         let hosts = HttpHosts::new(client.clone(), node.settings.platform);
         let log: Arc<dyn LogStore> = Arc::new(HttpLog::new(client, node.settings.platform));
         let control = Scope::new(Arc::clone(&execs.control));
         control.spawn(members::run(Arc::clone(&node), events));
-        control.spawn(members::follow_hosts(Arc::clone(&node), hosts));
+        control.spawn(members::poll_hosts(Arc::clone(&node), hosts));
         control.spawn(admission::run(Arc::clone(&node)));
         control.spawn(follow::run(Arc::clone(&node), Arc::clone(&log)));
         control.spawn(snapshots::run(Arc::clone(&node), Arc::clone(&log)));
-        let port = Arc::new(Port::new(Arc::clone(&node), log));
-        // Operators look most of all while a router drains, so their port stays
-        // open until it stops.
+        let port = Arc::new(ControlPort::new(Arc::clone(&node), log));
+        // Operators need the port most while a router drains, so it stays open
+        // until the router stops.
         let stop = node.board.stop.clone();
-        let asked = Scope::new(Arc::clone(&execs.control));
-        control.spawn(http::serve(operators, port, bounds, asked, stop));
-        let door = Arc::new(Door::new(Arc::clone(&node)));
+        let operator_conns = Scope::new(Arc::clone(&execs.control));
+        control.spawn(http::serve(
+            control_listener,
+            port,
+            bounds,
+            operator_conns,
+            stop,
+        ));
+        let ingress = Arc::new(Ingress::new(Arc::clone(&node)));
         let conns = Scope::new(Arc::clone(&execs.traffic));
         let drain = node.board.drain.clone();
-        let end = node.board.end.clone();
-        node.scope
-            .spawn(http::serve_until(listener, door, bounds, conns, drain, end));
+        let callers_closed = node.board.callers_closed.clone();
+        node.scope.spawn(http::serve_until(
+            caller_listener,
+            ingress,
+            bounds,
+            conns,
+            drain,
+            callers_closed,
+        ));
         log::info!(event = "router-up", node = node.settings.node.as_str(), callers = callers.to_string().as_str(), incarnation = node.incarnation.0; "");
         Ok(Self {
             node,
             callers,
-            operators: control_at,
+            operators,
             control,
         })
     }
@@ -259,45 +271,46 @@
 
     /// Returns the number of agents that have reported to this router.
     #[must_use]
-    pub fn linked(&self) -> usize {
-        self.node.agents.reported()
+    pub fn reported_agents(&self) -> usize {
+        self.node.agents.reported_count()
     }
 
-    /// Waits until the platform's host list says that this host leaves.
+    /// Waits until the platform's host list marks this host as leaving.
     pub async fn told_to_leave(&self) {
-        self.node.board.leave.wait().await;
+        self.node.board.host_leaving.wait().await;
     }
 
-    /// Drains as at SIGTERM.
+    /// Drains as on SIGTERM.
     pub async fn leave(&self) {
         self.drain(Source::Signal).await;
     }
 
-    /// Drains: steps aside, takes nothing new, finishes what runs, and ends.
+    /// Drains: reports not ready, rejects new requests, finishes the running
+    /// ones, and stops.
     ///
-    /// For `ASIDE` it still serves while `/readyz` says no, so that the
-    /// platform's balancer has gone elsewhere before the first refusal.
+    /// It serves for `PRE_DRAIN_WAIT` with `/readyz` failing, so that the
+    /// platform's balancer sends requests elsewhere before the first rejection.
     pub async fn drain(&self, source: Source) {
         let board = &self.node.board;
-        board.aside.set();
+        board.pre_drain.set();
         log::info!(event = "drain-begins", source = source.to_string().as_str(), requests = self.node.requests.len(); "");
-        Timer::after(ASIDE).await;
+        Timer::after(PRE_DRAIN_WAIT).await;
         let mut drain = Drain::new(DrainSettings::default());
         let mut actions = drain.begin(self.node.clock.now(), source, true);
         while drain.phase() != Phase::Done {
-            self.carry(&actions);
-            Timer::after(DRAIN_LOOK).await;
+            self.execute(&actions);
+            Timer::after(DRAIN_POLL).await;
             let held = DrainBlockers {
                 calls: self.node.in_flight(),
                 ..DrainBlockers::default()
             };
             actions = drain.update(self.node.clock.now(), held);
         }
-        self.carry(&actions);
+        self.execute(&actions);
         self.stop().await;
     }
 
-    fn carry(&self, actions: &[DrainAction]) {
+    fn execute(&self, actions: &[DrainAction]) {
         for action in actions {
             match action {
                 DrainAction::Stop => self.node.board.drain.set(),
@@ -313,8 +326,8 @@
                 DrainAction::Report { held, overdue } => {
                     log::warn!(event = "drain-held", held = held.to_string().as_str(), overdue = overdue; "");
                 }
-                // A router holds no lease, and its requests end by their own
-                // deadlines; leaving is the caller's next step.
+                // A router holds no lease, and its requests end at their own
+                // deadlines. The caller of this function exits.
                 DrainAction::Move
                 | DrainAction::HandOver
                 | DrainAction::Resume
@@ -323,11 +336,11 @@
         }
     }
 
-    /// Stops at once, cutting off what runs.
+    /// Stops at once and aborts running requests.
     pub async fn stop(&self) {
-        self.node.board.aside.set();
+        self.node.board.pre_drain.set();
         self.node.board.drain.set();
-        self.node.board.end.set();
+        self.node.board.callers_closed.set();
         self.node.board.stop.set();
         self.control.cancel_later().await;
         self.node.scope.cancel_later().await;
@@ -343,8 +356,8 @@
     Ok((listener, bound))
 }
 
-fn node(raw: Raw, execs: &Execs, members: Members) -> Node {
-    let home = RouterLocation {
+fn build_node(raw: Raw, execs: &Execs, members: Members) -> Node {
+    let location = RouterLocation {
         domain: raw.domain.clone(),
         region: raw.region.clone(),
     };
@@ -359,7 +372,7 @@
         clock: Clock::start(),
         board: Board::new(),
         book: Book::default(),
-        log_seen: Fact::new(Seen::default()),
+        log_state: Fact::new(LogState::default()),
         agents: Agents::default(),
         members,
         admission: Admission::new(Time::ZERO, raw.routers.len() + 1),
@@ -368,7 +381,7 @@
         requests: Scope::new(Arc::clone(&execs.traffic)),
         exchanges: Arc::default(),
         scope: Scope::new(Arc::clone(&execs.traffic)),
-        shared: Mutex::new(Shared::new(home, policy, incarnation.0)),
+        shared: Mutex::new(Shared::new(location, policy, incarnation.0)),
         slots: Mutex::default(),
         settings: raw,
     }
