--- a/agent/src/endpoint.rs
+++ b/agent/src/endpoint.rs
@@ -128,7 +128,7 @@
         }
         match collect(response.into_body(), ANSWER_MAX).await {
             Ok(body) => {
-                self.client.keep(kept);
+                self.client.recycle(kept);
                 let usage = serde_json::from_slice::<UsageBody>(&body)
                     .unwrap_or_default()
                     .usage;
@@ -154,7 +154,7 @@
         let (response, kept) = self.client.send(self.address, request).await.ok()?;
         let status = response.status();
         if collect(response.into_body(), ANSWER_MAX).await.is_ok() {
-            self.client.keep(kept);
+            self.client.recycle(kept);
         }
         Some(status)
     }
@@ -167,7 +167,7 @@
             return None;
         }
         let body = collect(response.into_body(), ANSWER_MAX).await.ok()?;
-        self.client.keep(kept);
+        self.client.recycle(kept);
         Some(body)
     }
 }
--- a/agent/src/node.rs
+++ b/agent/src/node.rs
@@ -23,9 +23,8 @@
 use snipeyoke_lib::lease::LeaseHolder;
 use snipeyoke_lib::placement;
 use snipeyoke_lib::time::Time;
-use snipeyoke_runtime::board::Fact;
-use snipeyoke_runtime::book::Book;
 use snipeyoke_runtime::clock::Clock;
+use snipeyoke_runtime::config_store::ConfigStore;
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_runtime::http;
 use snipeyoke_runtime::http::Client;
@@ -34,6 +33,7 @@
 use snipeyoke_runtime::platform::HttpLog;
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_runtime::threads::Execs;
+use snipeyoke_runtime::watched::WatchedValue;
 use snipeyoke_wire::Goodbye;
 use snipeyoke_wire::Heartbeat;
 use snipeyoke_wire::Hello;
@@ -88,9 +88,9 @@
     pub(crate) endpoint: Endpoint,
     /// The owner of key slots, beside a plain service and with a platform.
     pub(crate) owner: Option<Arc<Owner>>,
-    pub(crate) seen: Fact<Seen>,
+    pub(crate) seen: WatchedValue<Seen>,
     /// The configuration, kept for routers that lack it.
-    pub(crate) book: Book,
+    pub(crate) config_store: ConfigStore,
     pub(crate) drain: Flag,
     pub(crate) stop: Flag,
     /// Set once the platform's host list says that the host leaves.
@@ -266,8 +266,8 @@
             owner,
             gate: Gate::new(room, drain.clone()),
             endpoint: Endpoint::new(client, raw.endpoint.address),
-            seen: Fact::new(Seen::default()),
-            book: Book::default(),
+            seen: WatchedValue::new(Seen::default()),
+            config_store: ConfigStore::default(),
             settings: raw,
             drain,
             stop: Flag::default(),
@@ -301,7 +301,7 @@
     }
 
     /// Waits until the platform's host list says that this host leaves.
-    pub async fn told_to_leave(&self) {
+    pub async fn leave_requested(&self) {
         self.node.leave.wait().await;
     }
 
@@ -379,7 +379,7 @@
     /// Stops at once, cutting off what runs.
     pub async fn stop(&self) {
         self.node.stop.set();
-        self.node.scope.cancel_later().await;
+        self.node.scope.cancel_after_grace().await;
         log::info!(event = "agent-down", node = self.node.settings.node.as_str(); "");
     }
 }
--- a/agent/src/peers.rs
+++ b/agent/src/peers.rs
@@ -124,14 +124,14 @@
                 .spawn(async move { orders::run(owner, link, order).await });
         }
         Body::ConfigAsk(ask) => {
-            for offer in node.book.offer(Offset(ask.have)) {
+            for offer in node.config_store.offers_since(Offset(ask.have)) {
                 pass_on(sender, Body::ConfigOffer(offer));
             }
         }
         Body::ConfigOffer(offer) => {
             let now = node.clock.now();
-            if node.book.take(now, &offer, |_, _, _| {}).gap
-                && let Some(ask) = node.book.ask(now)
+            if node.config_store.apply_offer(now, &offer, |_, _, _| {}).gap
+                && let Some(ask) = node.config_store.request(now)
             {
                 pass_on(sender, Body::ConfigAsk(ask));
             }
--- a/agent/src/program.rs
+++ b/agent/src/program.rs
@@ -26,8 +26,8 @@
         Self::start(settings, execs)
     }
 
-    async fn told_to_leave(&self) {
-        Self::told_to_leave(self).await;
+    async fn leave_requested(&self) {
+        Self::leave_requested(self).await;
     }
 
     async fn drain(&self, source: Source) {
--- a/agent/src/report.rs
+++ b/agent/src/report.rs
@@ -145,7 +145,7 @@
 /// Builds a heartbeat with the load at this moment.
 pub(crate) fn frame(node: &Node, seq: u64) -> Heartbeat {
     let config = {
-        let fold = node.book.fold();
+        let fold = node.config_store.fold();
         (fold.next(), fold.revision())
     };
     Heartbeat {
--- a/cli/src/router.rs
+++ b/cli/src/router.rs
@@ -129,7 +129,7 @@
         }
         let body = collect(response.into_body(), ANSWER_MAX).await;
         let body = body.map_err(|error| unanswered(&error))?;
-        self.client.keep(kept);
+        self.client.recycle(kept);
         let text = std::str::from_utf8(&body).map_err(|error| unanswered(&error))?;
         let lines = Line::read(text).map_err(|error| unanswered(&error))?;
         // An answer that broke off would pass for one with fewer rows, and the
--- a/demo/src/ask.rs
+++ b/demo/src/ask.rs
@@ -112,7 +112,7 @@
             println!("{}: the answer broke off", self.kind);
             return None;
         };
-        client.keep(kept);
+        client.recycle(kept);
         let text = String::from_utf8_lossy(&body).into_owned();
         Some(Seen {
             status,
--- a/demo/src/main.rs
+++ b/demo/src/main.rs
@@ -15,7 +15,7 @@
 use snipeyoke_runtime::logs::Output;
 use snipeyoke_runtime::measures;
 use snipeyoke_runtime::scope::Scope;
-use snipeyoke_runtime::signals::Leave;
+use snipeyoke_runtime::signals::ShutdownSignals;
 use snipeyoke_runtime::threads::Threads;
 use snipeyoke_site::OPERATOR_KEY;
 use snipeyoke_site::Plan;
@@ -57,7 +57,7 @@
 fn run(args: &Args) -> Result<bool, Box<dyn std::error::Error>> {
     logs::install(&args.log, Output::Stderr)?;
     measures::install();
-    let mut leave = Leave::register()?;
+    let mut leave = ShutdownSignals::register()?;
     let threads = Threads::start(TRAFFIC_COUNT)?;
     let good = future::block_on(async {
         let print = Site::start(&vestlandsprint(), &threads.execs()).await?;
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -127,7 +127,7 @@
 }
 
 fn enable_keepalive(stream: &Async<std::net::TcpStream>) -> io::Result<()> {
-    link::prepare(stream, UNACKED_MAX)?;
+    link::set_socket_options(stream, UNACKED_MAX)?;
     let socket = stream.get_ref();
     sockopt::set_socket_keepalive(socket, true)?;
     sockopt::set_tcp_keepidle(socket, KEEPALIVE_IDLE)?;
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -157,7 +157,7 @@
     fn serve_callers(&self, listener: Async<TcpListener>) {
         let ingress = Arc::new(Ingress(Arc::clone(&self.shared)));
         let bounds = Bounds {
-            head_time: HEAD_TIMEOUT,
+            head_timeout: HEAD_TIMEOUT,
             conns: CALLER_CONNS_MAX,
         };
         let scope = self.conns.clone();
@@ -172,7 +172,7 @@
 
     fn serve_http(&self, listener: Async<TcpListener>, handler: Arc<dyn Handler>) {
         let bounds = Bounds {
-            head_time: HEAD_TIMEOUT,
+            head_timeout: HEAD_TIMEOUT,
             conns: 64,
         };
         let scope = Scope::new(self.control.exec());
@@ -241,7 +241,11 @@
         log::info!(event = "stopped", running, took_ms = self.shared.now().since(started_at).as_millis() as u64; "");
         self.callers.cancel().await;
         self.conns.cancel().await;
-        future::zip(self.stages.cancel_later(), self.control.cancel_later()).await;
+        future::zip(
+            self.stages.cancel_after_grace(),
+            self.control.cancel_after_grace(),
+        )
+        .await;
     }
 
     async fn sleep_until(&self, at: Time) {
--- a/gateway/src/program.rs
+++ b/gateway/src/program.rs
@@ -60,7 +60,7 @@
         self.gateway.reload(&settings);
     }
 
-    async fn told_to_leave(&self) {
+    async fn leave_requested(&self) {
         future::pending::<()>().await;
     }
 
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -25,10 +25,10 @@
 use snipeyoke_lib::serving::replica::Replica;
 use snipeyoke_lib::serving::shutdown::Shutdown;
 use snipeyoke_lib::time::Time;
-use snipeyoke_runtime::board::Fact;
 use snipeyoke_runtime::clock::Clock;
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_runtime::threads::Exec;
+use snipeyoke_runtime::watched::WatchedValue;
 
 use crate::dialect::Dialect;
 use crate::dispatch::Dispatcher;
@@ -56,7 +56,7 @@
     pub(crate) traffic: Exec,
     pub(crate) dispatcher: Dispatcher,
     /// The configuration in force; `None` until one is known.
-    pub(crate) catalog: Fact<Option<Arc<Catalog>>>,
+    pub(crate) catalog: WatchedValue<Option<Arc<Catalog>>>,
     /// Notifies tasks that wait for an endpoint.
     pub(crate) endpoints_changed: Event,
     /// Notifies that the registry responds again after an outage.
@@ -116,7 +116,7 @@
             replicas: Mutex::default(),
             polling: Mutex::new(RegistryPolling::new(settings.change, settings.notice)),
             catch_up: Mutex::new(CatchUp::new(settings.listen.peers)),
-            catalog: Fact::new(None),
+            catalog: WatchedValue::new(None),
             endpoints_changed: Event::new(),
             registry_regained: Event::new(),
             must_relist: AtomicBool::new(false),
--- a/gateway/src/stream.rs
+++ b/gateway/src/stream.rs
@@ -4,9 +4,9 @@
 use futures_util::stream;
 use hyper::StatusCode;
 use snipeyoke_lib::serving::events::EventAssembler;
-use snipeyoke_runtime::http::Cut;
+use snipeyoke_runtime::http::BodyAborted;
 use snipeyoke_runtime::http::Reply;
-use snipeyoke_runtime::http::cuttable;
+use snipeyoke_runtime::http::abortable;
 use snipeyoke_runtime::http::full;
 
 use crate::attempt::OpenResponse;
@@ -46,7 +46,7 @@
             reply(
                 status,
                 headers,
-                cuttable(stream::unfold(active, ActiveStream::next_chunk)),
+                abortable(stream::unfold(active, ActiveStream::next_chunk)),
             )
         }
         StreamStart::Failed(head, bytes) => relay(ctx, head, full(bytes)),
@@ -115,7 +115,7 @@
 
 impl ActiveStream {
     /// Returns the next complete events from the current endpoint.
-    async fn next_chunk(mut self) -> Option<(Result<Bytes, Cut>, Self)> {
+    async fn next_chunk(mut self) -> Option<(Result<Bytes, BodyAborted>, Self)> {
         loop {
             let Some(response) = &mut self.response else {
                 return None;
@@ -123,7 +123,7 @@
             let why = match self.ctx.before_deadline(response.call.next()).await {
                 None => {
                     self.finish("timeout");
-                    return Some((Err(Cut), self));
+                    return Some((Err(BodyAborted), self));
                 }
                 Some(Ok(Some(bytes))) => match self.events.push(&bytes) {
                     Ok(out) if out.is_empty() => continue,
@@ -146,7 +146,7 @@
             };
             if !self.resume(&why).await {
                 self.finish("cut");
-                return Some((Err(Cut), self));
+                return Some((Err(BodyAborted), self));
             }
         }
     }
--- a/gateway/src/unary.rs
+++ b/gateway/src/unary.rs
@@ -6,10 +6,10 @@
 use bytes::BytesMut;
 use futures_util::stream;
 use hyper::StatusCode;
-use snipeyoke_runtime::http::Cut;
+use snipeyoke_runtime::http::BodyAborted;
 use snipeyoke_runtime::http::Reply;
 use snipeyoke_runtime::http::ReplyBody;
-use snipeyoke_runtime::http::cuttable;
+use snipeyoke_runtime::http::abortable;
 use snipeyoke_runtime::http::full;
 
 use crate::attempt::OpenResponse;
@@ -162,9 +162,9 @@
                     report_break(&ctx, &mut rest.flight);
                 }
                 ctx.set_outcome(status, "cut");
-                Some((Err(Cut), None))
+                Some((Err(BodyAborted), None))
             }
         }
     });
-    reply(status, headers, cuttable(chunks))
+    reply(status, headers, abortable(chunks))
 }
--- a/load/src/chaos/caller.rs
+++ b/load/src/chaos/caller.rs
@@ -150,7 +150,7 @@
         let Ok(body) = collect(response.into_body(), 1 << 20).await else {
             return Seen::Nothing;
         };
-        self.client.keep(kept);
+        self.client.recycle(kept);
         match outcome.as_str() {
             "completed" => Seen::Completed(body),
             "not-run" => Seen::NotRun,
--- a/load/src/drive/caller.rs
+++ b/load/src/drive/caller.rs
@@ -129,7 +129,7 @@
         let (response, kept) = self.client.send(address, request).await.ok()?;
         let read = read(response).await;
         if read.body.is_some() {
-            self.client.keep(kept);
+            self.client.recycle(kept);
         }
         Some(read)
     }
--- a/load/src/drive/faults.rs
+++ b/load/src/drive/faults.rs
@@ -177,7 +177,7 @@
         let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
             return Err(malformed);
         };
-        self.client.keep(kept);
+        self.client.recycle(kept);
         serde_json::from_slice(&body).map_err(|_no_json| malformed)
     }
 }
--- a/load/src/overhead/mod.rs
+++ b/load/src/overhead/mod.rs
@@ -216,7 +216,7 @@
         let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
             return Bytes::new();
         };
-        self.client.keep(kept);
+        self.client.recycle(kept);
         body
     }
 
--- a/router/src/board.rs
+++ b/router/src/board.rs
@@ -7,8 +7,8 @@
 use snipeyoke_lib::config::KeyDigest;
 use snipeyoke_lib::ids::ClientAccount;
 use snipeyoke_lib::ids::Revision;
-use snipeyoke_runtime::board::Fact;
 use snipeyoke_runtime::flag::Flag;
+use snipeyoke_runtime::watched::WatchedValue;
 
 /// The configuration in force, with what is derived from it.
 #[derive(Debug, Clone, Default)]
@@ -43,7 +43,7 @@
 /// The typed board of a router.
 #[derive(Debug)]
 pub(crate) struct Board {
-    pub(crate) config: Fact<ConfigFact>,
+    pub(crate) config: WatchedValue<ConfigFact>,
     /// Set once the router has met its endpoints.
     pub(crate) met: Flag,
     /// Set once the router asks to be passed over, while it still serves.
@@ -61,7 +61,7 @@
 impl Board {
     pub(crate) fn new() -> Self {
         Self {
-            config: Fact::new(ConfigFact::default()),
+            config: WatchedValue::new(ConfigFact::default()),
             met: Flag::default(),
             aside: Flag::default(),
             drain: Flag::default(),
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -434,7 +434,7 @@
         }
         Body::Told(told) => link.on_told(told),
         Body::ConfigAsk(ask) => {
-            for offer in node.book.offer(Offset(ask.have)) {
+            for offer in node.book.offers_since(Offset(ask.have)) {
                 link.pass_on(Body::ConfigOffer(offer));
             }
         }
--- a/router/src/door/mod.rs
+++ b/router/src/door/mod.rs
@@ -22,7 +22,7 @@
 use snipeyoke_runtime::http::Reply;
 use snipeyoke_runtime::http::Request;
 use snipeyoke_runtime::http::full;
-use snipeyoke_runtime::http::holding;
+use snipeyoke_runtime::http::with_guard;
 use snipeyoke_runtime::measures;
 use uuid::Uuid;
 
@@ -124,7 +124,7 @@
         let token = Arc::clone(&self.node.exchanges);
         Box::pin(async move {
             let reply = self.answer(request).await;
-            reply.map(|body| holding(body, token))
+            reply.map(|body| with_guard(body, token))
         })
     }
 }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -170,13 +170,13 @@
         ask(node, link);
         return;
     }
-    for offer in node.book.push(theirs) {
+    for offer in node.book.announce(theirs) {
         link.pass_on(Body::ConfigOffer(offer));
     }
 }
 
 fn ask(node: &Node, link: &AgentLink) {
-    if let Some(ask) = node.book.ask(node.clock.now()) {
+    if let Some(ask) = node.book.request(node.clock.now()) {
         link.pass_on(Body::ConfigAsk(ask));
     }
 }
@@ -184,7 +184,7 @@
 /// Takes what a peer offers.
 pub(crate) fn offered(node: &Node, link: &AgentLink, offer: &ConfigOffer) {
     let now = node.clock.now();
-    let taken = node.book.take(now, offer, |fold, offset, applied| {
+    let taken = node.book.apply_offer(now, offer, |fold, offset, applied| {
         note(node, fold, offset, applied);
     });
     if taken.gap {
@@ -195,7 +195,7 @@
         log::info!(event = "config-from-peer", next = fold.next().0, revision = fold.revision().0; "");
         put_in_force(node, &fold);
     }
-    for (bytes, applied) in &taken.read {
+    for (bytes, applied) in &taken.applied {
         node.control.waiters.tell(bytes, applied);
     }
 }
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -34,9 +34,8 @@
 use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Tokens;
-use snipeyoke_runtime::board::Fact;
-use snipeyoke_runtime::book::Book;
 use snipeyoke_runtime::clock::Clock;
+use snipeyoke_runtime::config_store::ConfigStore;
 use snipeyoke_runtime::http;
 use snipeyoke_runtime::http::Bounds;
 use snipeyoke_runtime::http::Client;
@@ -44,6 +43,7 @@
 use snipeyoke_runtime::platform::HttpLog;
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_runtime::threads::Execs;
+use snipeyoke_runtime::watched::WatchedValue;
 use snipeyoke_wire::Goodbye;
 use snipeyoke_wire::Hello;
 use snipeyoke_wire::NodeKind;
@@ -104,9 +104,9 @@
     pub(crate) clock: Clock,
     pub(crate) board: Board,
     /// The configuration as it is read and passed on.
-    pub(crate) book: Book,
+    pub(crate) book: ConfigStore,
     /// What was last read of the configuration's topic.
-    pub(crate) log_seen: Fact<Seen>,
+    pub(crate) log_seen: WatchedValue<Seen>,
     pub(crate) agents: Agents,
     pub(crate) members: Members,
     pub(crate) admission: Admission,
@@ -206,7 +206,7 @@
         let (listener, callers) = listen(raw.listen.callers)?;
         let (operators, control_at) = listen(raw.listen.control)?;
         let bounds = Bounds {
-            head_time: Duration::from_millis(raw.bounds.head_ms),
+            head_timeout: Duration::from_millis(raw.bounds.head_ms),
             conns: raw.bounds.conns,
         };
         let address = raw.listen.peers;
@@ -264,7 +264,7 @@
     }
 
     /// Waits until the platform's host list says that this host leaves.
-    pub async fn told_to_leave(&self) {
+    pub async fn leave_requested(&self) {
         self.node.board.leave.wait().await;
     }
 
@@ -329,8 +329,8 @@
         self.node.board.drain.set();
         self.node.board.end.set();
         self.node.board.stop.set();
-        self.control.cancel_later().await;
-        self.node.scope.cancel_later().await;
+        self.control.cancel_after_grace().await;
+        self.node.scope.cancel_after_grace().await;
         self.node.requests.cancel().await;
         log::info!(event = "router-down", node = self.node.settings.node.as_str(); "");
     }
@@ -358,8 +358,8 @@
         incarnation,
         clock: Clock::start(),
         board: Board::new(),
-        book: Book::default(),
-        log_seen: Fact::new(Seen::default()),
+        book: ConfigStore::default(),
+        log_seen: WatchedValue::new(Seen::default()),
         agents: Agents::default(),
         members,
         admission: Admission::new(Time::ZERO, raw.routers.len() + 1),
--- a/runtime/src/book.rs
+++ b/runtime/src/config_store.rs
@@ -23,19 +23,19 @@
 ///
 /// A part of 192 KiB takes 0.16 s over a link of 10 Mbit/s, and a change has 4 s
 /// to be in force everywhere.
-pub const ASK_STALL: Duration = Duration::from_secs(1);
+pub const REQUEST_STALL: Duration = Duration::from_secs(1);
 
 /// The most bytes that are offered to a process that has not asked.
 ///
 /// All routers of an agent see in the same half second that it lacks a change.
 /// At 340 of them 4 KiB each are a megabyte; a change has some hundred bytes.
-pub const PUSH_MAX: usize = 4 << 10;
+pub const PUSH_MAX_BYTES: usize = 4 << 10;
 
 /// What came of an offer.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct OfferOutcome {
     /// The records that were new, each with what it did.
-    pub read: Vec<(Bytes, Applied)>,
+    pub applied: Vec<(Bytes, Applied)>,
     /// Whether the configuration in force is another one now.
     pub changed: bool,
     /// Whether the offer leaves a gap: ask its sender, if it is time to ask.
@@ -48,7 +48,7 @@
 /// links that there are anyway. An agent keeps the book for the sake of
 /// routers that start while the log is away.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct ConfigStore {
     fold: Mutex<Fold>,
     asked: Mutex<Option<Asked>>,
 }
@@ -61,7 +61,7 @@
     moved: Time,
 }
 
-impl Book {
+impl ConfigStore {
     /// Locks the fold, for one short step.
     pub fn fold(&self) -> MutexGuard<'_, Fold> {
         self.fold.lock().unwrap_or_else(PoisonError::into_inner)
@@ -79,10 +79,10 @@
     /// links to hundreds of agents, which all have more: asked together, each
     /// sends the whole state, and the copies fill the link on which the first
     /// one has to come.
-    pub fn ask(&self, now: Time) -> Option<ConfigAsk> {
+    pub fn request(&self, now: Time) -> Option<ConfigAsk> {
         let have = self.next();
         let mut asked = self.asked();
-        let comes = |a: Asked| a.have == have && now.since(a.moved) < ASK_STALL;
+        let comes = |a: Asked| a.have == have && now.since(a.moved) < REQUEST_STALL;
         if asked.is_some_and(comes) {
             return None;
         }
@@ -95,7 +95,7 @@
     /// Small changes themselves; else only word of what there is, so that it
     /// asks one of those who have it.
     #[must_use]
-    pub fn push(&self, have: Offset) -> Vec<ConfigOffer> {
+    pub fn announce(&self, have: Offset) -> Vec<ConfigOffer> {
         let fold = self.fold();
         let next = fold.next();
         if have >= next {
@@ -103,7 +103,7 @@
         }
         let records = fold.since(have).unwrap_or_default();
         let bytes: usize = records.iter().map(Vec::len).sum();
-        if records.is_empty() || bytes > PUSH_MAX {
+        if records.is_empty() || bytes > PUSH_MAX_BYTES {
             return vec![ConfigOffer {
                 next: next.0,
                 records: Vec::new(),
@@ -122,7 +122,7 @@
     /// lost leaves a gap or an incomplete snapshot, and all are sent again
     /// when the other process next tells what it has.
     #[must_use]
-    pub fn offer(&self, have: Offset) -> Vec<ConfigOffer> {
+    pub fn offers_since(&self, have: Offset) -> Vec<ConfigOffer> {
         let fold = self.fold();
         if have >= fold.next() {
             return Vec::new();
@@ -140,15 +140,15 @@
     ///
     /// A lower offer has no effect: see [`Fold::adopt`]. `note` is shown each
     /// record that was new, and the state after it.
-    pub fn take(
+    pub fn apply_offer(
         &self,
         now: Time,
         offer: &ConfigOffer,
         mut note: impl FnMut(&Fold, Offset, &Applied),
-    ) -> Taken {
+    ) -> OfferOutcome {
         let mut fold = self.fold();
         let before = fold.revision();
-        let mut taken = Taken::default();
+        let mut taken = OfferOutcome::default();
         // All links of a process that starts offer it the same: what is left
         // of it once the first is taken is not even parsed.
         if offer.next <= fold.next().0 {
@@ -184,7 +184,7 @@
                 }
                 applied => {
                     note(&fold, offset, &applied);
-                    taken.read.push((bytes.clone(), applied));
+                    taken.applied.push((bytes.clone(), applied));
                 }
             }
         }
--- a/runtime/src/http/body.rs
+++ b/runtime/src/http/body.rs
@@ -23,7 +23,7 @@
 use hyper::body::SizeHint;
 
 /// The body of a reply.
-pub type ReplyBody = UnsyncBoxBody<Bytes, Cut>;
+pub type ReplyBody = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// Ends a body early: the connection is closed without the rest.
 ///
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("the answer can't be completed: send the request again")]
-pub struct Cut;
+pub struct BodyAborted;
 
 /// The reason why a body can't be read.
 #[derive(Debug)]
@@ -75,17 +75,19 @@
 /// The stream is dropped when the caller's connection closes.
 #[must_use]
 pub fn streamed(pieces: impl Stream<Item = Bytes> + Send + 'static) -> ReplyBody {
-    cuttable(pieces.map(Ok))
+    abortable(pieces.map(Ok))
 }
 
 /// Returns a body whose pieces come one by one, and which may be cut.
 #[must_use]
-pub fn cuttable(pieces: impl Stream<Item = Result<Bytes, Cut>> + Send + 'static) -> ReplyBody {
+pub fn abortable(
+    pieces: impl Stream<Item = Result<Bytes, BodyAborted>> + Send + 'static,
+) -> ReplyBody {
     let frames = pieces.map(|piece| piece.map(Frame::data));
     StreamBody::new(frames).boxed_unsync()
 }
 
-fn never(error: Infallible) -> Cut {
+fn never(error: Infallible) -> BodyAborted {
     match error {}
 }
 
@@ -95,7 +97,7 @@
 ///
 /// Returns [`BodyError`] if it is larger or its connection fails.
 pub async fn collect(body: Incoming, max: usize) -> Result<Bytes, BodyError> {
-    collect_noting(body, max, |_bytes| ()).await
+    collect_with_progress(body, max, |_bytes| ()).await
 }
 
 /// Reads a whole body and tells the bytes of each frame as it comes.
@@ -104,7 +106,7 @@
 ///
 /// Returns [`BodyError`] if it is larger than `max` bytes or its connection
 /// fails.
-pub async fn collect_noting(
+pub async fn collect_with_progress(
     body: Incoming,
     max: usize,
     mut note: impl FnMut(usize),
@@ -125,7 +127,7 @@
 
 /// Returns the same body, which drops `token` once it was sent or given up.
 #[must_use]
-pub fn holding(body: ReplyBody, token: impl Send + 'static) -> ReplyBody {
+pub fn with_guard(body: ReplyBody, token: impl Send + 'static) -> ReplyBody {
     let token = Box::new(token);
     Holding {
         body,
@@ -142,12 +144,12 @@
 
 impl<T> Body for Holding<T> {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
--- a/runtime/src/http/client.rs
+++ b/runtime/src/http/client.rs
@@ -17,9 +17,9 @@
 use hyper::client::conn::http1::SendRequest;
 use smol_hyper::rt::FuturesIo;
 
-use crate::link::UNHEARD_MAX;
+use crate::link::UNACKED_MAX;
 use crate::link::connect;
-use crate::link::prepare;
+use crate::link::set_socket_options;
 use crate::scope::Scope;
 
 /// A response whose body is still to be read.
@@ -77,7 +77,7 @@
     /// Sends a request and returns the head of its response.
     ///
     /// The connection is used again once the body has been read to its end and
-    /// [`Client::keep`] was given the sender back; a dropped future closes it,
+    /// [`Client::recycle`] was given the sender back; a dropped future closes it,
     /// which cancels the request at the other side.
     ///
     /// # Errors
@@ -87,7 +87,7 @@
         &self,
         address: SocketAddr,
         mut request: hyper::Request<Full<Bytes>>,
-    ) -> Result<(Response, Kept), ClientError> {
+    ) -> Result<(Response, PooledConn), ClientError> {
         set_host(&mut request, address);
         loop {
             let Some(mut sender) = self.take(address) else {
@@ -97,7 +97,7 @@
                 continue;
             }
             match sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, Kept { sender, address })),
+                Ok(response) => return Ok((response, PooledConn { sender, address })),
                 Err(mut error) => match error.take_message() {
                     // The idle connection had closed: the request comes back
                     // unsent, so another connection may carry it.
@@ -108,7 +108,7 @@
         }
         let mut sender = self.fresh(address).await?;
         match sender.try_send_request(request).await {
-            Ok(response) => Ok((response, Kept { sender, address })),
+            Ok(response) => Ok((response, PooledConn { sender, address })),
             Err(mut error) => match error.take_message() {
                 Some(_unsent) => Err(ClientError::NotSent(error.into_error())),
                 None => Err(ClientError::Sent(error.into_error())),
@@ -117,7 +117,7 @@
     }
 
     /// Keeps a connection whose response has been read to its end.
-    pub fn keep(&self, kept: Kept) {
+    pub fn recycle(&self, kept: PooledConn) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let conns = idle.entry(kept.address).or_default();
         if conns.len() < IDLE_MAX && !kept.sender.is_closed() {
@@ -140,7 +140,7 @@
         let stream = connect(address, self.limit)
             .await
             .map_err(ClientError::Connect)?;
-        prepare(&stream, UNHEARD_MAX).map_err(ClientError::Connect)?;
+        set_socket_options(&stream, UNACKED_MAX).map_err(ClientError::Connect)?;
         let (sender, conn) = http1::handshake(FuturesIo::new(stream))
             .await
             .map_err(ClientError::NotSent)?;
@@ -155,7 +155,7 @@
 
 /// A connection in use, to be kept after its response was read.
 #[derive(Debug)]
-pub struct Kept {
+pub struct PooledConn {
     sender: Sender,
     address: SocketAddr,
 }
--- a/runtime/src/http/server.rs
+++ b/runtime/src/http/server.rs
@@ -22,7 +22,7 @@
 
 use super::body::ReplyBody;
 use crate::flag::Flag;
-use crate::link::prepare;
+use crate::link::set_socket_options;
 use crate::scope::Scope;
 
 /// A request as the server hands it over.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// The longest time for the head of a request; also for an idle connection.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// The most connections at once.
     pub conns: usize,
 }
@@ -51,7 +51,7 @@
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            head_time: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(30),
             conns: 3_500,
         }
     }
@@ -173,7 +173,7 @@
 ) {
     // A caller's phone may be out of reach for longer than a host ever is; what
     // an idle caller may take is also the bound for one who is away.
-    if prepare(&stream, bounds.head_time).is_err() {
+    if set_socket_options(&stream, bounds.head_timeout).is_err() {
         return;
     }
     let used = Flag::default();
@@ -182,14 +182,14 @@
         let handler = Arc::clone(&handler);
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
-    let head_time = match life {
-        Life::Kept(_) => bounds.head_time,
-        Life::OneRequest => bounds.head_time.min(LAST_HEAD_TIME),
+    let head_timeout = match life {
+        Life::Kept(_) => bounds.head_timeout,
+        Life::OneRequest => bounds.head_timeout.min(LAST_HEAD_TIME),
     };
     let conn = http1::Builder::new()
         .timer(SmolTimer::new())
         .keep_alive(matches!(life, Life::Kept(_)))
-        .header_read_timeout(head_time)
+        .header_read_timeout(head_timeout)
         .serve_connection(FuturesIo::new(stream), service);
     let mut conn = pin!(conn);
     let served = async { Some(conn.as_mut().await) };
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -2,9 +2,8 @@
 //!
 //! Adapters only: each decision lives in `snipeyoke_lib`.
 
-pub mod board;
-pub mod book;
 pub mod clock;
+pub mod config_store;
 pub mod faults;
 pub mod flag;
 pub mod http;
@@ -17,6 +16,7 @@
 pub mod settings;
 pub mod signals;
 pub mod threads;
+pub mod watched;
 
 #[doc(hidden)]
 pub use ctor;
--- a/runtime/src/link.rs
+++ b/runtime/src/link.rs
@@ -40,7 +40,7 @@
 ///
 /// A peer without power never answers: without this bound a connection to it
 /// would look alive for many minutes.
-pub const UNHEARD_MAX: Duration = Duration::from_secs(3);
+pub const UNACKED_MAX: Duration = Duration::from_secs(3);
 
 /// A frame on its way out.
 #[derive(Debug)]
@@ -215,7 +215,7 @@
 ///
 /// Returns the system's error if the socket options can't be set.
 pub fn open(stream: Async<TcpStream>) -> io::Result<(LinkSender, LinkWriter, LinkReader)> {
-    prepare(&stream, UNHEARD_MAX)?;
+    set_socket_options(&stream, UNACKED_MAX)?;
     let (sink, stream) = Framed::new(stream.compat(), FrameCodec::default()).split();
     // A bounded channel allocates all its slots at once, for every link.
     let (send, queue) = async_channel::unbounded();
@@ -233,7 +233,7 @@
 /// # Errors
 ///
 /// Returns the system's error if an option can't be set.
-pub fn prepare(stream: &Async<TcpStream>, unheard: Duration) -> io::Result<()> {
+pub fn set_socket_options(stream: &Async<TcpStream>, unheard: Duration) -> io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let millis = u32::try_from(unheard.as_millis()).unwrap_or(u32::MAX);
     rustix::net::sockopt::set_tcp_user_timeout(stream.get_ref(), millis)?;
--- a/runtime/src/platform/hosts.rs
+++ b/runtime/src/platform/hosts.rs
@@ -102,7 +102,7 @@
             return None;
         }
         let body = collect(response.into_body(), LIST_MAX).await.ok()?;
-        self.client.keep(kept);
+        self.client.recycle(kept);
         Some(body)
     }
 }
--- a/runtime/src/platform/log.rs
+++ b/runtime/src/platform/log.rs
@@ -92,7 +92,7 @@
         let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
             return AppendEnd::Unanswered;
         };
-        self.client.keep(kept);
+        self.client.recycle(kept);
         match serde_json::from_slice::<Appended>(&body) {
             Ok(appended) => AppendEnd::Done {
                 offset: Offset(appended.offset),
@@ -121,7 +121,7 @@
         let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
             return ReadEnd::Failed;
         };
-        self.client.keep(kept);
+        self.client.recycle(kept);
         if status == StatusCode::GONE {
             let gone = serde_json::from_slice::<GoneBody>(&body);
             return gone.map_or(ReadEnd::Failed, |g| ReadEnd::Gone {
--- a/runtime/src/program.rs
+++ b/runtime/src/program.rs
@@ -22,8 +22,8 @@
 use crate::settings::Checked;
 use crate::settings::Watch;
 use crate::signals;
-use crate::signals::Leave;
-use crate::signals::Reload;
+use crate::signals::ReloadSignals;
+use crate::signals::ShutdownSignals;
 use crate::threads::Execs;
 use crate::threads::Threads;
 
@@ -60,7 +60,7 @@
     }
 
     /// Waits until the host list says that its host leaves.
-    fn told_to_leave(&self) -> impl Future<Output = ()>;
+    fn leave_requested(&self) -> impl Future<Output = ()>;
 
     /// Drains and ends it.
     fn drain(&self, source: Source) -> impl Future<Output = ()>;
@@ -110,8 +110,8 @@
     ($program:ty) => {
         $crate::ctor::declarative::ctor! {
             #[ctor(unsafe)]
-            fn hold_signals() {
-                $crate::signals::hold();
+            fn block_signals() {
+                $crate::signals::block();
             }
         }
 
@@ -135,9 +135,9 @@
 
 fn run<P: Program>(args: &Args) -> Result<(), Box<dyn Error>> {
     // First of all: the signals are held back until here.
-    let leave = Leave::register()?;
-    let reload = Reload::register()?;
-    signals::release()?;
+    let leave = ShutdownSignals::register()?;
+    let reload = ReloadSignals::register()?;
+    signals::unblock()?;
     faults::install(P::NAME)?;
     let path = args.path()?;
     let settings: P::Settings = settings::load(&path)?;
@@ -155,7 +155,12 @@
     Ok(())
 }
 
-async fn serve<P: Program>(program: &P, mut leave: Leave, mut reload: Reload, path: &Path) {
+async fn serve<P: Program>(
+    program: &P,
+    mut leave: ShutdownSignals,
+    mut reload: ReloadSignals,
+    path: &Path,
+) {
     let signal = async {
         leave.next().await;
         Source::Signal
@@ -178,7 +183,7 @@
         }
     };
     let list = async {
-        program.told_to_leave().await;
+        program.leave_requested().await;
         Source::HostList
     };
     let source = signal.or(list).or(reloads).await;
--- a/runtime/src/scope.rs
+++ b/runtime/src/scope.rs
@@ -103,7 +103,7 @@
     /// Waits a little for the tasks to end by themselves, then cancels them.
     ///
     /// For tasks that have been told to end and may still write a last frame.
-    pub async fn cancel_later(&self) {
+    pub async fn cancel_after_grace(&self) {
         let grace = async {
             Timer::after(LAST_WORDS).await;
         };
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -7,21 +7,21 @@
 use futures_lite::StreamExt;
 use nix::sys::signal::SigSet;
 
-/// Holds back the signals of [`Leave`] and [`Reload`] until [`release`].
+/// Holds back the signals of [`ShutdownSignals`] and [`ReloadSignals`] until [`unblock`].
 ///
 /// The system keeps them pending. Meant to run before `main`, so it uses
 /// nothing that the language's runtime sets up.
-pub fn hold() {
+pub fn block() {
     // It fails only for a wrong argument, and there is nowhere to tell it yet.
     let _held = taken().thread_block();
 }
 
-/// Lets the signals through that [`hold`] has held back.
+/// Lets the signals through that [`block`] has held back.
 ///
 /// # Errors
 ///
 /// Returns the system's error if the signals stay blocked.
-pub fn release() -> io::Result<()> {
+pub fn unblock() -> io::Result<()> {
     Ok(taken().thread_unblock()?)
 }
 
@@ -35,11 +35,11 @@
 
 /// Waits for SIGTERM or SIGINT, again at each call.
 #[derive(Debug)]
-pub struct Leave {
+pub struct ShutdownSignals {
     signals: Signals,
 }
 
-impl Leave {
+impl ShutdownSignals {
     /// Registers for the signals.
     ///
     /// # Errors
@@ -60,11 +60,11 @@
 
 /// Waits for SIGHUP, again at each call.
 #[derive(Debug)]
-pub struct Reload {
+pub struct ReloadSignals {
     signals: Signals,
 }
 
-impl Reload {
+impl ReloadSignals {
     /// Registers for the signal, which would otherwise end the process.
     ///
     /// # Errors
--- a/runtime/src/board.rs
+++ b/runtime/src/watched.rs
@@ -10,18 +10,18 @@
 ///
 /// Controllers write it on the control thread; traffic threads read snapshots
 /// without waiting for them.
-pub struct Fact<T> {
+pub struct WatchedValue<T> {
     value: ArcSwap<T>,
     changed: Event,
 }
 
-impl<T> Debug for Fact<T> {
+impl<T> Debug for WatchedValue<T> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Fact").finish_non_exhaustive()
+        f.debug_struct("WatchedValue").finish_non_exhaustive()
     }
 }
 
-impl<T> Fact<T> {
+impl<T> WatchedValue<T> {
     /// Starts with `value`.
     #[must_use]
     pub fn new(value: T) -> Self {
--- a/runtime/tests/test_body.rs
+++ b/runtime/tests/test_body.rs
@@ -7,8 +7,8 @@
 use http_body_util::BodyExt;
 use hyper::body::Body;
 use snipeyoke_runtime::http::full;
-use snipeyoke_runtime::http::holding;
 use snipeyoke_runtime::http::streamed;
+use snipeyoke_runtime::http::with_guard;
 
 #[test]
 fn an_answer_counts_as_in_flight_until_it_was_read() {
@@ -17,7 +17,7 @@
     // The token lives as long as the body, and the drain waits for it.
     let (send, pieces) = async_channel::unbounded();
     let token = Arc::new(());
-    let mut body = holding(streamed(pieces), Arc::clone(&token));
+    let mut body = with_guard(streamed(pieces), Arc::clone(&token));
     for piece in ["one", "two"] {
         send.try_send(Bytes::from(piece))
             .expect("the body takes it");
@@ -35,6 +35,6 @@
 
 #[test]
 fn a_held_body_keeps_its_length() {
-    let body = holding(full("four"), ());
+    let body = with_guard(full("four"), ());
     assert_eq!(body.size_hint().exact(), Some(4));
 }
--- a/runtime/tests/test_book.rs
+++ b/runtime/tests/test_config_store.rs
@@ -20,9 +20,9 @@
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::RequestRate;
 use snipeyoke_lib::units::TokenRate;
-use snipeyoke_runtime::book::ASK_STALL;
-use snipeyoke_runtime::book::Book;
-use snipeyoke_runtime::book::PUSH_MAX;
+use snipeyoke_runtime::config_store::ConfigStore;
+use snipeyoke_runtime::config_store::PUSH_MAX_BYTES;
+use snipeyoke_runtime::config_store::REQUEST_STALL;
 use snipeyoke_runtime::http::bind;
 use snipeyoke_runtime::link;
 use snipeyoke_wire::frame;
@@ -61,7 +61,7 @@
 }
 
 /// Sends all that one process offers another over a link, and has it taken.
-fn pass_on(giver: &Book, taker: &Book) {
+fn pass_on(giver: &ConfigStore, taker: &ConfigStore) {
     let exec = Arc::new(Executor::new());
     future::block_on(exec.run(async {
         let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
@@ -71,7 +71,7 @@
         let (sender, writer, _near) = link::open(near.expect("it is there")).expect("options");
         let (_sender, _writer, mut far) = link::open(far).expect("options");
         let task = exec.spawn(writer.run());
-        let offers = giver.offer(taker.next());
+        let offers = giver.offers_since(taker.next());
         let frames = offers.len();
         for offer in offers {
             let sent = sender.send(frame::Body::ConfigOffer(offer));
@@ -82,13 +82,13 @@
             let Some(frame::Body::ConfigOffer(offer)) = frame else {
                 panic!("not an offer: {frame:?}");
             };
-            assert!(!taker.take(Time::ZERO, &offer, |_, _, _| {}).gap);
+            assert!(!taker.apply_offer(Time::ZERO, &offer, |_, _, _| {}).gap);
         }
         task.cancel().await;
     }));
 }
 
-fn assert_level(giver: &Book, taker: &Book) {
+fn assert_level(giver: &ConfigStore, taker: &ConfigStore) {
     assert_eq!(taker.next(), giver.next());
     assert_eq!(taker.fold().revision(), giver.fold().revision());
     assert_eq!(taker.fold().config(), giver.fold().config());
@@ -99,7 +99,7 @@
     // A router refuses its callers for as long as the log is away: it starts
     // without memory, its agents have 7,600 accounts, and their offer has to
     // get through the link. As one frame it is too large and is never sent.
-    let (agent, router) = (Book::default(), Book::default());
+    let (agent, router) = (ConfigStore::default(), ConfigStore::default());
     assert!(agent.fold().adopt(&at_the_letters_size()));
     pass_on(&agent, &router);
     assert_level(&agent, &router);
@@ -109,7 +109,7 @@
 fn a_process_many_large_records_behind_gets_them_all() {
     // A process stays at an old revision: it misses eight changes, each as
     // large as a log takes, and together they are larger than a frame.
-    let (ahead, behind) = (Book::default(), Book::default());
+    let (ahead, behind) = (ConfigStore::default(), ConfigStore::default());
     for n in 0..8 {
         let name = format!("account-{n}").parse().expect("a name");
         let record = Record {
@@ -135,42 +135,42 @@
     // A router starts while the log is away. Twenty agents report the letter's
     // configuration of 1.3 MB within half a second. Asked together they would
     // send 26 MB, a minute and more of a small host's link.
-    let (agent, router) = (Book::default(), Book::default());
+    let (agent, router) = (ConfigStore::default(), ConfigStore::default());
     assert!(agent.fold().adopt(&at_the_letters_size()));
     let mut now = Time::from_millis(1_000);
-    let asked = (0..20).filter_map(|_| router.ask(now)).count();
+    let asked = (0..20).filter_map(|_| router.request(now)).count();
     assert_eq!(asked, 1);
-    for offer in agent.offer(Offset(0)) {
-        assert_eq!(router.ask(now), None, "the answer comes");
-        router.take(now, &offer, |_, _, _| {});
-        now = now + ASK_STALL / 2;
+    for offer in agent.offers_since(Offset(0)) {
+        assert_eq!(router.request(now), None, "the answer comes");
+        router.apply_offer(now, &offer, |_, _, _| {});
+        now = now + REQUEST_STALL / 2;
     }
     assert_level(&agent, &router);
 }
 
 #[test]
 fn an_agent_that_was_asked_in_vain_gives_way_to_another_one() {
-    let router = Book::default();
+    let router = ConfigStore::default();
     let now = Time::from_millis(1_000);
-    assert!(router.ask(now).is_some());
-    assert_eq!(router.ask(now + ASK_STALL / 2), None);
-    assert!(router.ask(now + ASK_STALL).is_some());
+    assert!(router.request(now).is_some());
+    assert_eq!(router.request(now + REQUEST_STALL / 2), None);
+    assert!(router.request(now + REQUEST_STALL).is_some());
 }
 
 #[test]
 fn a_large_state_is_not_sent_to_those_who_did_not_ask() {
     // An agent starts and reports that it has nothing. Each of its routers would
     // send it the whole configuration; told what there is, it asks one of them.
-    let (router, agent) = (Book::default(), Book::default());
+    let (router, agent) = (ConfigStore::default(), ConfigStore::default());
     assert!(router.fold().adopt(&at_the_letters_size()));
     let now = Time::from_millis(1_000);
     let mut asked = 0;
     for _router in 0..24 {
-        for offer in router.push(agent.next()) {
+        for offer in router.announce(agent.next()) {
             let bytes: usize = offer.records.iter().map(bytes::Bytes::len).sum();
-            assert!(bytes <= PUSH_MAX, "{bytes} bytes");
-            let gap = agent.take(now, &offer, |_, _, _| {}).gap;
-            asked += usize::from(gap && agent.ask(now).is_some());
+            assert!(bytes <= PUSH_MAX_BYTES, "{bytes} bytes");
+            let gap = agent.apply_offer(now, &offer, |_, _, _| {}).gap;
+            asked += usize::from(gap && agent.request(now).is_some());
         }
     }
     assert_eq!(asked, 1);
--- a/site/tests/test_bodies.rs
+++ b/site/tests/test_bodies.rs
@@ -81,7 +81,7 @@
             let status = response.status().as_u16();
             let body = collect(response.into_body(), 1 << 20).await;
             body.expect("the answer is whole");
-            client.keep(kept);
+            client.recycle(kept);
             status
         });
         assert!(KNOWN.contains(&status), "{status}");
--- a/site/tests/test_operators.rs
+++ b/site/tests/test_operators.rs
@@ -56,7 +56,7 @@
         let (response, kept) = sent.expect("it answers");
         let id = response.headers().get("x-request-id").cloned();
         let body = collect(response.into_body(), ANSWER_MAX).await;
-        self.client.keep(kept);
+        self.client.recycle(kept);
         let body = body.expect("the answer is whole");
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
         let id = id.and_then(|v| v.to_str().ok().map(str::to_owned));
--- a/site/tests/test_path.rs
+++ b/site/tests/test_path.rs
@@ -44,7 +44,7 @@
         let header = response.headers().get("x-snipeyoke-outcome");
         let outcome = header.and_then(|v| v.to_str().ok()).map(str::to_owned);
         let body = collect(response.into_body(), ANSWER_MAX).await;
-        self.client.keep(kept);
+        self.client.recycle(kept);
         Seen {
             status,
             outcome,
--- a/site/tests/test_state.rs
+++ b/site/tests/test_state.rs
@@ -60,7 +60,7 @@
         let outcome = header.and_then(|v| v.to_str().ok()).unwrap_or_default();
         let outcome = outcome.to_owned();
         let body = collect(response.into_body(), ANSWER_MAX).await.ok()?;
-        self.0.keep(kept);
+        self.0.recycle(kept);
         Some(Seen {
             status,
             outcome,
