--- a/agent/src/calls.rs
+++ b/agent/src/calls.rs
@@ -15,8 +15,8 @@
 use snipeyoke_wire::Reply;
 use snipeyoke_wire::frame::Body;
 
-use crate::endpoint::Answer;
-use crate::endpoint::Piece;
+use crate::endpoint::CallOutcome;
+use crate::endpoint::StreamChunk;
 use crate::gate::Permit;
 use crate::node::Node;
 use crate::once;
@@ -25,15 +25,15 @@
 pub(crate) async fn run(node: &Arc<Node>, link: &LinkSender, call: Call, cancel: Flag) {
     let started = node.clock.now();
     let number = call.call;
-    let answer = match node.gate.enter(&call) {
-        Err(refusal) => Answer::NotRun {
+    let outcome = match node.gate.admit(&call) {
+        Err(refusal) => CallOutcome::NotRun {
             reason: refusal.reason,
-            retry: refusal.retry,
+            retry_after: refusal.retry_after,
         },
-        Ok(permit) => admitted(node, link, &call, cancel, permit).await,
+        Ok(permit) => run_admitted(node, link, &call, cancel, permit).await,
     };
-    let work = node.clock.now().since(started);
-    let mut reply = reply_of(number, answer, work);
+    let elapsed = node.clock.now().since(started);
+    let mut reply = reply_from(number, outcome, elapsed);
     reply.load = Some(node.load());
     log::debug!(
         event = "call-ended", call = number, stage = call.stage.as_str(),
@@ -44,62 +44,64 @@
     }
 }
 
-async fn admitted(
+async fn run_admitted(
     node: &Arc<Node>,
     link: &LinkSender,
     call: &Call,
     cancel: Flag,
     permit: Permit,
-) -> Answer {
+) -> CallOutcome {
     if call.once.is_some() {
         // The effect keeps its room however long it runs; here only the wait
         // for it ends.
-        return once::run(node, call, permit).or(late(call)).await;
+        return once::run(node, call, permit)
+            .or(deadline_passed(call))
+            .await;
     }
     let number = call.call;
-    let deliver = |piece: Piece| {
-        let chunk = Chunk {
+    let deliver = |chunk: StreamChunk| {
+        let frame = Chunk {
             call: number,
-            index: piece.index,
-            tokens: piece.tokens,
-            data: Bytes::from(piece.text),
+            index: chunk.index,
+            tokens: chunk.tokens,
+            data: Bytes::from(chunk.text),
         };
         // A router that does not read its link can't use the answer either.
-        if link.send(Body::Chunk(chunk)).is_err() {
+        if link.send(Body::Chunk(frame)).is_err() {
             cancel.set();
         }
     };
-    let work = node.endpoint.run(call, deliver);
+    let call_endpoint = node.endpoint.run(call, deliver);
     let cancelled = async {
         cancel.wait().await;
-        Answer::Unknown {
+        CallOutcome::Unknown {
             reason: Reason::CallerGone,
             status: 0,
         }
     };
     // Dropping `work` closes its connection, at which the endpoint stops.
-    let answer = work.or(cancelled).or(late(call)).await;
+    let outcome = call_endpoint.or(cancelled).or(deadline_passed(call)).await;
     drop(permit);
-    answer
+    outcome
 }
 
-async fn late(call: &Call) -> Answer {
+async fn deadline_passed(call: &Call) -> CallOutcome {
     Timer::after(Duration::from_micros(call.left_us)).await;
-    Answer::Unknown {
+    CallOutcome::Unknown {
         reason: Reason::Timeout,
         status: 0,
     }
 }
 
-pub(crate) fn reply_of(call: u64, answer: Answer, work: Duration) -> Reply {
-    let work_us = u64::try_from(work.as_micros()).unwrap_or(u64::MAX);
+pub(crate) fn reply_from(call: u64, outcome: CallOutcome, elapsed: Duration) -> Reply {
+    let work_us = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
     let base = Reply {
         call,
         work_us,
         ..Reply::default()
     };
-    match answer {
-        Answer::Completed {
+    match outcome {
+        CallOutcome::Completed {
             status,
             body,
             usage,
@@ -112,13 +114,17 @@
             output_tokens: usage.completion_tokens,
             ..base
         },
-        Answer::NotRun { reason, retry } => Reply {
+        CallOutcome::NotRun {
+            reason,
+            retry_after,
+        } => Reply {
             end: End::NotRun.into(),
             reason: reason.to_string(),
-            retry_after_ms: retry.map_or(0, |r| u32::try_from(r.as_millis()).unwrap_or(u32::MAX)),
+            retry_after_ms: retry_after
+                .map_or(0, |r| u32::try_from(r.as_millis()).unwrap_or(u32::MAX)),
             ..base
         },
-        Answer::Unknown { reason, status } => Reply {
+        CallOutcome::Unknown { reason, status } => Reply {
             end: End::Unknown.into(),
             reason: reason.to_string(),
             status: u32::from(status),
--- a/agent/src/endpoint.rs
+++ b/agent/src/endpoint.rs
@@ -19,30 +19,30 @@
 use snipeyoke_wire::Call;
 use uuid::Uuid;
 
-use crate::sse::Events;
+use crate::sse::EventDecoder;
 
 /// The largest answer of an endpoint, in bytes: what fits in a frame.
-const ANSWER_MAX: usize = 1 << 20;
+const RESPONSE_MAX_BYTES: usize = 1 << 20;
 
 /// The header with which an endpoint vouches that it did not run a request.
-const NOT_RUN: &str = "x-not-run";
+const NOT_RUN_HEADER: &str = "x-not-run";
 
 /// The data of the event that ends a streamed answer.
-const DONE: &[u8] = b"[DONE]";
+const DONE_EVENT: &[u8] = b"[DONE]";
 
 /// How a call to the endpoint ended.
 #[derive(Debug)]
-pub(crate) enum Answer {
+pub(crate) enum CallOutcome {
     /// The whole answer; `body` is empty if it was streamed.
     Completed {
         status: u16,
         body: Bytes,
-        usage: TokenUse,
+        usage: TokenUsage,
     },
     /// The endpoint, or the lack of a connection, proves that it did not run.
     NotRun {
         reason: Reason,
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// It may have run.
     Unknown { reason: Reason, status: u16 },
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-pub(crate) struct TokenUse {
+pub(crate) struct TokenUsage {
     pub(crate) cached_tokens: u32,
     pub(crate) completion_tokens: u32,
     /// Time in the engine's queue, in microseconds.
@@ -61,7 +61,7 @@
 
 /// A piece of a streamed answer.
 #[derive(Debug)]
-pub(crate) struct Piece {
+pub(crate) struct StreamChunk {
     pub(crate) index: u32,
     pub(crate) tokens: u32,
     pub(crate) text: String,
@@ -70,9 +70,9 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-struct ChunkBody {
-    choices: Vec<ChunkChoice>,
-    usage: Option<TokenUse>,
+struct EventBody {
+    choices: Vec<EventChoice>,
+    usage: Option<TokenUsage>,
     /// Index of the event's first token, where the engine says it.
     token_index: Option<u32>,
     /// Tokens in the event, where the engine says it.
@@ -82,7 +82,7 @@
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
-struct ChunkChoice {
+struct EventChoice {
     delta: Delta,
 }
 
@@ -97,7 +97,7 @@
 #[derive(Deserialize)]
 #[serde(default)]
 struct UsageBody {
-    usage: TokenUse,
+    usage: TokenUsage,
 }
 
 /// Calls the endpoint beside this agent.
@@ -113,32 +113,32 @@
     }
 
     /// Runs one call; pieces of a streamed answer go to `deliver` as they come.
-    pub(crate) async fn run(&self, call: &Call, deliver: impl FnMut(Piece)) -> Answer {
-        let sent = self.client.send(self.address, request(call)).await;
-        let (response, kept) = match sent {
+    pub(crate) async fn run(&self, call: &Call, deliver: impl FnMut(StreamChunk)) -> CallOutcome {
+        let result = self.client.send(self.address, request(call)).await;
+        let (response, conn) = match result {
             Ok(sent) => sent,
-            Err(error) => return failed(&error),
+            Err(error) => return send_failure(&error),
         };
         let status = response.status();
         if !status.is_success() {
-            return refused(&response);
+            return error_response(&response);
         }
         if call.stream {
             return stream(response, call.resume_from, deliver).await;
         }
-        match collect(response.into_body(), ANSWER_MAX).await {
+        match collect(response.into_body(), RESPONSE_MAX_BYTES).await {
             Ok(body) => {
-                self.client.recycle(kept);
+                self.client.recycle(conn);
                 let usage = serde_json::from_slice::<UsageBody>(&body)
                     .unwrap_or_default()
                     .usage;
-                Answer::Completed {
+                CallOutcome::Completed {
                     status: status.as_u16(),
                     body,
                     usage,
                 }
             }
-            Err(_broken) => Answer::Unknown {
+            Err(_broken) => CallOutcome::Unknown {
                 reason: Reason::Connection,
                 status: status.as_u16(),
             },
@@ -151,10 +151,13 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::from(body.to_string()))
             .ok()?;
-        let (response, kept) = self.client.send(self.address, request).await.ok()?;
+        let (response, conn) = self.client.send(self.address, request).await.ok()?;
         let status = response.status();
-        if collect(response.into_body(), ANSWER_MAX).await.is_ok() {
-            self.client.recycle(kept);
+        if collect(response.into_body(), RESPONSE_MAX_BYTES)
+            .await
+            .is_ok()
+        {
+            self.client.recycle(conn);
         }
         Some(status)
     }
@@ -162,12 +165,14 @@
     /// Fetches a small JSON document, or nothing on any failure.
     pub(crate) async fn get(&self, path: &str) -> Option<Bytes> {
         let request = hyper::Request::get(path).body(Full::default()).ok()?;
-        let (response, kept) = self.client.send(self.address, request).await.ok()?;
+        let (response, conn) = self.client.send(self.address, request).await.ok()?;
         if !response.status().is_success() {
             return None;
         }
-        let body = collect(response.into_body(), ANSWER_MAX).await.ok()?;
-        self.client.recycle(kept);
+        let body = collect(response.into_body(), RESPONSE_MAX_BYTES)
+            .await
+            .ok()?;
+        self.client.recycle(conn);
         Some(body)
     }
 }
@@ -203,24 +208,24 @@
     }
 }
 
-fn failed(error: &ClientError) -> Answer {
+fn send_failure(error: &ClientError) -> CallOutcome {
     if error.is_not_sent() {
-        return Answer::NotRun {
+        return CallOutcome::NotRun {
             reason: Reason::Connection,
-            retry: None,
+            retry_after: None,
         };
     }
-    Answer::Unknown {
+    CallOutcome::Unknown {
         reason: Reason::Connection,
         status: 0,
     }
 }
 
-fn refused(response: &Response) -> Answer {
+fn error_response(response: &Response) -> CallOutcome {
     let status = response.status();
-    let vouched = response.headers().contains_key(NOT_RUN);
-    if !vouched {
-        return Answer::Unknown {
+    let proves_not_run = response.headers().contains_key(NOT_RUN_HEADER);
+    if !proves_not_run {
+        return CallOutcome::Unknown {
             reason: Reason::EndpointFailure,
             status: status.as_u16(),
         };
@@ -238,61 +243,68 @@
         .headers()
         .get(RETRY_AFTER)
         .and_then(|v| v.to_str().ok());
-    let retry = seconds
+    let retry_after = seconds
         .and_then(|s| s.parse::<f64>().ok())
         .and_then(|s| Duration::try_from_secs_f64(s).ok());
-    Answer::NotRun { reason, retry }
+    CallOutcome::NotRun {
+        reason,
+        retry_after,
+    }
 }
 
-async fn stream(response: Response, from: u32, mut deliver: impl FnMut(Piece)) -> Answer {
+async fn stream(
+    response: Response,
+    from: u32,
+    mut deliver: impl FnMut(StreamChunk),
+) -> CallOutcome {
     let mut body = response.into_body();
-    let mut events = Events::default();
-    let mut next = from;
-    let mut usage = TokenUse::default();
+    let mut decoder = EventDecoder::default();
+    let mut next_index = from;
+    let mut usage = TokenUsage::default();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
             break;
         };
-        let Some(piece) = frame.data_ref() else {
+        let Some(bytes) = frame.data_ref() else {
             continue;
         };
-        events.push(piece);
-        while let Some(data) = events.next() {
-            if data == DONE {
-                return Answer::Completed {
+        decoder.push(bytes);
+        while let Some(data) = decoder.next() {
+            if data == DONE_EVENT {
+                return CallOutcome::Completed {
                     status: 200,
                     body: Bytes::new(),
                     usage,
                 };
             }
-            let Ok(chunk) = serde_json::from_slice::<ChunkBody>(&data) else {
-                return Answer::Unknown {
+            let Ok(event) = serde_json::from_slice::<EventBody>(&data) else {
+                return CallOutcome::Unknown {
                     reason: Reason::EndpointFailure,
                     status: 200,
                 };
             };
-            usage = chunk.usage.unwrap_or(usage);
-            if let Some(piece) = piece_of(chunk, next) {
-                next = piece.index + piece.tokens;
-                deliver(piece);
+            usage = event.usage.unwrap_or(usage);
+            if let Some(chunk) = chunk_from(event, next_index) {
+                next_index = chunk.index + chunk.tokens;
+                deliver(chunk);
             }
         }
     }
     // Without its last event the answer is not whole, whatever came before.
-    Answer::Unknown {
+    CallOutcome::Unknown {
         reason: Reason::Connection,
         status: 200,
     }
 }
 
-fn piece_of(chunk: ChunkBody, next: u32) -> Option<Piece> {
-    let index = chunk.token_index.unwrap_or(next);
-    let tokens = chunk.token_count.unwrap_or(1);
-    let text = chunk.choices.into_iter().next()?.delta.content?;
+fn chunk_from(event: EventBody, next_index: u32) -> Option<StreamChunk> {
+    let index = event.token_index.unwrap_or(next_index);
+    let tokens = event.token_count.unwrap_or(1);
+    let text = event.choices.into_iter().next()?.delta.content?;
     if text.is_empty() {
         return None;
     }
-    Some(Piece {
+    Some(StreamChunk {
         index,
         tokens,
         text,
--- a/agent/src/gate.rs
+++ b/agent/src/gate.rs
@@ -10,12 +10,12 @@
 use snipeyoke_wire::Call;
 
 /// When a caller may come back after it found the endpoint full.
-const FULL_RETRY: Duration = Duration::from_millis(200);
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Admits calls up to the endpoint's room, and none while draining.
 #[derive(Debug, Clone)]
 pub(crate) struct Gate {
-    room: u32,
+    capacity: u32,
     drain: Flag,
     state: Arc<Mutex<State>>,
 }
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) reason: Reason,
-    pub(crate) retry: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
 /// Room taken by one call, given back when dropped.
@@ -48,9 +48,9 @@
 }
 
 impl Gate {
-    pub(crate) fn new(room: u32, drain: Flag) -> Self {
+    pub(crate) fn new(capacity: u32, drain: Flag) -> Self {
         Self {
-            room,
+            capacity,
             drain,
             state: Arc::default(),
         }
@@ -61,25 +61,25 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`], which proves that the call was not passed on.
-    pub(crate) fn enter(&self, call: &Call) -> Result<Permit, Refusal> {
+    pub(crate) fn admit(&self, call: &Call) -> Result<Permit, Refusal> {
         if self.drain.is_set() {
             return Err(Refusal {
                 reason: Reason::Draining,
-                retry: None,
+                retry_after: None,
             });
         }
         if call.left_us == 0 {
             return Err(Refusal {
                 reason: Reason::Deadline,
-                retry: None,
+                retry_after: None,
             });
         }
         let tokens = u64::from(call.prompt_tokens) + u64::from(call.max_tokens);
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.active >= self.room {
+        if state.active >= self.capacity {
             return Err(Refusal {
                 reason: Reason::Overload,
-                retry: Some(FULL_RETRY),
+                retry_after: Some(FULL_RETRY_DELAY),
             });
         }
         state.active += 1;
--- a/agent/src/hosts.rs
+++ b/agent/src/hosts.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 /// The time between two looks at the list, which itself lags by more.
-const LIST_EVERY: Duration = Duration::from_secs(2);
+const LIST_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reads the list until the agent stops or is told to leave.
 ///
@@ -30,11 +30,11 @@
         });
         if leaving {
             log::warn!(event = "host-leaving", host = own.host.as_str(); "");
-            node.leave.set();
+            node.host_leaving.set();
             return;
         }
         let pause = async {
-            Timer::after(LIST_EVERY).await;
+            Timer::after(LIST_POLL_INTERVAL).await;
         };
         pause.or(node.stop.wait()).await;
     }
--- a/agent/src/node.rs
+++ b/agent/src/node.rs
@@ -47,7 +47,7 @@
 use crate::owner::Owner;
 use crate::peers;
 use crate::report;
-use crate::report::Seen;
+use crate::report::EndpointStatus;
 use crate::settings::EndpointKind;
 use crate::settings::Raw;
 use crate::settings::Settings;
@@ -56,13 +56,13 @@
 const PROTOCOL: u32 = 1;
 
 /// The longest time to connect to the endpoint on the same host.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The longest silence of a router that a drain still waits for.
-const SILENCE_MAX: Duration = Duration::from_secs(6);
+const ROUTER_SILENCE_MAX: Duration = Duration::from_secs(6);
 
 /// The pause between two looks at what a drain still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The reason why an agent can't start.
 #[derive(Debug)]
@@ -88,20 +88,20 @@
     pub(crate) endpoint: Endpoint,
     /// The owner of key slots, beside a plain service and with a platform.
     pub(crate) owner: Option<Arc<Owner>>,
-    pub(crate) seen: WatchedValue<Seen>,
+    pub(crate) endpoint_status: WatchedValue<EndpointStatus>,
     /// The configuration, kept for routers that lack it.
     pub(crate) config_store: ConfigStore,
     pub(crate) drain: Flag,
     pub(crate) stop: Flag,
     /// Set once the platform's host list says that the host leaves.
-    pub(crate) leave: Flag,
+    pub(crate) host_leaving: Flag,
     /// Number of the last heartbeat to all routers.
-    pub(crate) seq: AtomicU64,
+    pub(crate) heartbeat_seq: AtomicU64,
     pub(crate) orders: Mutex<placement::Gate>,
     pub(crate) scope: Scope,
     address: SocketAddr,
     /// Number of the next load report; routers pass over older ones.
-    loads: AtomicU64,
+    load_seq: AtomicU64,
     links: Mutex<Links>,
 }
 
@@ -116,13 +116,13 @@
 struct OpenLink {
     sender: LinkSender,
     /// The router's last heartbeat.
-    seen: u64,
+    router_seq: u64,
     /// Our last heartbeat that the router has seen.
-    echoed: u64,
+    acked_seq: u64,
     /// The interval that the router asks for.
-    pace: Duration,
-    due: Time,
-    heard: Time,
+    interval: Duration,
+    next_heartbeat: Time,
+    last_heard: Time,
 }
 
 impl Node {
@@ -144,8 +144,8 @@
 
     /// Returns the load at this moment, numbered after all before it.
     pub(crate) fn load(&self) -> Load {
-        let seq = self.loads.fetch_add(1, Ordering::Relaxed);
-        let load = self.seen.get().frame(self);
+        let seq = self.load_seq.fetch_add(1, Ordering::Relaxed);
+        let load = self.endpoint_status.get().load_frame(self);
         Load { seq, ..load }
     }
 
@@ -155,17 +155,17 @@
         links.next += 1;
         let open = OpenLink {
             sender,
-            seen: 0,
-            echoed: 0,
-            pace: Duration::ZERO,
-            due: Time::ZERO,
-            heard: self.clock.now(),
+            router_seq: 0,
+            acked_seq: 0,
+            interval: Duration::ZERO,
+            next_heartbeat: Time::ZERO,
+            last_heard: self.clock.now(),
         };
         links.open.insert(id, open);
         id
     }
 
-    pub(crate) fn drop_link(&self, id: u64) {
+    pub(crate) fn remove_link(&self, id: u64) {
         self.links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -185,15 +185,19 @@
 
 impl Node {
     /// Sends a heartbeat on each link that is due one, or on all.
-    pub(crate) fn beat(&self, heartbeat: &Heartbeat, all: bool) {
+    pub(crate) fn send_heartbeats(&self, heartbeat: &Heartbeat, all: bool) {
         let now = self.clock.now();
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        for link in links.open.values_mut().filter(|l| all || l.due <= now) {
+        for link in links
+            .open
+            .values_mut()
+            .filter(|l| all || l.next_heartbeat <= now)
+        {
             // A router with many links asks for fewer heartbeats; a tick early
             // is better than one late.
-            link.due = now + link.pace.saturating_sub(report::REPORT_EVERY / 2);
+            link.next_heartbeat = now + link.interval.saturating_sub(report::REPORT_INTERVAL / 2);
             let frame = Heartbeat {
-                seen_seq: link.seen,
+                seen_seq: link.router_seq,
                 ..heartbeat.clone()
             };
             if let Err(error) = link.sender.send(Body::Heartbeat(frame)) {
@@ -203,13 +207,13 @@
     }
 
     /// Takes in a router's heartbeat.
-    pub(crate) fn heard(&self, id: u64, heartbeat: &Heartbeat) {
+    pub(crate) fn on_heartbeat(&self, id: u64, heartbeat: &Heartbeat) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = links.open.get_mut(&id) {
-            link.heard = self.clock.now();
-            link.seen = link.seen.max(heartbeat.seq);
-            link.echoed = link.echoed.max(heartbeat.seen_seq);
-            link.pace = Duration::from_millis(heartbeat.interval_ms.into());
+            link.last_heard = self.clock.now();
+            link.router_seq = link.router_seq.max(heartbeat.seq);
+            link.acked_seq = link.acked_seq.max(heartbeat.seen_seq);
+            link.interval = Duration::from_millis(heartbeat.interval_ms.into());
         }
     }
 
@@ -217,10 +221,11 @@
     ///
     /// A router that is itself paused or cut off would hold the drain for as
     /// long as that lasts, so after a while of silence it no longer counts.
-    fn unaware(&self, seq: u64) -> usize {
+    fn count_unaware(&self, seq: u64) -> usize {
         let now = self.clock.now();
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let unaware = |l: &&OpenLink| l.echoed < seq && now.since(l.heard) < SILENCE_MAX;
+        let unaware =
+            |l: &&OpenLink| l.acked_seq < seq && now.since(l.last_heard) < ROUTER_SILENCE_MAX;
         links.open.values().filter(unaware).count()
     }
 }
@@ -241,48 +246,48 @@
         let raw = settings.raw;
         let term = settings.term;
         let listen = raw.listen;
-        let wrap = |source| StartError::Listen {
+        let listen_error = |source| StartError::Listen {
             address: listen,
             source,
         };
-        let listener = http::bind(listen).map_err(wrap)?;
-        let address = listener.get_ref().local_addr().map_err(wrap)?;
+        let listener = http::bind(listen).map_err(listen_error)?;
+        let address = listener.get_ref().local_addr().map_err(listen_error)?;
         let scope = Scope::new(Arc::clone(&execs.traffic));
-        let client = Client::new(scope.clone(), CONNECT_LIMIT);
+        let client = Client::new(scope.clone(), CONNECT_TIMEOUT);
         let drain = Flag::default();
-        let room = raw.endpoint.slots + raw.endpoint.queue;
+        let capacity = raw.endpoint.slots + raw.endpoint.queue;
         let incarnation = Incarnation(Clock::wall().as_millis());
         let clock = Clock::start();
-        let me = LeaseHolder {
+        let lease_holder = LeaseHolder {
             node: raw.node.clone(),
             incarnation,
         };
-        let owns = raw.endpoint.kind == EndpointKind::Plain && raw.platform.is_some();
-        let owner = owns.then(|| Arc::new(Owner::new(&raw, me, term, clock)));
+        let owns_slots = raw.endpoint.kind == EndpointKind::Plain && raw.platform.is_some();
+        let owner = owns_slots.then(|| Arc::new(Owner::new(&raw, lease_holder, term, clock)));
         let log = raw.platform.map(|p| HttpLog::new(client.clone(), p));
         let node = Arc::new(Node {
             incarnation,
             clock,
             owner,
-            gate: Gate::new(room, drain.clone()),
+            gate: Gate::new(capacity, drain.clone()),
             endpoint: Endpoint::new(client, raw.endpoint.address),
-            seen: WatchedValue::new(Seen::default()),
+            endpoint_status: WatchedValue::new(EndpointStatus::default()),
             config_store: ConfigStore::default(),
             settings: raw,
             drain,
             stop: Flag::default(),
-            leave: Flag::default(),
-            seq: AtomicU64::new(1),
+            host_leaving: Flag::default(),
+            heartbeat_seq: AtomicU64::new(1),
             orders: Mutex::default(),
             scope,
             address,
-            loads: AtomicU64::new(1),
+            load_seq: AtomicU64::new(1),
             links: Mutex::default(),
         });
         node.scope.spawn(peers::accept(Arc::clone(&node), listener));
         node.scope.spawn(report::run(Arc::clone(&node)));
         if let Some(platform) = node.settings.platform {
-            let client = Client::new(node.scope.clone(), CONNECT_LIMIT);
+            let client = Client::new(node.scope.clone(), CONNECT_TIMEOUT);
             let hosts = HttpHosts::new(client, platform);
             node.scope.spawn(hosts::follow(Arc::clone(&node), hosts));
         }
@@ -302,7 +307,7 @@
 
     /// Waits until the platform's host list says that this host leaves.
     pub async fn leave_requested(&self) {
-        self.node.leave.wait().await;
+        self.node.host_leaving.wait().await;
     }
 
     /// Drains as at SIGTERM.
@@ -319,11 +324,11 @@
         let mut drain = Drain::new(DrainSettings::default());
         let mut actions = drain.begin(node.clock.now(), source, true);
         log::info!(event = "drain-begins", source = source.to_string().as_str(), calls = node.gate.admitted().active; "");
-        let mut told = 0;
+        let mut drain_seq = 0;
         while drain.phase() != Phase::Done {
             for action in &actions {
                 match action {
-                    DrainAction::Stop => told = self.refuse_new(),
+                    DrainAction::Stop => drain_seq = self.refuse_new(),
                     // Only now: a successor may run a key at once after the
                     // release.
                     DrainAction::HandOver => self.hand_over().await,
@@ -338,11 +343,11 @@
                     | DrainAction::Resume => {}
                 }
             }
-            Timer::after(DRAIN_LOOK).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
             let owned = node.owner.as_ref().map(|o| o.slots().len());
             let held = Held {
                 calls: node.gate.admitted().active as usize,
-                unaware: node.unaware(told),
+                unaware: node.count_unaware(drain_seq),
                 slots: owned.unwrap_or_default(),
                 ..Held::default()
             };
@@ -365,9 +370,9 @@
         if let Some(owner) = &node.owner {
             owner.drain();
         }
-        let told = node.seq.fetch_add(1, Ordering::SeqCst) + 1;
-        node.beat(&report::frame(node, told), true);
-        told
+        let drain_seq = node.heartbeat_seq.fetch_add(1, Ordering::SeqCst) + 1;
+        node.send_heartbeats(&report::heartbeat(node, drain_seq), true);
+        drain_seq
     }
 
     async fn hand_over(&self) {
--- a/agent/src/once.rs
+++ b/agent/src/once.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use bytes::Bytes;
 use futures_lite::FutureExt;
-use snipeyoke_lib::once::Answer as Kept;
+use snipeyoke_lib::once::Answer as StoredAnswer;
 use snipeyoke_lib::once::NotRun;
 use snipeyoke_lib::once::OnceEnd;
 use snipeyoke_lib::once::OnceKey;
@@ -16,8 +16,8 @@
 use snipeyoke_wire::Call;
 use uuid::Uuid;
 
-use crate::endpoint::Answer;
-use crate::endpoint::TokenUse;
+use crate::endpoint::CallOutcome;
+use crate::endpoint::TokenUsage;
 use crate::gate::Permit;
 use crate::node::Node;
 use crate::owner::Owner;
@@ -26,13 +26,13 @@
 ///
 /// Beyond it the key counts as unknown, so that a service that never answers
 /// can't fill the key table with calls that run for good.
-const EFFECT_LIMIT: Duration = Duration::from_mins(1);
+const EFFECT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// When a caller may come back after a refusal for lack of a lease.
-const LEASE_RETRY: Duration = Duration::from_millis(500);
+const LEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Runs a call at most once, or answers from the key table.
-pub(crate) async fn run(node: &Arc<Node>, call: &Call, permit: Permit) -> Answer {
+pub(crate) async fn run(node: &Arc<Node>, call: &Call, permit: Permit) -> CallOutcome {
     let Some(owner) = &node.owner else {
         return not_run(NotRun::NoLease);
     };
@@ -43,7 +43,7 @@
     loop {
         // The listener comes before the look at the table: an end between the
         // two would otherwise be missed.
-        let listener = owner.listen();
+        let listener = owner.listen_ended();
         match owner.admit(&key) {
             Verdict::Run => {
                 let Some(permit) = permit.take() else {
@@ -52,24 +52,24 @@
                     owner.end(&key, OnceEnd::NotRun);
                     return not_run(NotRun::Full);
                 };
-                return effect(node, owner, call, key, permit).await;
+                return run_effect(node, owner, call, key, permit).await;
             }
             Verdict::Wait => {
                 permit = None;
                 listener.await;
             }
-            verdict => return told(verdict),
+            verdict => return outcome_of_verdict(verdict),
         }
     }
 }
 
 /// Answers a question about a key, once the call under way has ended.
-pub(crate) async fn ask(owner: &Owner, key: &OnceKey) -> Answer {
+pub(crate) async fn look_up(owner: &Owner, key: &OnceKey) -> CallOutcome {
     loop {
-        let listener = owner.listen();
-        match owner.ask(key) {
+        let listener = owner.listen_ended();
+        match owner.look_up(key) {
             Verdict::Wait => listener.await,
-            verdict => return told(verdict),
+            verdict => return outcome_of_verdict(verdict),
         }
     }
 }
@@ -78,27 +78,27 @@
 ///
 /// The effect goes on when the router, its link or the caller are gone: called
 /// off, it would end as unknown where waiting gives the key an answer.
-async fn effect(
+async fn run_effect(
     node: &Arc<Node>,
     owner: &Arc<Owner>,
     call: &Call,
     key: OnceKey,
     permit: Permit,
-) -> Answer {
-    let (send, receive) = async_channel::bounded(1);
-    let work = Work {
+) -> CallOutcome {
+    let (sender, receiver) = async_channel::bounded(1);
+    let effect = Effect {
         node: Arc::clone(node),
         owner: Arc::clone(owner),
         call: call.clone(),
         key,
         permit,
     };
-    node.scope.spawn(work.run(send));
-    let answer = receive.recv().await;
-    answer.unwrap_or_else(|_closed| unknown(Reason::Connection))
+    node.scope.spawn(effect.run(sender));
+    let outcome = receiver.recv().await;
+    outcome.unwrap_or_else(|_closed| unknown(Reason::Connection))
 }
 
-struct Work {
+struct Effect {
     node: Arc<Node>,
     owner: Arc<Owner>,
     call: Call,
@@ -106,67 +106,67 @@
     permit: Permit,
 }
 
-impl Work {
-    async fn run(self, to: Sender<Answer>) {
-        let answer = match self.owner.start(&self.key) {
+impl Effect {
+    async fn run(self, sender: Sender<CallOutcome>) {
+        let outcome = match self.owner.start(&self.key) {
             Ok(()) => self.call_endpoint().await,
-            Err(why) => not_run(why),
+            Err(cause) => not_run(cause),
         };
-        self.owner.end(&self.key, end_of(&answer));
+        self.owner.end(&self.key, once_end_of(&outcome));
         drop(self.permit);
-        if to.try_send(answer).is_err() {
+        if sender.try_send(outcome).is_err() {
             log::debug!(event = "effect-unwatched", key = self.key.key.to_string().as_str(); "");
         }
     }
 
-    async fn call_endpoint(&self) -> Answer {
-        let work = self.node.endpoint.run(&self.call, |_piece| {});
+    async fn call_endpoint(&self) -> CallOutcome {
+        let work = self.node.endpoint.run(&self.call, |_chunk| {});
         let limit = async {
-            Timer::after(EFFECT_LIMIT).await;
+            Timer::after(EFFECT_TIMEOUT).await;
             unknown(Reason::Timeout)
         };
         work.or(limit).await
     }
 }
 
-fn end_of(answer: &Answer) -> OnceEnd {
-    match answer {
-        Answer::Completed { status, body, .. } => OnceEnd::Answered(Kept {
+fn once_end_of(outcome: &CallOutcome) -> OnceEnd {
+    match outcome {
+        CallOutcome::Completed { status, body, .. } => OnceEnd::Answered(StoredAnswer {
             status: *status,
             body: body.to_vec(),
         }),
-        Answer::NotRun { .. } => OnceEnd::NotRun,
-        Answer::Unknown { .. } => OnceEnd::Unknown,
+        CallOutcome::NotRun { .. } => OnceEnd::NotRun,
+        CallOutcome::Unknown { .. } => OnceEnd::Unknown,
     }
 }
 
-fn told(verdict: Verdict) -> Answer {
+fn outcome_of_verdict(verdict: Verdict) -> CallOutcome {
     match verdict {
-        Verdict::Replay(kept) => Answer::Completed {
-            status: kept.status,
-            body: Bytes::from(kept.body),
-            usage: TokenUse::default(),
+        Verdict::Replay(stored) => CallOutcome::Completed {
+            status: stored.status,
+            body: Bytes::from(stored.body),
+            usage: TokenUsage::default(),
         },
         Verdict::Conflict => unknown(Reason::KeyConflict),
-        Verdict::NotRun(why) => not_run(why),
+        Verdict::NotRun(cause) => not_run(cause),
         Verdict::Unknown | Verdict::Run | Verdict::Wait => unknown(Reason::KeyUnknown),
     }
 }
 
-const fn unknown(reason: Reason) -> Answer {
-    Answer::Unknown { reason, status: 0 }
+const fn unknown(reason: Reason) -> CallOutcome {
+    CallOutcome::Unknown { reason, status: 0 }
 }
 
-const fn not_run(why: NotRun) -> Answer {
-    let reason = match why {
+const fn not_run(cause: NotRun) -> CallOutcome {
+    let reason = match cause {
         NotRun::NoLease => Reason::NoLease,
         NotRun::Draining => Reason::Draining,
         NotRun::Full => Reason::Overload,
         NotRun::FutureKey => Reason::KeyUnknown,
     };
-    Answer::NotRun {
+    CallOutcome::NotRun {
         reason,
-        retry: Some(LEASE_RETRY),
+        retry_after: Some(LEASE_RETRY_DELAY),
     }
 }
 
--- a/agent/src/orders.rs
+++ b/agent/src/orders.rs
@@ -17,13 +17,13 @@
 use crate::node::Node;
 
 /// The longest wait for the engine to take an order; loading goes on after it.
-const ORDER_LIMIT: Duration = Duration::from_secs(5);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Checks an order, passes it on and answers it.
 pub(crate) async fn run(node: Arc<Node>, link: LinkSender, order: Order) {
     let (accepted, reason) = match check(&node, &order) {
         Ok(GateOutcome::Repeated) => (true, "repeated".to_owned()),
-        Ok(GateOutcome::New) => pass_on(&node, &order).await,
+        Ok(GateOutcome::New) => forward(&node, &order).await,
         Err(reason) => (false, reason),
     };
     log::info!(target: "placement", event = "order", order = order.order, fence = order.fence, verb = order.verb.as_str(), model = order.model.as_str(), version = order.version.as_str(), accepted = accepted, reason = reason.as_str(); "");
@@ -53,13 +53,13 @@
         .map_err(|error| error.to_string())
 }
 
-async fn pass_on(node: &Node, order: &Order) -> (bool, String) {
+async fn forward(node: &Node, order: &Order) -> (bool, String) {
     let body = serde_json::json!({
         "fence": order.fence, "verb": order.verb, "model": order.model,
         "version": order.version, "adapter": order.adapter, "role": order.role,
     });
     let timeout = async {
-        Timer::after(ORDER_LIMIT).await;
+        Timer::after(ORDER_TIMEOUT).await;
         None
     };
     let status = node.endpoint.post("/orders", &body).or(timeout).await;
--- a/agent/src/owner.rs
+++ b/agent/src/owner.rs
@@ -47,30 +47,30 @@
 use crate::settings::Raw;
 
 /// The pause between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The pause between two reads while something is claimed or awaited.
-const READ_SOON: Duration = Duration::from_millis(250);
+const READ_INTERVAL_ACTIVE: Duration = Duration::from_millis(250);
 
 /// The pause between two reads while nothing is expected.
 ///
 /// A joining agent's seat is seen after this time at the latest. At 680 agents
 /// it makes 45 reads a second in all, were every pool non-idempotent.
-const READ_LATER: Duration = Duration::from_secs(15);
+const READ_INTERVAL_IDLE: Duration = Duration::from_secs(15);
 
 /// The time after a release by another agent in which its slots are looked for.
 ///
 /// Bounded, so that a release that can't be read yet costs a few reads alone.
-const SEEK: Duration = Duration::from_secs(2);
+const SEEK_PERIOD: Duration = Duration::from_secs(2);
 
 /// The time after the start in which the other agents' seats are looked for.
-const START: Duration = Duration::from_secs(5);
+const START_PERIOD: Duration = Duration::from_secs(5);
 
 /// The most bytes of one read.
-const READ_LIMIT: Bytes = Bytes(1 << 20);
+const READ_MAX: Bytes = Bytes(1 << 20);
 
 /// How long a leaving agent tries to release its leases.
-const RELEASE_LIMIT: Duration = Duration::from_secs(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The slots and keys of this incarnation.
 #[derive(Debug)]
@@ -80,9 +80,9 @@
     /// Notified whenever a call ends.
     ended: Event,
     /// Notified whenever slots are won or lost.
-    moved: Event,
+    slots_changed: Event,
     /// Set when another agent of the pool is said to have given slots up.
-    sought: AtomicBool,
+    slots_freed: AtomicBool,
     leaving: Flag,
     released: Flag,
 }
@@ -95,11 +95,11 @@
 }
 
 impl Owner {
-    pub(crate) fn new(own: &Raw, me: LeaseHolder, term: LeaseTerm, clock: Clock) -> Self {
-        let seed = me.incarnation.0;
-        let share = SlotShare::new(&own.endpoint.pool, &me);
+    pub(crate) fn new(own: &Raw, lease_holder: LeaseHolder, term: LeaseTerm, clock: Clock) -> Self {
+        let seed = lease_holder.incarnation.0;
+        let share = SlotShare::new(&own.endpoint.pool, &lease_holder);
         let state = State {
-            holder: Holder::new(me, term, Offset(0), seed),
+            holder: Holder::new(lease_holder, term, Offset(0), seed),
             share,
             gate: OnceGate::new(TableLimits::default()),
         };
@@ -107,8 +107,8 @@
             clock,
             state: Mutex::new(state),
             ended: Event::new(),
-            moved: Event::new(),
-            sought: AtomicBool::new(false),
+            slots_changed: Event::new(),
+            slots_freed: AtomicBool::new(false),
             leaving: Flag::default(),
             released: Flag::default(),
         }
@@ -146,23 +146,23 @@
         self.ended.notify(usize::MAX);
     }
 
-    pub(crate) fn ask(&self, key: &OnceKey) -> Verdict {
+    pub(crate) fn look_up(&self, key: &OnceKey) -> Verdict {
         self.state().gate.ask(key)
     }
 
     /// Returns what wakes up when any call ends.
-    pub(crate) fn listen(&self) -> EventListener {
+    pub(crate) fn listen_ended(&self) -> EventListener {
         self.ended.listen()
     }
 
     /// Returns what wakes up when slots are won or lost.
-    pub(crate) fn listen_moved(&self) -> EventListener {
-        self.moved.listen()
+    pub(crate) fn listen_slots(&self) -> EventListener {
+        self.slots_changed.listen()
     }
 
     /// Looks soon for slots that another agent gave up.
-    pub(crate) fn seek(&self) {
-        self.sought.store(true, Ordering::SeqCst);
+    pub(crate) fn on_slots_freed(&self) {
+        self.slots_freed.store(true, Ordering::SeqCst);
     }
 
     /// Returns the slots that are owned at this moment.
@@ -185,7 +185,7 @@
     pub(crate) async fn release(&self) {
         self.leaving.set();
         let limit = async {
-            Timer::after(RELEASE_LIMIT).await;
+            Timer::after(RELEASE_TIMEOUT).await;
         };
         self.released.wait().or(limit).await;
     }
@@ -195,15 +195,15 @@
         let mut reader = Reader::new(self.state().holder.me().incarnation.0);
         let work = async {
             loop {
-                self.turn(log.as_ref(), &mut reader).await;
-                Timer::after(LOOK).await;
+                self.step(log.as_ref(), &mut reader).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         };
         work.or(stop.wait()).await;
     }
 
-    async fn turn(&self, log: &dyn LogStore, reader: &mut Reader) {
-        if let Some(record) = self.due() {
+    async fn step(&self, log: &dyn LogStore, reader: &mut Reader) {
+        if let Some(record) = self.next_record() {
             let append = Append {
                 topic: Topic::leases(),
                 records: vec![record.encode()],
@@ -214,29 +214,29 @@
             log::debug!(target: "lease", event = "lease-append", step = kind, end = format!("{end:?}").as_str(); "");
             let now = self.clock.now();
             self.state().holder.answered(now, record.id, &end);
-            reader.soon();
+            reader.read_now();
             if matches!(record.body, Body::Lease(LeaseRecord::Release { .. })) {
-                self.moved.notify(usize::MAX);
+                self.slots_changed.notify(usize::MAX);
             }
         }
-        if self.sought.swap(false, Ordering::SeqCst) {
+        if self.slots_freed.swap(false, Ordering::SeqCst) {
             reader.seek(self.clock.now());
         }
         if reader.is_due(self) {
             self.read(log, reader).await;
         }
-        if self.leaving.is_set() && self.is_empty() {
+        if self.leaving.is_set() && self.is_released() {
             self.released.set();
         }
     }
 
-    fn is_empty(&self) -> bool {
+    fn is_released(&self) -> bool {
         let state = self.state();
         let now = self.clock.now();
         !state.holder.is_waiting() && state.holder.all_held(now).next().is_none()
     }
 
-    fn due(&self) -> Option<Record> {
+    fn next_record(&self) -> Option<Record> {
         let mut state = self.state();
         let State { holder, share, .. } = &mut *state;
         let now = self.clock.now();
@@ -255,26 +255,26 @@
             topic: Topic::leases(),
             from,
             wait: Duration::ZERO,
-            limit: READ_LIMIT,
+            limit: READ_MAX,
         };
         metrics::counter!("snipeyoke_log_reads_total", "topic" => "leases").increment(1);
         let end = log.read(read).await;
         let now = self.clock.now();
         match end {
             ReadEnd::Records { records, end, .. } => {
-                let read_to = self.take(from, &records);
-                reader.answered(now, read_to < end || self.is_unsettled());
+                let read_to = self.apply_records(from, &records);
+                reader.on_success(now, read_to < end || self.is_unsettled());
             }
             ReadEnd::Gone { first } => {
                 log::warn!(target: "lease", event = "lease-behind", first = first.0, remedy = "keep the log's records for hours"; "");
                 self.state().holder.behind(first);
-                reader.answered(now, true);
+                reader.on_success(now, true);
             }
-            ReadEnd::Failed => reader.failed(now),
+            ReadEnd::Failed => reader.on_failure(now),
         }
     }
 
-    fn take(&self, from: Offset, records: &[Vec<u8>]) -> Offset {
+    fn apply_records(&self, from: Offset, records: &[Vec<u8>]) -> Offset {
         let mut state = self.state();
         let now = self.clock.now();
         let before = state.share.owned(&state.holder, now);
@@ -287,7 +287,7 @@
         if before != after {
             log::info!(target: "lease", event = "slots-owned", pool = state.share.pool().as_str(), slots = after.len(), before = before.len(); "");
             metrics::gauge!("snipeyoke_slots_owned").set(after.len() as f64);
-            self.moved.notify(usize::MAX);
+            self.slots_changed.notify(usize::MAX);
         }
         state.holder.fold().next()
     }
@@ -296,7 +296,7 @@
     fn is_unsettled(&self) -> bool {
         let state = self.state();
         let now = self.clock.now();
-        let starting = now < Time::ZERO + START;
+        let starting = now < Time::ZERO + START_PERIOD;
         let waiting = state.holder.is_waiting() || !state.holder.is_complete(now);
         starting || waiting || state.share.is_short()
     }
@@ -314,41 +314,46 @@
 /// When to read next.
 #[derive(Debug)]
 struct Reader {
-    next: Time,
+    next_read: Time,
     /// Until when slots are looked for that another agent gave up.
-    seeks: Time,
+    seek_until: Time,
     backoff: Backoff,
 }
 
 impl Reader {
     fn new(seed: u64) -> Self {
         Self {
-            next: Time::ZERO,
-            seeks: Time::ZERO,
+            next_read: Time::ZERO,
+            seek_until: Time::ZERO,
             backoff: Backoff::new(seed),
         }
     }
 
-    const fn soon(&mut self) {
-        self.next = Time::ZERO;
+    const fn read_now(&mut self) {
+        self.next_read = Time::ZERO;
     }
 
     fn seek(&mut self, now: Time) {
-        self.seeks = now + SEEK;
-        self.soon();
+        self.seek_until = now + SEEK_PERIOD;
+        self.read_now();
     }
 
     fn is_due(&self, owner: &Owner) -> bool {
-        owner.clock.now() >= self.next
+        owner.clock.now() >= self.next_read
     }
 
-    fn answered(&mut self, now: Time, soon: bool) {
+    fn on_success(&mut self, now: Time, soon: bool) {
         self.backoff.succeeded();
-        let soon = soon || now < self.seeks;
-        self.next = now + if soon { READ_SOON } else { READ_LATER };
+        let soon = soon || now < self.seek_until;
+        self.next_read = now
+            + if soon {
+                READ_INTERVAL_ACTIVE
+            } else {
+                READ_INTERVAL_IDLE
+            };
     }
 
-    fn failed(&mut self, now: Time) {
-        self.next = now + self.backoff.failed();
+    fn on_failure(&mut self, now: Time) {
+        self.next_read = now + self.backoff.failed();
     }
 }
--- a/agent/src/peers.rs
+++ b/agent/src/peers.rs
@@ -29,7 +29,7 @@
 use crate::report;
 
 /// The pause after a failed accept, so that a lack of descriptors can't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The calls of one link that have no reply yet, by number.
 type Calls = Arc<Mutex<BTreeMap<u64, Running>>>;
@@ -54,7 +54,7 @@
             Some(Ok((stream, _peer))) => start(&node, stream),
             Some(Err(error)) => {
                 log::warn!(event = "accept-failed", error = error.to_string().as_str(), remedy = "raise the descriptor limit"; "");
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -69,9 +69,9 @@
             log::debug!(event = "link-write-failed", error = error.to_string().as_str(); "");
         }
     });
-    let owner = Arc::clone(node);
+    let task_node = Arc::clone(node);
     node.scope
-        .spawn(async move { serve(owner, sender, reader).await });
+        .spawn(async move { serve(task_node, sender, reader).await });
 }
 
 async fn serve(node: Arc<Node>, sender: LinkSender, mut reader: LinkReader) {
@@ -81,10 +81,10 @@
     // it has one.
     let first = [
         Body::Hello(node.hello()),
-        Body::Heartbeat(report::frame(&node, 0)),
+        Body::Heartbeat(report::heartbeat(&node, 0)),
     ];
     if first.into_iter().any(|frame| sender.send(frame).is_err()) {
-        node.drop_link(id);
+        node.remove_link(id);
         return;
     }
     let stopped = async {
@@ -94,8 +94,8 @@
     let mut stopped = Box::pin(stopped);
     loop {
         match reader.next().or(&mut stopped).await {
-            Ok(Some(Body::Heartbeat(heartbeat))) => node.heard(id, &heartbeat),
-            Ok(Some(body)) => receive(&node, &sender, &calls, body),
+            Ok(Some(Body::Heartbeat(heartbeat))) => node.on_heartbeat(id, &heartbeat),
+            Ok(Some(body)) => handle_frame(&node, &sender, &calls, body),
             Ok(None) => break,
             Err(error) => {
                 log::info!(event = "link-failed", error = error.to_string().as_str(); "");
@@ -103,12 +103,12 @@
             }
         }
     }
-    node.drop_link(id);
+    node.remove_link(id);
     sender.close();
-    abandon(&calls);
+    cancel_idempotent(&calls);
 }
 
-fn receive(node: &Arc<Node>, sender: &LinkSender, calls: &Calls, body: Body) {
+fn handle_frame(node: &Arc<Node>, sender: &LinkSender, calls: &Calls, body: Body) {
     match body {
         Body::Call(call) => start_call(node, sender, calls, call),
         Body::Cancel(cancel) => {
@@ -118,14 +118,14 @@
             }
         }
         Body::Order(order) => {
-            let owner = Arc::clone(node);
+            let task_node = Arc::clone(node);
             let link = sender.clone();
             node.scope
-                .spawn(async move { orders::run(owner, link, order).await });
+                .spawn(async move { orders::run(task_node, link, order).await });
         }
         Body::ConfigAsk(ask) => {
             for offer in node.config_store.offers_since(Offset(ask.have)) {
-                pass_on(sender, Body::ConfigOffer(offer));
+                send_config(sender, Body::ConfigOffer(offer));
             }
         }
         Body::ConfigOffer(offer) => {
@@ -133,11 +133,11 @@
             if node.config_store.apply_offer(now, &offer, |_, _, _| {}).gap
                 && let Some(ask) = node.config_store.request(now)
             {
-                pass_on(sender, Body::ConfigAsk(ask));
+                send_config(sender, Body::ConfigAsk(ask));
             }
         }
-        Body::SlotsFreed(freed) => seek(node, &freed),
-        Body::Ask(ask) => start_ask(node, sender, &ask),
+        Body::SlotsFreed(freed) => on_slots_freed(node, &freed),
+        Body::Ask(ask) => start_lookup(node, sender, &ask),
         Body::Hello(hello) => {
             log::info!(event = "link-up", peer = hello.node.as_str(), incarnation = hello.incarnation; "");
         }
@@ -156,11 +156,11 @@
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .insert(number, running);
-    let owner = Arc::clone(node);
+    let task_node = Arc::clone(node);
     let sender = sender.clone();
     let calls = Arc::clone(calls);
     node.scope.spawn(async move {
-        calls::run(&owner, &sender, call, cancel).await;
+        calls::run(&task_node, &sender, call, cancel).await;
         calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -168,24 +168,24 @@
     });
 }
 
-fn pass_on(sender: &LinkSender, body: Body) {
+fn send_config(sender: &LinkSender, body: Body) {
     if let Err(error) = sender.send(body) {
         log::debug!(event = "config-unsent", error = error.to_string().as_str(); "");
     }
 }
 
-fn seek(node: &Node, freed: &SlotsFreed) {
+fn on_slots_freed(node: &Node, freed: &SlotsFreed) {
     let same = freed.pool == node.settings.endpoint.pool.as_str();
     // A draining agent would only have to give them up again.
     if let Some(owner) = &node.owner
         && same
         && !node.drain.is_set()
     {
-        owner.seek();
+        owner.on_slots_freed();
     }
 }
 
-fn start_ask(node: &Arc<Node>, sender: &LinkSender, ask: &Ask) {
+fn start_lookup(node: &Arc<Node>, sender: &LinkSender, ask: &Ask) {
     let key = ask.key.as_ref().and_then(once::key_of);
     let (Some(owner), Some(key)) = (node.owner.clone(), key) else {
         return;
@@ -193,12 +193,12 @@
     let number = ask.ask;
     let sender = sender.clone();
     node.scope.spawn(async move {
-        let answer = once::ask(&owner, &key).await;
-        let told = Told {
+        let outcome = once::look_up(&owner, &key).await;
+        let response = Told {
             ask: number,
-            reply: Some(calls::reply_of(0, answer, Duration::ZERO)),
+            reply: Some(calls::reply_from(0, outcome, Duration::ZERO)),
         };
-        if sender.send(Body::Told(told)).is_err() {
+        if sender.send(Body::Told(response)).is_err() {
             log::debug!(event = "told-lost", ask = number; "");
         }
     });
@@ -208,7 +208,7 @@
 ///
 /// A non-idempotent call goes on: its router may ask for the result on another
 /// link, and a cancelled effect would leave nothing to tell.
-fn abandon(calls: &Calls) {
+fn cancel_idempotent(calls: &Calls) {
     let calls = calls.lock().unwrap_or_else(PoisonError::into_inner);
     for running in calls.values().filter(|r| r.idempotent) {
         running.cancel.set();
--- a/agent/src/report.rs
+++ b/agent/src/report.rs
@@ -22,10 +22,10 @@
 ///
 /// At 8 routers an agent and some 120 bytes a report this is 2 KB/s, well
 /// below the 30 KB/s that a node may spend on control.
-pub(crate) const REPORT_EVERY: Duration = Duration::from_millis(500);
+pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The longest wait for the endpoint's own report.
-const POLL_LIMIT: Duration = Duration::from_millis(400);
+const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What an engine says of its load.
 #[derive(Debug, Clone, Default)]
@@ -46,9 +46,9 @@
 
 /// The newest report of the endpoint and when it came.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Seen {
+pub(crate) struct EndpointStatus {
     load: EngineLoad,
-    at: Time,
+    received_at: Time,
     healthy: bool,
 }
 
@@ -71,9 +71,9 @@
     block: String,
 }
 
-impl Seen {
+impl EndpointStatus {
     /// Combines the endpoint's report with what the gate has admitted.
-    pub(crate) fn frame(&self, node: &Node) -> Load {
+    pub(crate) fn load_frame(&self, node: &Node) -> Load {
         let admitted = node.gate.admitted();
         let own = &self.load;
         let slots = if own.slots == 0 {
@@ -81,7 +81,7 @@
         } else {
             own.slots
         };
-        let age = node.clock.now().since(self.at) + Duration::from_millis(own.age_ms);
+        let age = node.clock.now().since(self.received_at) + Duration::from_millis(own.age_ms);
         // The gate knows each call at once, the endpoint's report lags: the
         // greater of the two never hides work.
         let active = own.active.max(admitted.active.min(slots));
@@ -107,26 +107,26 @@
 /// Polls the endpoint and reports to every router until the agent stops.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut cache = (0, 0);
-    let mut moved = false;
+    let mut slots_changed = false;
     while !node.stop.is_set() {
         // The listener comes before the report: a move between the two would
         // otherwise wait for the next one.
-        let listener = node.owner.as_ref().map(|o| o.listen_moved());
-        poll(&node).await;
-        let seq = node.seq.fetch_add(1, Ordering::SeqCst) + 1;
-        node.beat(&frame(&node, seq), moved);
+        let listener = node.owner.as_ref().map(|o| o.listen_slots());
+        poll_endpoint(&node).await;
+        let seq = node.heartbeat_seq.fetch_add(1, Ordering::SeqCst) + 1;
+        node.send_heartbeats(&heartbeat(&node, seq), slots_changed);
         if node.settings.endpoint.kind == EndpointKind::Engine {
             cache = report_cache(&node, cache).await;
         }
         let pause = async {
-            Timer::after(REPORT_EVERY).await;
+            Timer::after(REPORT_INTERVAL).await;
             false
         };
         let stopped = async {
             node.stop.wait().await;
             false
         };
-        moved = pause.or(stopped).or(slots_moved(listener)).await;
+        slots_changed = pause.or(stopped).or(slot_change(listener)).await;
     }
 }
 
@@ -134,7 +134,7 @@
 ///
 /// Callers wait at the routers for a slot's next owner, so that its news
 /// doesn't wait for the next report.
-async fn slots_moved(listener: Option<EventListener>) -> bool {
+async fn slot_change(listener: Option<EventListener>) -> bool {
     match listener {
         Some(listener) => listener.await,
         None => std::future::pending().await,
@@ -143,7 +143,7 @@
 }
 
 /// Builds a heartbeat with the load at this moment.
-pub(crate) fn frame(node: &Node, seq: u64) -> Heartbeat {
+pub(crate) fn heartbeat(node: &Node, seq: u64) -> Heartbeat {
     let config = {
         let fold = node.config_store.fold();
         (fold.next(), fold.revision())
@@ -155,12 +155,12 @@
         config_offset: config.0.0,
         config_revision: config.1.0,
         load: Some(node.load()),
-        slots: slots(node),
+        slots: owned_slots(node),
         ..Heartbeat::default()
     }
 }
 
-fn slots(node: &Node) -> Vec<OwnedSlot> {
+fn owned_slots(node: &Node) -> Vec<OwnedSlot> {
     let owned = node.owner.as_ref().map(|o| o.slots()).unwrap_or_default();
     let slots = owned.into_iter().map(|(slot, fence)| OwnedSlot {
         slot: u32::from(slot.number()),
@@ -169,21 +169,21 @@
     slots.collect()
 }
 
-async fn poll(node: &Node) {
+async fn poll_endpoint(node: &Node) {
     let path = match node.settings.endpoint.kind {
         EndpointKind::Engine => "/load",
         EndpointKind::Plain => "/health",
     };
     let timeout = async {
-        Timer::after(POLL_LIMIT).await;
+        Timer::after(POLL_TIMEOUT).await;
         None
     };
     let body = node.endpoint.get(path).or(timeout).await;
-    let old = node.seen.get();
+    let previous = node.endpoint_status.get();
     let Some(body) = body else {
-        node.seen.set(Seen {
+        node.endpoint_status.set(EndpointStatus {
             healthy: false,
-            ..Seen::clone(&old)
+            ..EndpointStatus::clone(&previous)
         });
         return;
     };
@@ -191,9 +191,9 @@
         EndpointKind::Engine => serde_json::from_slice(&body).unwrap_or_default(),
         EndpointKind::Plain => EngineLoad::default(),
     };
-    node.seen.set(Seen {
+    node.endpoint_status.set(EndpointStatus {
         load,
-        at: node.clock.now(),
+        received_at: node.clock.now(),
         healthy: true,
     });
 }
@@ -201,7 +201,7 @@
 async fn report_cache(node: &Node, (epoch, since): (u64, u64)) -> (u64, u64) {
     let path = format!("/cache/events?since={since}&wait_ms=0");
     let timeout = async {
-        Timer::after(POLL_LIMIT).await;
+        Timer::after(POLL_TIMEOUT).await;
         None
     };
     let Some(body) = node.endpoint.get(&path).or(timeout).await else {
@@ -210,7 +210,7 @@
     let Ok(page) = serde_json::from_slice::<CachePage>(&body) else {
         return (epoch, since);
     };
-    let pick = |op: &str| {
+    let blocks_with_op = |op: &str| {
         let chosen = page.events.iter().filter(|e| e.op == op);
         chosen
             .filter_map(|e| u64::from_str_radix(&e.block, 16).ok())
@@ -219,8 +219,8 @@
     let events = CacheEvents {
         epoch: page.epoch,
         first: page.first,
-        added: pick("add"),
-        dropped: pick("drop"),
+        added: blocks_with_op("add"),
+        dropped: blocks_with_op("drop"),
         gap: page.gap || page.epoch != epoch,
     };
     if events.gap || !events.added.is_empty() || !events.dropped.is_empty() {
--- a/agent/src/settings.rs
+++ b/agent/src/settings.rs
@@ -44,13 +44,13 @@
     ///
     /// Longer: non-idempotent calls go on for longer while the log is away.
     /// Shorter: the slots of an agent that died are taken over sooner.
-    #[serde(default = "lease")]
+    #[serde(default = "default_lease_s")]
     pub lease_s: u64,
     /// The number of traffic threads.
-    #[serde(default = "one")]
+    #[serde(default = "default_threads")]
     pub threads: usize,
     /// The log filter: `LEVEL` or `TARGET=LEVEL,…`.
-    #[serde(default = "info")]
+    #[serde(default = "default_log")]
     pub log: String,
 }
 
@@ -60,15 +60,15 @@
 /// agent's share of keys is refused for no longer.
 pub const LEASE_S: u64 = 600;
 
-const fn lease() -> u64 {
+const fn default_lease_s() -> u64 {
     LEASE_S
 }
 
-const fn one() -> usize {
+const fn default_threads() -> usize {
     1
 }
 
-fn info() -> String {
+fn default_log() -> String {
     "info".to_owned()
 }
 
--- a/agent/src/sse.rs
+++ b/agent/src/sse.rs
@@ -6,13 +6,13 @@
 
 /// Collects bytes and gives back the data of whole events.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
-    rest: BytesMut,
+pub(crate) struct EventDecoder {
+    buffer: BytesMut,
 }
 
-impl Events {
-    pub(crate) fn push(&mut self, piece: &[u8]) {
-        self.rest.extend_from_slice(piece);
+impl EventDecoder {
+    pub(crate) fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Returns the data of the next whole event.
@@ -21,17 +21,17 @@
     /// reach a caller as if it were a token.
     pub(crate) fn next(&mut self) -> Option<Bytes> {
         loop {
-            let end = self.rest.windows(2).position(|w| w == b"\n\n")?;
-            let event = self.rest.split_to(end).freeze();
-            self.rest.advance(2);
-            if let Some(data) = data_of(&event) {
+            let end = self.buffer.windows(2).position(|w| w == b"\n\n")?;
+            let event = self.buffer.split_to(end).freeze();
+            self.buffer.advance(2);
+            if let Some(data) = event_data(&event) {
                 return Some(data);
             }
         }
     }
 }
 
-fn data_of(event: &Bytes) -> Option<Bytes> {
+fn event_data(event: &Bytes) -> Option<Bytes> {
     let line = event
         .split(|&b| b == b'\n')
         .find(|l| l.starts_with(b"data:"))?;
--- a/runtime/src/config_store.rs
+++ b/runtime/src/config_store.rs
@@ -50,15 +50,15 @@
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     fold: Mutex<Fold>,
-    asked: Mutex<Option<Asked>>,
+    pending_request: Mutex<Option<PendingRequest>>,
 }
 
 /// The question whose answer is on its way.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct PendingRequest {
     have: Offset,
     /// When it was sent, or its answer last came further.
-    moved: Time,
+    progress_at: Time,
 }
 
 impl ConfigStore {
@@ -81,12 +81,16 @@
     /// one has to come.
     pub fn request(&self, now: Time) -> Option<ConfigAsk> {
         let have = self.next();
-        let mut asked = self.asked();
-        let comes = |a: Asked| a.have == have && now.since(a.moved) < REQUEST_STALL;
-        if asked.is_some_and(comes) {
+        let mut pending = self.pending_request();
+        let is_awaited =
+            |p: PendingRequest| p.have == have && now.since(p.progress_at) < REQUEST_STALL;
+        if pending.is_some_and(is_awaited) {
             return None;
         }
-        *asked = Some(Asked { have, moved: now });
+        *pending = Some(PendingRequest {
+            have,
+            progress_at: now,
+        });
         Some(ConfigAsk { have: have.0 })
     }
 
@@ -112,8 +116,10 @@
         offer_records(have, records)
     }
 
-    fn asked(&self) -> MutexGuard<'_, Option<Asked>> {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending_request(&self) -> MutexGuard<'_, Option<PendingRequest>> {
+        self.pending_request
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Builds the answer to a process that has everything below an offset.
@@ -144,34 +150,34 @@
         &self,
         now: Time,
         offer: &ConfigOffer,
-        mut note: impl FnMut(&Fold, Offset, &Applied),
+        mut on_applied: impl FnMut(&Fold, Offset, &Applied),
     ) -> OfferOutcome {
         let mut fold = self.fold();
         let before = fold.revision();
-        let mut taken = OfferOutcome::default();
+        let mut outcome = OfferOutcome::default();
         // All links of a process that starts offer it the same: what is left
         // of it once the first is taken is not even parsed.
         if offer.next <= fold.next().0 {
-            return taken;
+            return outcome;
         }
         if offer.records.is_empty() {
-            taken.gap = true;
-            return taken;
+            outcome.gap = true;
+            return outcome;
         }
-        if let Some(asked) = self.asked().as_mut() {
-            asked.moved = now;
+        if let Some(pending) = self.pending_request().as_mut() {
+            pending.progress_at = now;
         }
         if let Some(body) = offered_state(offer) {
-            taken.changed = match &body {
+            outcome.changed = match &body {
                 Body::Snapshot(snapshot) => fold.adopt(snapshot),
                 Body::SnapshotPart(part) => fold.adopt_part(part),
                 Body::ConfigChange { .. } | Body::Lease(_) => false,
             };
-            if taken.changed {
+            if outcome.changed {
                 let next = fold.next();
-                note(&fold, next, &Applied::Restored { next });
+                on_applied(&fold, next, &Applied::Restored { next });
             }
-            return taken;
+            return outcome;
         }
         let first = offer.next.saturating_sub(offer.records.len() as u64);
         for (offset, bytes) in (first..).map(Offset).zip(&offer.records) {
@@ -179,17 +185,17 @@
             match applied {
                 Applied::Old => {}
                 Applied::Gap { .. } => {
-                    taken.gap = true;
+                    outcome.gap = true;
                     break;
                 }
                 applied => {
-                    note(&fold, offset, &applied);
-                    taken.applied.push((bytes.clone(), applied));
+                    on_applied(&fold, offset, &applied);
+                    outcome.applied.push((bytes.clone(), applied));
                 }
             }
         }
-        taken.changed = fold.revision() != before;
-        taken
+        outcome.changed = fold.revision() != before;
+        outcome
     }
 }
 
--- a/runtime/src/faults.rs
+++ b/runtime/src/faults.rs
@@ -21,28 +21,28 @@
 use rustix::time::ClockId;
 
 /// The longest line in bytes.
-const LINE: usize = 1_024;
+const LINE_BYTES: usize = 1_024;
 
 /// The bytes of the stack that are searched for return addresses.
-const STACK: usize = 4 * 1_024;
+const STACK_BYTES: usize = 4 * 1_024;
 
 /// How long the process outlives its report.
 ///
 /// Where standard error is passed on by whoever runs the process, lines
 /// written in its last instant are lost with it.
-const LAST_WORDS: Duration = Duration::from_millis(5);
+const REPORT_GRACE: Duration = Duration::from_millis(5);
 
 /// The size of a page of memory in bytes, or a part of it.
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
 /// The bytes of code that are told from the instruction on.
-const CODE: usize = 16;
+const CODE_BYTES: usize = 16;
 
 /// The bytes of code that are told before the instruction.
-const CODE_BEFORE: usize = 8;
+const CODE_BEFORE_BYTES: usize = 8;
 
 /// The most return addresses that are told.
-const FRAMES: usize = 16;
+const FRAMES_MAX: usize = 16;
 
 /// Reports fatal signals of this process from now until its end.
 ///
@@ -54,14 +54,14 @@
 pub fn install(program: &'static str) -> Result<(), crash_handler::Error> {
     let report = Report {
         program,
-        objects: objects().unwrap_or_else(|error| {
+        objects: mapped_objects().unwrap_or_else(|error| {
             eprintln!("{program}: /proc/self/maps: {error}; a fatal signal will be told without the names of programs and libraries");
             Vec::new()
         }),
     };
     // SAFETY: the closure only formats into memory of its own stack and makes
     // system calls that are safe in a signal handler.
-    let event = unsafe { crash_handler::make_crash_event(move |context| report.tell(context)) };
+    let event = unsafe { crash_handler::make_crash_event(move |context| report.write(context)) };
     // Dropped, the handler would be taken away again; threads may still fault
     // while the process exits.
     std::mem::forget(CrashHandler::attach(event)?);
@@ -86,8 +86,8 @@
 }
 
 impl Report {
-    fn tell(&self, context: &CrashContext) -> CrashEventResult {
-        let signal = Fatal::from(context);
+    fn write(&self, context: &CrashContext) -> CrashEventResult {
+        let signal = FatalSignal::from(context);
         // Who runs the process may keep its last two lines only: these tell most.
         // Writing beyond the end of a line cuts it, and fails otherwise never.
         let mut line = Line::default();
@@ -99,13 +99,13 @@
         let mut line = Line::default();
         let _cut = self.describe_stack(&mut line, signal.stack_pointer);
         line.write_out();
-        thread::sleep(LAST_WORDS);
+        thread::sleep(REPORT_GRACE);
         // The standard library's handler tells an overflow of the stack and
         // aborts. It takes a signal that another process sent for handled.
         CrashEventResult::Handled(signal.is_sent)
     }
 
-    fn describe(&self, line: &mut Line, signal: &Fatal, tid: i32) -> fmt::Result {
+    fn describe(&self, line: &mut Line, signal: &FatalSignal, tid: i32) -> fmt::Result {
         let now = rustix::time::clock_gettime(ClockId::Realtime);
         let millis = now.tv_sec * 1_000 + now.tv_nsec / 1_000_000;
         let mut name = [0; 32];
@@ -136,33 +136,33 @@
     // Words on the stack that point into code are its return addresses, among
     // a few leftovers of earlier calls.
     fn describe_stack(&self, line: &mut Line, pointer: u64) -> fmt::Result {
-        let mut bytes = [0; STACK];
+        let mut bytes = [0; STACK_BYTES];
         // A stack that overflowed ends on a page that can't be read.
-        let next_page = (pointer | (PAGE - 1)).wrapping_add(1);
+        let next_page = (pointer | (PAGE_BYTES - 1)).wrapping_add(1);
         let length = read_own_memory(&mut bytes, pointer)
             .or_else(|_unmapped| read_own_memory(&mut bytes, next_page))
             .unwrap_or(0);
         write!(line, "event=fatal-signal-stack frames=")?;
         let words = bytes[..length].chunks_exact(8);
-        let mut told = 0;
+        let mut written = 0;
         for word in words.map(|w| u64::from_ne_bytes(w.try_into().unwrap_or_default())) {
-            if told == FRAMES {
+            if written == FRAMES_MAX {
                 break;
             }
             if self.object_of(word).is_some() {
-                if told > 0 {
+                if written > 0 {
                     write!(line, ",")?;
                 }
                 self.describe_address(line, word)?;
-                told += 1;
+                written += 1;
             }
         }
         Ok(())
     }
 
     fn object_of(&self, address: u64) -> Option<&Object> {
-        let holds = |o: &&Object| (o.start..o.end).contains(&address);
-        self.objects.iter().find(holds)
+        let contains = |o: &&Object| (o.start..o.end).contains(&address);
+        self.objects.iter().find(contains)
     }
 }
 
@@ -170,10 +170,10 @@
 /// what the object's file holds.
 fn describe_code(line: &mut Line, instruction: u64) -> fmt::Result {
     write!(line, " at=")?;
-    describe_memory(line, &mut [0; CODE], instruction)?;
+    describe_memory(line, &mut [0; CODE_BYTES], instruction)?;
     write!(line, " before=")?;
-    let before = instruction.wrapping_sub(CODE_BEFORE as u64);
-    describe_memory(line, &mut [0; CODE_BEFORE], before)
+    let before = instruction.wrapping_sub(CODE_BEFORE_BYTES as u64);
+    describe_memory(line, &mut [0; CODE_BEFORE_BYTES], before)
 }
 
 /// Writes bytes of this process's memory, or `-` where nothing is mapped.
@@ -190,7 +190,7 @@
 
 /// A signal that ends the process.
 #[derive(Debug)]
-struct Fatal {
+struct FatalSignal {
     number: u32,
     code: i32,
     /// Whether a process sent it; otherwise an instruction caused it.
@@ -201,7 +201,7 @@
     stack_pointer: u64,
 }
 
-impl From<&CrashContext> for Fatal {
+impl From<&CrashContext> for FatalSignal {
     fn from(context: &CrashContext) -> Self {
         let info = &context.siginfo;
         // The library copies the kernel's `siginfo_t` over this structure: bytes
@@ -249,11 +249,11 @@
         ("r15", 7),
     ];
     write!(line, "event=fatal-signal-registers")?;
-    for (name, place) in REGISTERS {
+    for (name, index) in REGISTERS {
         write!(
             line,
             " {name}={:#x}",
-            context.context.uc_mcontext.gregs[place]
+            context.context.uc_mcontext.gregs[index]
         )?;
     }
     Ok(())
@@ -275,7 +275,7 @@
 }
 
 /// Returns the code that is mapped into this process.
-fn objects() -> io::Result<Vec<Object>> {
+fn mapped_objects() -> io::Result<Vec<Object>> {
     let maps = fs::read_to_string("/proc/self/maps")?;
     let mut objects = Vec::new();
     let mut base = (0, "");
@@ -345,14 +345,14 @@
 /// One line of text of bounded length, on the stack.
 #[derive(Debug)]
 struct Line {
-    bytes: [u8; LINE],
+    bytes: [u8; LINE_BYTES],
     length: usize,
 }
 
 impl Default for Line {
     fn default() -> Self {
         Self {
-            bytes: [0; LINE],
+            bytes: [0; LINE_BYTES],
             length: 0,
         }
     }
@@ -360,8 +360,8 @@
 
 impl Line {
     fn write_out(&mut self) {
-        self.bytes[self.length.min(LINE - 1)] = b'\n';
-        let length = (self.length + 1).min(LINE);
+        self.bytes[self.length.min(LINE_BYTES - 1)] = b'\n';
+        let length = (self.length + 1).min(LINE_BYTES);
         // Nothing is left to be done if standard error is gone.
         let _written = rustix::io::write(rustix::stdio::stderr(), &self.bytes[..length]);
     }
@@ -369,11 +369,11 @@
 
 impl Write for Line {
     fn write_str(&mut self, s: &str) -> fmt::Result {
-        let room = &mut self.bytes[self.length..LINE - 1];
-        let taken = s.len().min(room.len());
-        room[..taken].copy_from_slice(&s.as_bytes()[..taken]);
-        self.length += taken;
-        if taken == s.len() {
+        let room = &mut self.bytes[self.length..LINE_BYTES - 1];
+        let copied = s.len().min(room.len());
+        room[..copied].copy_from_slice(&s.as_bytes()[..copied]);
+        self.length += copied;
+        if copied == s.len() {
             Ok(())
         } else {
             Err(fmt::Error)
--- a/runtime/src/http/body.rs
+++ b/runtime/src/http/body.rs
@@ -74,16 +74,16 @@
 ///
 /// The stream is dropped when the caller's connection closes.
 #[must_use]
-pub fn streamed(pieces: impl Stream<Item = Bytes> + Send + 'static) -> ReplyBody {
-    abortable(pieces.map(Ok))
+pub fn streamed(chunks: impl Stream<Item = Bytes> + Send + 'static) -> ReplyBody {
+    abortable(chunks.map(Ok))
 }
 
 /// Returns a body whose pieces come one by one, and which may be cut.
 #[must_use]
 pub fn abortable(
-    pieces: impl Stream<Item = Result<Bytes, BodyAborted>> + Send + 'static,
+    chunks: impl Stream<Item = Result<Bytes, BodyAborted>> + Send + 'static,
 ) -> ReplyBody {
-    let frames = pieces.map(|piece| piece.map(Frame::data));
+    let frames = chunks.map(|chunk| chunk.map(Frame::data));
     StreamBody::new(frames).boxed_unsync()
 }
 
@@ -109,13 +109,13 @@
 pub async fn collect_with_progress(
     body: Incoming,
     max: usize,
-    mut note: impl FnMut(usize),
+    mut on_frame: impl FnMut(usize),
 ) -> Result<Bytes, BodyError> {
-    let noted = body.map_frame(|frame| {
-        note(frame.data_ref().map_or(0, Bytes::len));
+    let observed = body.map_frame(|frame| {
+        on_frame(frame.data_ref().map_or(0, Bytes::len));
         frame
     });
-    match Limited::new(noted, max).collect().await {
+    match Limited::new(observed, max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge { max }),
         Err(error) => match error.downcast::<hyper::Error>() {
@@ -127,22 +127,22 @@
 
 /// Returns the same body, which drops `token` once it was sent or given up.
 #[must_use]
-pub fn with_guard(body: ReplyBody, token: impl Send + 'static) -> ReplyBody {
-    let token = Box::new(token);
-    Holding {
+pub fn with_guard(body: ReplyBody, guard: impl Send + 'static) -> ReplyBody {
+    let guard = Box::new(guard);
+    GuardedBody {
         body,
-        _token: token,
+        _guard: guard,
     }
     .boxed_unsync()
 }
 
 /// A body that keeps something alive until it is dropped.
-struct Holding<T> {
+struct GuardedBody<T> {
     body: ReplyBody,
-    _token: Box<T>,
+    _guard: Box<T>,
 }
 
-impl<T> Body for Holding<T> {
+impl<T> Body for GuardedBody<T> {
     type Data = Bytes;
     type Error = BodyAborted;
 
--- a/runtime/src/http/client.rs
+++ b/runtime/src/http/client.rs
@@ -28,7 +28,7 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 /// The idle connections kept to one address.
-const IDLE_MAX: usize = 32;
+const IDLE_CONNS_MAX: usize = 32;
 
 /// The reason why a request got no response.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
 pub struct Client {
     scope: Scope,
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<Sender>>>>,
-    limit: Duration,
+    connect_timeout: Duration,
 }
 
 impl Client {
@@ -66,11 +66,11 @@
     ///
     /// `limit` bounds the time to connect.
     #[must_use]
-    pub fn new(scope: Scope, limit: Duration) -> Self {
+    pub fn new(scope: Scope, connect_timeout: Duration) -> Self {
         Self {
             scope,
             idle: Arc::default(),
-            limit,
+            connect_timeout,
         }
     }
 
@@ -88,9 +88,9 @@
         address: SocketAddr,
         mut request: hyper::Request<Full<Bytes>>,
     ) -> Result<(Response, PooledConn), ClientError> {
-        set_host(&mut request, address);
+        set_host_header(&mut request, address);
         loop {
-            let Some(mut sender) = self.take(address) else {
+            let Some(mut sender) = self.take_idle(address) else {
                 break;
             };
             if sender.ready().await.is_err() {
@@ -106,7 +106,7 @@
                 },
             }
         }
-        let mut sender = self.fresh(address).await?;
+        let mut sender = self.open_conn(address).await?;
         match sender.try_send_request(request).await {
             Ok(response) => Ok((response, PooledConn { sender, address })),
             Err(mut error) => match error.take_message() {
@@ -117,15 +117,15 @@
     }
 
     /// Keeps a connection whose response has been read to its end.
-    pub fn recycle(&self, kept: PooledConn) {
+    pub fn recycle(&self, conn: PooledConn) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let conns = idle.entry(kept.address).or_default();
-        if conns.len() < IDLE_MAX && !kept.sender.is_closed() {
-            conns.push(kept.sender);
+        let conns = idle.entry(conn.address).or_default();
+        if conns.len() < IDLE_CONNS_MAX && !conn.sender.is_closed() {
+            conns.push(conn.sender);
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let conns = idle.get_mut(&address)?;
         while let Some(sender) = conns.pop() {
@@ -136,8 +136,8 @@
         None
     }
 
-    async fn fresh(&self, address: SocketAddr) -> Result<Sender, ClientError> {
-        let stream = connect(address, self.limit)
+    async fn open_conn(&self, address: SocketAddr) -> Result<Sender, ClientError> {
+        let stream = connect(address, self.connect_timeout)
             .await
             .map_err(ClientError::Connect)?;
         set_socket_options(&stream, UNACKED_MAX).map_err(ClientError::Connect)?;
@@ -160,7 +160,7 @@
     address: SocketAddr,
 }
 
-fn set_host(request: &mut hyper::Request<Full<Bytes>>, address: SocketAddr) {
+fn set_host_header(request: &mut hyper::Request<Full<Bytes>>, address: SocketAddr) {
     let host = hyper::header::HeaderValue::try_from(address.to_string());
     if let Ok(host) = host {
         request.headers_mut().insert(hyper::header::HOST, host);
--- a/runtime/src/http/server.rs
+++ b/runtime/src/http/server.rs
@@ -60,12 +60,12 @@
 /// The pause after a failed accept.
 ///
 /// Accept fails when descriptors run out; trying again at once would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The longest time for the head of a request on a connection that comes last.
 ///
 /// A caller that connects and sends nothing would keep the process from ending.
-const LAST_HEAD_TIME: Duration = Duration::from_secs(1);
+const DRAIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Binds a listener.
 ///
@@ -110,21 +110,21 @@
         bounds,
         scope,
     };
-    let kept = || {
+    let lifetime = || {
         let close = if drain.is_set() { &end } else { &drain };
-        Life::Kept(close.clone())
+        ConnLifetime::KeepAlive(close.clone())
     };
-    server.accept_until(end.wait(), kept).await;
+    server.accept_until(end.wait(), lifetime).await;
     // The queue of the listener is looked at first: it is empty at the end.
     server
-        .accept_until(server.scope.join(), || Life::OneRequest)
+        .accept_until(server.scope.join(), || ConnLifetime::OneRequest)
         .await;
 }
 
 /// How long a connection lasts.
-enum Life {
+enum ConnLifetime {
     /// Until it is idle after the flag was set.
-    Kept(Flag),
+    KeepAlive(Flag),
     /// Until its first request was answered.
     OneRequest,
 }
@@ -137,19 +137,23 @@
 }
 
 impl Server {
-    async fn accept_until(&self, over: impl Future<Output = ()>, life: impl Fn() -> Life) {
-        let mut over = pin!(over);
+    async fn accept_until(
+        &self,
+        until: impl Future<Output = ()>,
+        lifetime: impl Fn() -> ConnLifetime,
+    ) {
+        let mut until = pin!(until);
         loop {
             let accepted = async { Some(self.listener.accept().await) };
             let ended = async {
-                over.as_mut().await;
+                until.as_mut().await;
                 None
             };
             match accepted.or(ended).await {
                 None => return,
                 Some(Ok((stream, _peer))) if self.scope.len() < self.bounds.conns => {
                     let handler = Arc::clone(&self.handler);
-                    let conn = connection(stream, handler, self.bounds, life());
+                    let conn = connection(stream, handler, self.bounds, lifetime());
                     self.scope.spawn(conn);
                 }
                 // Beyond the bound the connection is closed unread: nothing ran.
@@ -158,7 +162,7 @@
                 }
                 Some(Err(error)) => {
                     log::warn!(event = "accept-failed", error = error.to_string().as_str(), remedy = "raise the descriptor limit"; "");
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -169,40 +173,40 @@
     stream: Async<TcpStream>,
     handler: Arc<dyn Handler>,
     bounds: Bounds,
-    life: Life,
+    lifetime: ConnLifetime,
 ) {
     // A caller's phone may be out of reach for longer than a host ever is; what
     // an idle caller may take is also the bound for one who is away.
     if set_socket_options(&stream, bounds.head_timeout).is_err() {
         return;
     }
-    let used = Flag::default();
+    let has_request = Flag::default();
     let service = service_fn(|request: Request| {
-        used.set();
+        has_request.set();
         let handler = Arc::clone(&handler);
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
-    let head_timeout = match life {
-        Life::Kept(_) => bounds.head_timeout,
-        Life::OneRequest => bounds.head_timeout.min(LAST_HEAD_TIME),
+    let head_timeout = match lifetime {
+        ConnLifetime::KeepAlive(_) => bounds.head_timeout,
+        ConnLifetime::OneRequest => bounds.head_timeout.min(DRAIN_HEAD_TIMEOUT),
     };
     let conn = http1::Builder::new()
         .timer(SmolTimer::new())
-        .keep_alive(matches!(life, Life::Kept(_)))
+        .keep_alive(matches!(lifetime, ConnLifetime::KeepAlive(_)))
         .header_read_timeout(head_timeout)
         .serve_connection(FuturesIo::new(stream), service);
     let mut conn = pin!(conn);
     let served = async { Some(conn.as_mut().await) };
     let drained = async {
-        let Life::Kept(drain) = &life else {
+        let ConnLifetime::KeepAlive(drain) = &lifetime else {
             return future::pending().await;
         };
         drain.wait().await;
         // The first request of a new connection may be on its way.
-        let over = async {
-            Timer::after(LAST_HEAD_TIME).await;
+        let first_request_timeout = async {
+            Timer::after(DRAIN_HEAD_TIMEOUT).await;
         };
-        used.wait().or(over).await;
+        has_request.wait().or(first_request_timeout).await;
         None
     };
     let ended = served.or(drained).await;
--- a/runtime/src/link.rs
+++ b/runtime/src/link.rs
@@ -31,10 +31,10 @@
 ///
 /// A peer that does not read fills its queue, and new calls to it are refused
 /// as not run instead of piling up in memory.
-const QUEUE_MAX: usize = 1_024;
+const QUEUE_MAX_FRAMES: usize = 1_024;
 
 /// Bytes of a frame around its body.
-const FRAME_SLACK: usize = 16;
+const FRAME_OVERHEAD_BYTES: usize = 16;
 
 /// The longest time that bytes sent between hosts may go unacknowledged.
 ///
@@ -123,11 +123,11 @@
         // The codec refuses such a frame by ending the connection, and every
         // other call on it would end as unknown because of one large body.
         // Refused here, only its own call ends, as not run.
-        if outbound.body.encoded_len() + FRAME_SLACK > FRAME_MAX {
+        if outbound.body.encoded_len() + FRAME_OVERHEAD_BYTES > FRAME_MAX {
             return Err(SendError::TooLarge);
         }
         // Senders that race may pass the limit by one frame each.
-        if self.queue.len() >= QUEUE_MAX {
+        if self.queue.len() >= QUEUE_MAX_FRAMES {
             return Err(SendError::Full);
         }
         self.queue
@@ -233,9 +233,9 @@
 /// # Errors
 ///
 /// Returns the system's error if an option can't be set.
-pub fn set_socket_options(stream: &Async<TcpStream>, unheard: Duration) -> io::Result<()> {
+pub fn set_socket_options(stream: &Async<TcpStream>, unacked: Duration) -> io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
-    let millis = u32::try_from(unheard.as_millis()).unwrap_or(u32::MAX);
+    let millis = u32::try_from(unacked.as_millis()).unwrap_or(u32::MAX);
     rustix::net::sockopt::set_tcp_user_timeout(stream.get_ref(), millis)?;
     Ok(())
 }
--- a/runtime/src/logs.rs
+++ b/runtime/src/logs.rs
@@ -14,16 +14,16 @@
 use logforth::core::builder;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 
-use self::bound::Entry;
-use self::bound::Exit;
-use self::bound::Waiting;
+use self::bound::BoundedAppend;
+use self::bound::CountingAppend;
+use self::bound::QueuedLines;
 use self::layout::Pairs;
 
 /// The lines that may wait for standard error.
 ///
 /// A slow reader of the log must not block traffic: lines beyond this number
 /// are dropped and counted as `snipeyoke_log_dropped_total`.
-const BUFFER_LINES: usize = 8_192;
+const QUEUE_MAX_LINES: usize = 8_192;
 
 /// The reason why the log can't be set up.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     },
     /// Another logger is in place.
     #[display("the process has a logger already: call this once")]
-    Taken,
+    AlreadyInstalled,
 }
 
 /// Where log lines go.
@@ -60,35 +60,36 @@
             filter: filter.to_owned(),
         })?;
     let append = match output {
-        Output::Stdout => queued(Stdout::default().with_layout(Pairs)),
-        Output::Stderr => queued(Stderr::default().with_layout(Pairs)),
+        Output::Stdout => with_bounded_queue(Stdout::default().with_layout(Pairs)),
+        Output::Stderr => with_bounded_queue(Stderr::default().with_layout(Pairs)),
     };
     let logger = builder()
         .dispatch(|d| d.filter(spec.build()).append(append))
         .build();
-    log::set_boxed_logger(Box::new(LogBridge::new(logger))).map_err(|_taken| LogsError::Taken)?;
+    log::set_boxed_logger(Box::new(LogBridge::new(logger)))
+        .map_err(|_installed| LogsError::AlreadyInstalled)?;
     log::set_max_level(log::LevelFilter::Trace);
     Ok(())
 }
 
 /// Puts a bounded queue, and a thread that empties it, before an output.
-fn queued(output: impl Append) -> Entry<Async> {
-    let waiting = Waiting::default();
-    let exit = Exit {
+fn with_bounded_queue(output: impl Append) -> BoundedAppend<Async> {
+    let queued_lines = QueuedLines::default();
+    let counting = CountingAppend {
         inner: output,
-        waiting: waiting.clone(),
+        queued_lines: queued_lines.clone(),
     };
     // The queue has room for every line that the entry lets through, and for
     // one flush; it never drops by itself.
     let queue = AsyncBuilder::new("log")
-        .buffered_lines_limit(Some(BUFFER_LINES + 1))
+        .buffered_lines_limit(Some(QUEUE_MAX_LINES + 1))
         .overflow_drop_incoming()
-        .append(exit)
+        .append(counting)
         .build();
-    Entry {
+    BoundedAppend {
         inner: queue,
-        waiting,
-        limit: BUFFER_LINES,
+        queued_lines,
+        limit: QUEUE_MAX_LINES,
     }
 }
 
--- a/runtime/src/logs/bound.rs
+++ b/runtime/src/logs/bound.rs
@@ -11,32 +11,32 @@
 
 /// The lines between the threads that log and the one that writes.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Waiting(Arc<AtomicUsize>);
+pub(super) struct QueuedLines(Arc<AtomicUsize>);
 
 /// Takes lines in, as long as fewer than a number of them wait.
 #[derive(Debug)]
-pub(super) struct Entry<A> {
+pub(super) struct BoundedAppend<A> {
     pub(super) inner: A,
-    pub(super) waiting: Waiting,
+    pub(super) queued_lines: QueuedLines,
     pub(super) limit: usize,
 }
 
 /// Writes lines and counts them out.
 #[derive(Debug)]
-pub(super) struct Exit<A> {
+pub(super) struct CountingAppend<A> {
     pub(super) inner: A,
-    pub(super) waiting: Waiting,
+    pub(super) queued_lines: QueuedLines,
 }
 
-impl<A: Append> Append for Entry<A> {
+impl<A: Append> Append for BoundedAppend<A> {
     // A reader of standard error that stands still would fill the queue: the
     // threads that serve requests would wait for it, or the queue would take
     // the node's memory. Beyond the limit a line is dropped here, at once, and
     // counted, so that a gap in the log is known to be one.
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        let before = self.waiting.0.fetch_add(1, Ordering::Relaxed);
+        let before = self.queued_lines.0.fetch_add(1, Ordering::Relaxed);
         if before >= self.limit {
-            self.waiting.0.fetch_sub(1, Ordering::Relaxed);
+            self.queued_lines.0.fetch_sub(1, Ordering::Relaxed);
             metrics::counter!("snipeyoke_log_dropped_total").increment(1);
             return Ok(());
         }
@@ -48,9 +48,9 @@
     }
 }
 
-impl<A: Append> Append for Exit<A> {
+impl<A: Append> Append for CountingAppend<A> {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        self.waiting.0.fetch_sub(1, Ordering::Relaxed);
+        self.queued_lines.0.fetch_sub(1, Ordering::Relaxed);
         self.inner.append(record, diags)
     }
 
--- a/runtime/src/platform/hosts.rs
+++ b/runtime/src/platform/hosts.rs
@@ -24,10 +24,10 @@
 use crate::http::collect;
 
 /// The longest time for one look at the list.
-const READ_LIMIT: Duration = Duration::from_secs(2);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The largest list that is taken, in bytes.
-const LIST_MAX: usize = 4 << 20;
+const LIST_MAX_BYTES: usize = 4 << 20;
 
 /// Reads the platform's host list.
 #[derive(Debug, Clone)]
@@ -82,7 +82,7 @@
     /// look like the loss of every host.
     pub async fn list(&self) -> Option<Vec<Listed>> {
         let timeout = async {
-            Timer::after(READ_LIMIT).await;
+            Timer::after(READ_TIMEOUT).await;
             None
         };
         let body = self.fetch().or(timeout).await?;
@@ -91,23 +91,23 @@
                 log::warn!(event = "host-list-malformed", error = error.to_string().as_str(), remedy = "mend the platform's list; the last good one stays"; "");
             })
             .ok()?;
-        Some(list.hosts.into_iter().flat_map(listed).collect())
+        Some(list.hosts.into_iter().flat_map(host_nodes).collect())
     }
 
     async fn fetch(&self) -> Option<Bytes> {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = Uri::from_static("/hosts");
-        let (response, kept) = self.client.send(self.address, request).await.ok()?;
+        let (response, conn) = self.client.send(self.address, request).await.ok()?;
         if !response.status().is_success() {
             return None;
         }
-        let body = collect(response.into_body(), LIST_MAX).await.ok()?;
-        self.client.recycle(kept);
+        let body = collect(response.into_body(), LIST_MAX_BYTES).await.ok()?;
+        self.client.recycle(conn);
         Some(body)
     }
 }
 
-fn listed(entry: HostEntry) -> Vec<Listed> {
+fn host_nodes(entry: HostEntry) -> Vec<Listed> {
     let leaving = entry.state == State::Leaving;
     let listed = |node: NodeEntry| Listed {
         profile: Profile {
--- a/runtime/src/platform/log.rs
+++ b/runtime/src/platform/log.rs
@@ -30,19 +30,19 @@
 ///
 /// Beyond it the append counts as unanswered and is repeated under the same
 /// record ids.
-const APPEND_LIMIT: Duration = Duration::from_secs(2);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The longest time for a read beyond the wait that it asks for.
-const READ_SLACK: Duration = Duration::from_secs(2);
+const READ_TIMEOUT_SLACK: Duration = Duration::from_secs(2);
 
 /// The largest answer that is taken, in bytes.
-const ANSWER_MAX: usize = 8 << 20;
+const RESPONSE_MAX_BYTES: usize = 8 << 20;
 
 /// The header with the lowest offset left.
-const FIRST: &str = "x-log-first";
+const FIRST_HEADER: &str = "x-log-first";
 
 /// The header with the offset after the newest record.
-const END: &str = "x-log-end";
+const END_HEADER: &str = "x-log-end";
 
 /// Speaks to the platform's log service; one try for each call.
 #[derive(Debug, Clone)]
@@ -73,8 +73,8 @@
         let Some(request) = post(&path, encode(&append.records)) else {
             return AppendEnd::NotDone { retry_after: None };
         };
-        let (response, kept) = match self.client.send(self.address, request).await {
-            Ok(answered) => answered,
+        let (response, conn) = match self.client.send(self.address, request).await {
+            Ok(sent) => sent,
             Err(error) if error.is_not_sent() => return AppendEnd::NotDone { retry_after: None },
             Err(ClientError::Connect(_) | ClientError::NotSent(_) | ClientError::Sent(_)) => {
                 return AppendEnd::Unanswered;
@@ -84,15 +84,15 @@
             StatusCode::OK => {}
             // These two say that nothing was done; no other answer does.
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                let retry_after = retry_after(response.headers());
+                let retry_after = retry_after_header(response.headers());
                 return AppendEnd::NotDone { retry_after };
             }
             _ => return AppendEnd::Unanswered,
         }
-        let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
+        let Ok(body) = collect(response.into_body(), RESPONSE_MAX_BYTES).await else {
             return AppendEnd::Unanswered;
         };
-        self.client.recycle(kept);
+        self.client.recycle(conn);
         match serde_json::from_slice::<Appended>(&body) {
             Ok(appended) => AppendEnd::Done {
                 offset: Offset(appended.offset),
@@ -112,16 +112,16 @@
         let Ok(request) = hyper::Request::get(path).body(Full::default()) else {
             return ReadEnd::Failed;
         };
-        let Ok((response, kept)) = self.client.send(self.address, request).await else {
+        let Ok((response, conn)) = self.client.send(self.address, request).await else {
             return ReadEnd::Failed;
         };
         let status = response.status();
-        let first = offset(response.headers(), FIRST);
-        let end = offset(response.headers(), END);
-        let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
+        let first = offset_header(response.headers(), FIRST_HEADER);
+        let end = offset_header(response.headers(), END_HEADER);
+        let Ok(body) = collect(response.into_body(), RESPONSE_MAX_BYTES).await else {
             return ReadEnd::Failed;
         };
-        self.client.recycle(kept);
+        self.client.recycle(conn);
         if status == StatusCode::GONE {
             let gone = serde_json::from_slice::<GoneBody>(&body);
             return gone.map_or(ReadEnd::Failed, |g| ReadEnd::Gone {
@@ -142,14 +142,14 @@
 impl LogStore for HttpLog {
     fn append(&self, append: Append) -> LogCall<'_, AppendEnd> {
         let timeout = async {
-            Timer::after(APPEND_LIMIT).await;
+            Timer::after(APPEND_TIMEOUT).await;
             AppendEnd::Unanswered
         };
         Box::pin(self.try_append(append).or(timeout))
     }
 
     fn read(&self, read: Read) -> LogCall<'_, ReadEnd> {
-        let limit = read.wait + READ_SLACK;
+        let limit = read.wait + READ_TIMEOUT_SLACK;
         let timeout = async move {
             Timer::after(limit).await;
             ReadEnd::Failed
@@ -186,11 +186,11 @@
     Some(records)
 }
 
-fn offset(headers: &HeaderMap, name: &str) -> Option<Offset> {
+fn offset_header(headers: &HeaderMap, name: &str) -> Option<Offset> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn retry_after(headers: &HeaderMap) -> Option<Duration> {
+fn retry_after_header(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
--- a/runtime/src/program.rs
+++ b/runtime/src/program.rs
@@ -82,21 +82,21 @@
 /// The reason why there is no settings file to read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, DeriveError)]
-#[display("no settings file: name one as argument or in {SETTINGS}")]
+#[display("no settings file: name one as argument or in {SETTINGS_VAR}")]
 pub struct NoSettings;
 
 /// The time between two looks at the settings file.
 ///
 /// Operators who change it without a signal expect it in force within seconds;
 /// a look reads a few hundred bytes.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The variable that names the settings file where no argument does.
-const SETTINGS: &str = "SNIPEYOKE_SETTINGS";
+const SETTINGS_VAR: &str = "SNIPEYOKE_SETTINGS";
 
 impl Args {
     fn path(&self) -> Result<PathBuf, NoSettings> {
-        let named = std::env::var_os(SETTINGS).map(PathBuf::from);
+        let named = std::env::var_os(SETTINGS_VAR).map(PathBuf::from);
         self.settings.clone().or(named).ok_or(NoSettings)
     }
 }
@@ -135,7 +135,7 @@
 
 fn run<P: Program>(args: &Args) -> Result<(), Box<dyn Error>> {
     // First of all: the signals are held back until here.
-    let leave = ShutdownSignals::register()?;
+    let shutdown = ShutdownSignals::register()?;
     let reload = ReloadSignals::register()?;
     signals::unblock()?;
     faults::install(P::NAME)?;
@@ -149,7 +149,7 @@
     measures::install();
     let threads = Threads::start(P::thread_count(&settings))?;
     let program = P::start(settings, &threads.execs())?;
-    block_on(serve(&program, leave, reload, &path));
+    block_on(serve(&program, shutdown, reload, &path));
     threads.join();
     log::logger().flush();
     Ok(())
@@ -157,12 +157,12 @@
 
 async fn serve<P: Program>(
     program: &P,
-    mut leave: ShutdownSignals,
+    mut shutdown: ShutdownSignals,
     mut reload: ReloadSignals,
     path: &Path,
 ) {
     let signal = async {
-        leave.next().await;
+        shutdown.next().await;
         Source::Signal
     };
     let reloads = async {
@@ -172,27 +172,27 @@
                 reload.next().await;
                 true
             };
-            let look = async {
-                Timer::after(LOOK_EVERY).await;
+            let poll = async {
+                Timer::after(SETTINGS_POLL_INTERVAL).await;
                 false
             };
-            let asked = signal.or(look).await;
-            if watch.has_changed() || asked {
-                load_again(program, path);
+            let signalled = signal.or(poll).await;
+            if watch.has_changed() || signalled {
+                reload_settings(program, path);
             }
         }
     };
-    let list = async {
+    let host_list = async {
         program.leave_requested().await;
         Source::HostList
     };
-    let source = signal.or(list).or(reloads).await;
+    let source = signal.or(host_list).or(reloads).await;
     // Another signal is only noted by the system: nothing is cut.
     program.drain(source).await;
 }
 
 // A faulty file must not end a process that serves: the old settings stay.
-fn load_again<P: Program>(program: &P, path: &Path) {
+fn reload_settings<P: Program>(program: &P, path: &Path) {
     match settings::load::<P::Settings>(path) {
         Ok(settings) => program.reload(settings),
         Err(error) => {
--- a/runtime/src/scope.rs
+++ b/runtime/src/scope.rs
@@ -16,7 +16,7 @@
 use crate::threads::Exec;
 
 /// The time for last frames once a process has nothing more to do.
-const LAST_WORDS: Duration = Duration::from_millis(300);
+const CANCEL_GRACE: Duration = Duration::from_millis(300);
 
 /// Owns the tasks spawned through it; clones share them.
 #[derive(Clone)]
@@ -105,7 +105,7 @@
     /// For tasks that have been told to end and may still write a last frame.
     pub async fn cancel_after_grace(&self) {
         let grace = async {
-            Timer::after(LAST_WORDS).await;
+            Timer::after(CANCEL_GRACE).await;
         };
         self.join().or(grace).await;
         self.cancel().await;
--- a/runtime/src/settings.rs
+++ b/runtime/src/settings.rs
@@ -26,7 +26,7 @@
         source: io::Error,
     },
     /// The text is no JSON with comments.
-    #[display("{}: line {line}, column {column}: {what}; correct the syntax there", path.display())]
+    #[display("{}: line {line}, column {column}: {message}; correct the syntax there", path.display())]
     Syntax {
         /// The file.
         path: PathBuf,
@@ -35,23 +35,23 @@
         /// The column, from 1.
         column: usize,
         /// What was found.
-        what: String,
+        message: String,
     },
     /// A key is missing, unknown or of the wrong type.
-    #[display("{}: {what}; see docs/operators/settings.md for each key", path.display())]
+    #[display("{}: {message}; see docs/operators/settings.md for each key", path.display())]
     Shape {
         /// The file.
         path: PathBuf,
         /// What was found, with the key and, where known, the line.
-        what: String,
+        message: String,
     },
     /// A value is out of its range.
-    #[display("{}: {what}", path.display())]
+    #[display("{}: {message}", path.display())]
     Value {
         /// The file.
         path: PathBuf,
         /// The key, the value and the remedy.
-        what: String,
+        message: String,
     },
 }
 
@@ -135,28 +135,28 @@
         path: path.to_owned(),
         line: error.line_display(),
         column: error.column_display(),
-        what: error.kind().to_string(),
+        message: error.kind().to_string(),
     })?;
     let raw = T::Raw::deserialize(value).map_err(|error| SettingsError::Shape {
         path: path.to_owned(),
-        what: with_line(text, &error.to_string()),
+        message: with_line(text, &error.to_string()),
     })?;
     T::check(raw).map_err(|error| SettingsError::Value {
         path: path.to_owned(),
-        what: with_line(text, &error.to_string()),
+        message: with_line(text, &error.to_string()),
     })
 }
 
 /// Adds the line of the first key that the message quotes.
-fn with_line(text: &str, what: &str) -> String {
-    let quoted = what.split('`').nth(1).unwrap_or_default();
+fn with_line(text: &str, message: &str) -> String {
+    let quoted = message.split('`').nth(1).unwrap_or_default();
     let last = quoted.rsplit('.').next().unwrap_or_default();
     if last.is_empty() {
-        return what.to_owned();
+        return message.to_owned();
     }
     let needle = format!("\"{last}\"");
     match text.lines().position(|line| line.contains(&needle)) {
-        Some(index) => format!("line {}: {what}", index + 1),
-        None => what.to_owned(),
+        Some(index) => format!("line {}: {message}", index + 1),
+        None => message.to_owned(),
     }
 }
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -13,7 +13,7 @@
 /// nothing that the language's runtime sets up.
 pub fn block() {
     // It fails only for a wrong argument, and there is nowhere to tell it yet.
-    let _held = taken().thread_block();
+    let _blocked = handled_signals().thread_block();
 }
 
 /// Lets the signals through that [`block`] has held back.
@@ -22,11 +22,11 @@
 ///
 /// Returns the system's error if the signals stay blocked.
 pub fn unblock() -> io::Result<()> {
-    Ok(taken().thread_unblock()?)
+    Ok(handled_signals().thread_unblock()?)
 }
 
 /// Returns the signals that a process of the system takes.
-fn taken() -> SigSet {
+fn handled_signals() -> SigSet {
     use nix::sys::signal::Signal;
     [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]
         .into_iter()
--- a/runtime/src/watched.rs
+++ b/runtime/src/watched.rs
@@ -44,14 +44,14 @@
     }
 
     /// Waits until `wanted` holds for the value, and returns it.
-    pub async fn wait(&self, wanted: impl Fn(&T) -> bool) -> Arc<T> {
+    pub async fn wait(&self, predicate: impl Fn(&T) -> bool) -> Arc<T> {
         loop {
             // The listener comes before the look at the value: a change
             // between the two would otherwise be missed and the caller would
             // wait for one that never comes.
             let listener = self.changed.listen();
             let value = self.get();
-            if wanted(&value) {
+            if predicate(&value) {
                 return value;
             }
             listener.await;
--- a/runtime/tests/faults/main.rs
+++ b/runtime/tests/faults/main.rs
@@ -14,17 +14,17 @@
 use snipeyoke_runtime::threads::Threads;
 
 /// The variable that tells a run of this program how to fault.
-const FAULT: &str = "SNIPEYOKE_TEST_FAULT";
+const FAULT_VAR: &str = "SNIPEYOKE_TEST_FAULT";
 
 /// The variable that tells it in which thread.
-const THREAD: &str = "SNIPEYOKE_TEST_THREAD";
+const THREAD_VAR: &str = "SNIPEYOKE_TEST_THREAD";
 
 /// The threads of a process of the system that the test can fault in.
 const THREADS: &[&str] = &["main", "control", "traffic"];
 
 fn main() -> ExitCode {
-    if let (Ok(fault), Ok(thread)) = (std::env::var(FAULT), std::env::var(THREAD)) {
-        die(&fault, &thread);
+    if let (Ok(fault), Ok(thread)) = (std::env::var(FAULT_VAR), std::env::var(THREAD_VAR)) {
+        run_fault(&fault, &thread);
     }
     let mut failed = 0;
     let mut passed = 0;
@@ -32,8 +32,8 @@
         for thread in *threads {
             match check(fault, *signal, thread) {
                 Ok(()) => passed += 1,
-                Err(why) => {
-                    println!("{fault} in thread {thread}: {why}");
+                Err(error) => {
+                    println!("{fault} in thread {thread}: {error}");
                     failed += 1;
                 }
             }
@@ -62,22 +62,22 @@
 fn check(fault: &str, signal: Signal, thread: &str) -> Result<(), String> {
     let own = std::env::current_exe().expect("the test has a path");
     let mut child = Command::new(own);
-    let child = child.env(FAULT, fault).env(THREAD, thread);
+    let child = child.env(FAULT_VAR, fault).env(THREAD_VAR, thread);
     let output = child.output().expect("the test starts again");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     let ended = output.status.signal();
     if ended != Some(signal.as_raw()) {
-        return Err(format!("ended with {}: {told}", output.status));
+        return Err(format!("ended with {}: {stderr}", output.status));
     }
     let expected = expected(fault, thread, &output);
-    if let Some(missing) = expected.iter().find(|pair| !told.contains(*pair)) {
-        return Err(format!("no {missing:?} in: {told}"));
+    if let Some(missing) = expected.iter().find(|pair| !stderr.contains(*pair)) {
+        return Err(format!("no {missing:?} in: {stderr}"));
     }
-    let frames = told
+    let frames = stderr
         .lines()
         .find(|l| l.starts_with("event=fatal-signal-stack"));
     if !frames.is_some_and(|l| l.contains(&format!("{}+0x", own_name()))) {
-        return Err(format!("no frame of the program in: {told}"));
+        return Err(format!("no frame of the program in: {stderr}"));
     }
     Ok(())
 }
@@ -116,21 +116,21 @@
 }
 
 /// Faults in the named thread, as a process of the system would.
-fn die(fault: &str, thread: &str) {
+fn run_fault(fault: &str, thread: &str) {
     faults::install("faults").expect("a handler can be put in place");
     let threads = Threads::start(1).expect("threads start");
     let execs = threads.execs();
     let exec = match thread {
         "control" => Arc::clone(&execs.control),
         "traffic" => Arc::clone(&execs.traffic),
-        _ => return act(fault),
+        _ => return trigger(fault),
     };
     let fault = fault.to_owned();
-    let task = exec.spawn(async move { act(&fault) });
+    let task = exec.spawn(async move { trigger(&fault) });
     future::block_on(task);
 }
 
-fn act(fault: &str) {
+fn trigger(fault: &str) {
     match fault {
         "write" => write(),
         "execute" => execute(),
--- a/runtime/tests/test_body.rs
+++ b/runtime/tests/test_body.rs
@@ -11,30 +11,30 @@
 use snipeyoke_runtime::http::with_guard;
 
 #[test]
-fn an_answer_counts_as_in_flight_until_it_was_read() {
+fn a_response_counts_as_in_flight_until_it_was_read() {
     // A caller on a slow line gets half of its answer when a router leaves.
     // The request has ended, but its answer waits for the caller to read on.
     // The token lives as long as the body, and the drain waits for it.
-    let (send, pieces) = async_channel::unbounded();
-    let token = Arc::new(());
-    let mut body = with_guard(streamed(pieces), Arc::clone(&token));
-    for piece in ["one", "two"] {
-        send.try_send(Bytes::from(piece))
+    let (send, chunks) = async_channel::unbounded();
+    let guard = Arc::new(());
+    let mut body = with_guard(streamed(chunks), Arc::clone(&guard));
+    for chunk in ["one", "two"] {
+        send.try_send(Bytes::from(chunk))
             .expect("the body takes it");
     }
     drop(send);
     future::block_on(async {
         let first = body.frame().await.expect("a frame").expect("a good one");
         assert_eq!(first.into_data().expect("data"), "one");
-        assert_eq!(Arc::strong_count(&token), 2);
+        assert_eq!(Arc::strong_count(&guard), 2);
         let rest = body.collect().await.expect("the rest").to_bytes();
         assert_eq!(rest, "two");
     });
-    assert_eq!(Arc::strong_count(&token), 1);
+    assert_eq!(Arc::strong_count(&guard), 1);
 }
 
 #[test]
-fn a_held_body_keeps_its_length() {
+fn a_guarded_body_keeps_its_length() {
     let body = with_guard(full("four"), ());
     assert_eq!(body.size_hint().exact(), Some(4));
 }
--- a/runtime/tests/test_config_store.rs
+++ b/runtime/tests/test_config_store.rs
@@ -46,7 +46,7 @@
     }
 }
 
-fn at_the_letters_size() -> Snapshot {
+fn full_size_snapshot() -> Snapshot {
     let name = |n: usize| format!("account-{n:06}").parse().expect("a name");
     let config = Config {
         accounts: (0..ACCOUNTS).map(|n| (name(n), account(n, 1))).collect(),
@@ -61,7 +61,7 @@
 }
 
 /// Sends all that one process offers another over a link, and has it taken.
-fn pass_on(giver: &ConfigStore, taker: &ConfigStore) {
+fn sync(source: &ConfigStore, target: &ConfigStore) {
     let exec = Arc::new(Executor::new());
     future::block_on(exec.run(async {
         let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
@@ -71,7 +71,7 @@
         let (sender, writer, _near) = link::open(near.expect("it is there")).expect("options");
         let (_sender, _writer, mut far) = link::open(far).expect("options");
         let task = exec.spawn(writer.run());
-        let offers = giver.offers_since(taker.next());
+        let offers = source.offers_since(target.next());
         let frames = offers.len();
         for offer in offers {
             let sent = sender.send(frame::Body::ConfigOffer(offer));
@@ -82,27 +82,27 @@
             let Some(frame::Body::ConfigOffer(offer)) = frame else {
                 panic!("not an offer: {frame:?}");
             };
-            assert!(!taker.apply_offer(Time::ZERO, &offer, |_, _, _| {}).gap);
+            assert!(!target.apply_offer(Time::ZERO, &offer, |_, _, _| {}).gap);
         }
         task.cancel().await;
     }));
 }
 
-fn assert_level(giver: &ConfigStore, taker: &ConfigStore) {
-    assert_eq!(taker.next(), giver.next());
-    assert_eq!(taker.fold().revision(), giver.fold().revision());
-    assert_eq!(taker.fold().config(), giver.fold().config());
+fn assert_in_sync(source: &ConfigStore, target: &ConfigStore) {
+    assert_eq!(target.next(), source.next());
+    assert_eq!(target.fold().revision(), source.fold().revision());
+    assert_eq!(target.fold().config(), source.fold().config());
 }
 
 #[test]
-fn a_router_without_log_gets_the_letters_configuration_from_an_agent() {
+fn a_router_without_log_gets_a_large_configuration_from_an_agent() {
     // A router refuses its callers for as long as the log is away: it starts
     // without memory, its agents have 7,600 accounts, and their offer has to
     // get through the link. As one frame it is too large and is never sent.
     let (agent, router) = (ConfigStore::default(), ConfigStore::default());
-    assert!(agent.fold().adopt(&at_the_letters_size()));
-    pass_on(&agent, &router);
-    assert_level(&agent, &router);
+    assert!(agent.fold().adopt(&full_size_snapshot()));
+    sync(&agent, &router);
+    assert_in_sync(&agent, &router);
 }
 
 #[test]
@@ -126,30 +126,30 @@
         ahead.fold().apply(Offset(n), &record);
     }
     assert_eq!(ahead.fold().revision(), Revision(8));
-    pass_on(&ahead, &behind);
-    assert_level(&ahead, &behind);
+    sync(&ahead, &behind);
+    assert_in_sync(&ahead, &behind);
 }
 
 #[test]
-fn a_starting_router_takes_one_copy_though_all_agents_have_more() {
+fn a_starting_router_requests_one_copy_though_all_agents_are_ahead() {
     // A router starts while the log is away. Twenty agents report the letter's
     // configuration of 1.3 MB within half a second. Asked together they would
     // send 26 MB, a minute and more of a small host's link.
     let (agent, router) = (ConfigStore::default(), ConfigStore::default());
-    assert!(agent.fold().adopt(&at_the_letters_size()));
+    assert!(agent.fold().adopt(&full_size_snapshot()));
     let mut now = Time::from_millis(1_000);
-    let asked = (0..20).filter_map(|_| router.request(now)).count();
-    assert_eq!(asked, 1);
+    let requests = (0..20).filter_map(|_| router.request(now)).count();
+    assert_eq!(requests, 1);
     for offer in agent.offers_since(Offset(0)) {
         assert_eq!(router.request(now), None, "the answer comes");
         router.apply_offer(now, &offer, |_, _, _| {});
         now = now + REQUEST_STALL / 2;
     }
-    assert_level(&agent, &router);
+    assert_in_sync(&agent, &router);
 }
 
 #[test]
-fn an_agent_that_was_asked_in_vain_gives_way_to_another_one() {
+fn a_stalled_request_is_sent_to_another_agent() {
     let router = ConfigStore::default();
     let now = Time::from_millis(1_000);
     assert!(router.request(now).is_some());
@@ -158,22 +158,22 @@
 }
 
 #[test]
-fn a_large_state_is_not_sent_to_those_who_did_not_ask() {
+fn a_large_state_is_not_sent_without_a_request() {
     // An agent starts and reports that it has nothing. Each of its routers would
     // send it the whole configuration; told what there is, it asks one of them.
     let (router, agent) = (ConfigStore::default(), ConfigStore::default());
-    assert!(router.fold().adopt(&at_the_letters_size()));
+    assert!(router.fold().adopt(&full_size_snapshot()));
     let now = Time::from_millis(1_000);
-    let mut asked = 0;
+    let mut requests = 0;
     for _router in 0..24 {
         for offer in router.announce(agent.next()) {
             let bytes: usize = offer.records.iter().map(bytes::Bytes::len).sum();
             assert!(bytes <= PUSH_MAX_BYTES, "{bytes} bytes");
             let gap = agent.apply_offer(now, &offer, |_, _, _| {}).gap;
-            asked += usize::from(gap && agent.request(now).is_some());
+            requests += usize::from(gap && agent.request(now).is_some());
         }
     }
-    assert_eq!(asked, 1);
-    pass_on(&router, &agent);
-    assert_level(&router, &agent);
+    assert_eq!(requests, 1);
+    sync(&router, &agent);
+    assert_in_sync(&router, &agent);
 }
--- a/runtime/tests/test_link.rs
+++ b/runtime/tests/test_link.rs
@@ -20,9 +20,9 @@
 use snipeyoke_wire::Reply;
 use snipeyoke_wire::frame::Body;
 
-type Parts = (LinkSender, LinkWriter, LinkReader);
+type LinkHalves = (LinkSender, LinkWriter, LinkReader);
 
-async fn pair() -> (Parts, Parts) {
+async fn pair() -> (LinkHalves, LinkHalves) {
     let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
     let address = listener.get_ref().local_addr().expect("an address");
     let near = link::connect(address, Duration::from_secs(5)).await;
@@ -59,8 +59,8 @@
     // A stopped peer: frames for it are refused instead of piling up in memory.
     future::block_on(async {
         let ((sender, _writer, _near), _far) = pair().await;
-        let taken = (0..2_000).take_while(|&call| sender.send(cancel(call)).is_ok());
-        assert_eq!(taken.count(), 1_024);
+        let accepted = (0..2_000).take_while(|&call| sender.send(cancel(call)).is_ok());
+        assert_eq!(accepted.count(), 1_024);
         assert_matches!(sender.send(cancel(0)), Err(SendError::Full));
     });
 }
--- a/runtime/tests/test_link_memory.rs
+++ b/runtime/tests/test_link_memory.rs
@@ -16,12 +16,12 @@
 /// The most bytes of heap for one end of a link that nothing waits on.
 ///
 /// Two ends to each of 340 nodes then take a sixth of 128 MB.
-const END_MAX: usize = 32 << 10;
+const LINK_END_MAX_BYTES: usize = 32 << 10;
 
 const LINKS: usize = 64;
 
 #[test]
-fn an_idle_link_takes_little_memory() {
+fn an_idle_link_uses_little_memory() {
     // Each node holds two ends to every other one: what an idle link takes is
     // paid as often as there are nodes, and a fleet of hundreds runs out of memory.
     let _profiler = dhat::Profiler::builder().testing().build();
@@ -41,6 +41,6 @@
             links.push((near, far));
         }
         let each = (dhat::HeapStats::get().curr_bytes - before) / (2 * LINKS);
-        assert!(each <= END_MAX, "{each} bytes for one end");
+        assert!(each <= LINK_END_MAX_BYTES, "{each} bytes for one end");
     });
 }
--- a/runtime/tests/test_settings.rs
+++ b/runtime/tests/test_settings.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn comments_and_trailing_commas_are_taken() {
+fn comments_and_trailing_commas_are_accepted() {
     let text = "{\n  // one a core\n  \"threads\": 2,\n}";
     let settings = parse::<Settings>(Path::new("node.jsonc"), text).expect("good settings");
     assert_eq!(settings.threads, 2);
--- a/runtime/tests/test_watch.rs
+++ b/runtime/tests/test_watch.rs
@@ -5,7 +5,7 @@
 use snipeyoke_runtime::settings::Watch;
 
 #[test]
-fn other_text_is_a_change_and_a_missing_file_is_none() {
+fn changed_text_is_a_change_and_a_missing_file_is_not() {
     // A file is replaced while it is looked at: for a moment it isn't there.
     // The process must neither end nor take this for a change.
     let path = std::env::temp_dir().join(format!("snipeyoke-watch-{}", std::process::id()));
