--- a/runtime/src/clock.rs
+++ b/runtime/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a process.
+//! Monotonic and wall clocks.
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -7,7 +7,7 @@
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::time::WallTime;
 
-/// Reads the monotonic clock and the time of day.
+/// Reads the monotonic clock and the wall clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     zero: Instant,
@@ -22,20 +22,20 @@
         }
     }
 
-    /// Returns the time on the monotonic clock.
+    /// Returns the monotonic time since the start of the clock.
     #[must_use]
     pub fn now(&self) -> Time {
         let micros = self.zero.elapsed().as_micros();
         Time::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// Returns the moment on the system's own clock, for timers.
+    /// Converts a time to an [`Instant`] for timers, or `None` on overflow.
     #[must_use]
     pub fn instant(&self, time: Time) -> Option<Instant> {
         self.zero.checked_add(time.since(Time::ZERO))
     }
 
-    /// Returns the time of day.
+    /// Returns the wall-clock time.
     #[must_use]
     pub fn wall() -> WallTime {
         let since = SystemTime::now()
--- a/runtime/src/config_store.rs
+++ b/runtime/src/config_store.rs
@@ -1,4 +1,4 @@
-//! The configuration of one process, as it passes from process to process.
+//! The configuration known to one process, and its exchange with others.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -19,66 +19,67 @@
 use snipeyoke_wire::ConfigAsk;
 use snipeyoke_wire::ConfigOffer;
 
-/// How long an answer may come no further before another process is asked.
+/// How long a response may stall before the request goes to another process.
 ///
-/// A part of 192 KiB takes 0.16 s over a link of 10 Mbit/s, and a change has 4 s
-/// to be in force everywhere.
+/// A part of 192 KiB takes 0.16 s over a link of 10 Mbit/s, and a change has to be
+/// in force everywhere within 4 s.
 pub const REQUEST_STALL: Duration = Duration::from_secs(1);
 
-/// The most bytes that are offered to a process that has not asked.
+/// The maximum size of records sent without a request, in bytes.
 ///
-/// All routers of an agent see in the same half second that it lacks a change.
-/// At 340 of them 4 KiB each are a megabyte; a change has some hundred bytes.
+/// All routers of an agent notice within the same half second that it lacks a
+/// change. From 340 routers, 4 KiB each add up to more than a megabyte; a change
+/// has a few hundred bytes.
 pub const PUSH_MAX_BYTES: usize = 4 << 10;
 
-/// What came of an offer.
+/// The result of applying an offer.
 #[derive(Debug, Default)]
 pub struct OfferOutcome {
-    /// The records that were new, each with what it did.
+    /// The new records, each with its effect.
     pub applied: Vec<(Bytes, Applied)>,
-    /// Whether the configuration in force is another one now.
+    /// Whether the configuration in force has changed.
     pub changed: bool,
-    /// Whether the offer leaves a gap: ask its sender, if it is time to ask.
+    /// Whether records before the offer are missing: request them from its sender,
+    /// unless a request is pending.
     pub gap: bool,
 }
 
-/// The fold of a process, offered to and taken from others.
+/// The configuration fold of a process, replicated between processes.
 ///
-/// Few processes read the log; all others get what these have read, over the
-/// links that there are anyway. An agent keeps the book for the sake of
-/// routers that start while the log is away.
+/// Few processes read the log; all others receive its records over the existing
+/// links. Agents hold a copy for routers that start while the log is unavailable.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     fold: Mutex<Fold>,
     pending_request: Mutex<Option<PendingRequest>>,
 }
 
-/// The question whose answer is on its way.
+/// A request whose response is still arriving.
 #[derive(Debug, Clone, Copy)]
 struct PendingRequest {
     have: Offset,
-    /// When it was sent, or its answer last came further.
+    /// When it was sent, or when its response last made progress.
     progress_at: Time,
 }
 
 impl ConfigStore {
-    /// Locks the fold, for one short step.
+    /// Locks the fold; hold the lock briefly.
     pub fn fold(&self) -> MutexGuard<'_, Fold> {
         self.fold.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the offset after the last record known.
+    /// Returns the offset after the last known record.
     #[must_use]
     pub fn next(&self) -> Offset {
         self.fold().next()
     }
 
-    /// Builds the question for what this process lacks.
+    /// Builds the request for the records that this process lacks.
     ///
-    /// `None` while the answer to an earlier one comes. A router that starts has
-    /// links to hundreds of agents, which all have more: asked together, each
-    /// sends the whole state, and the copies fill the link on which the first
-    /// one has to come.
+    /// Returns `None` while the response to an earlier one is arriving. A starting
+    /// router has links to hundreds of agents that are all ahead of it. If requested
+    /// at once, each would send the whole state, and the copies would congest the
+    /// link and delay the first one.
     pub fn request(&self, now: Time) -> Option<ConfigAsk> {
         let have = self.next();
         let mut pending = self.pending_request();
@@ -94,10 +95,10 @@
         Some(ConfigAsk { have: have.0 })
     }
 
-    /// Builds offers for a process that has not asked.
+    /// Builds offers for a process that has requested nothing.
     ///
-    /// Small changes themselves; else only word of what there is, so that it
-    /// asks one of those who have it.
+    /// Small changes are sent whole. Otherwise the offer holds only the newest
+    /// offset, so that the process requests the rest from one of its peers.
     #[must_use]
     pub fn announce(&self, have: Offset) -> Vec<ConfigOffer> {
         let fold = self.fold();
@@ -122,11 +123,10 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Builds the answer to a process that has everything below an offset.
+    /// Builds the offers for a process that has all records below `have`.
     ///
-    /// They are to be sent in order, each in a frame of its own. One that is
-    /// lost leaves a gap or an incomplete snapshot, and all are sent again
-    /// when the other process next tells what it has.
+    /// Send them in order, one per frame. A lost offer leaves a gap or an incomplete
+    /// snapshot; all are sent again once the process next reports its offset.
     #[must_use]
     pub fn offers_since(&self, have: Offset) -> Vec<ConfigOffer> {
         let fold = self.fold();
@@ -137,15 +137,15 @@
             return offer_records(have, records);
         }
         let snapshot = fold.snapshot();
-        // Encoding takes milliseconds, and the fold is wanted by others.
+        // Encoding takes milliseconds; other threads need the fold meanwhile.
         drop(fold);
         offer_snapshot(&snapshot)
     }
 
-    /// Takes an offer, if it lies higher than what is known.
+    /// Applies an offer that is ahead of the known state.
     ///
-    /// A lower offer has no effect: see [`Fold::adopt`]. `note` is shown each
-    /// record that was new, and the state after it.
+    /// An older offer has no effect: see [`Fold::adopt`]. `on_applied` is called for
+    /// each new record with the state after it.
     pub fn apply_offer(
         &self,
         now: Time,
@@ -155,8 +155,8 @@
         let mut fold = self.fold();
         let before = fold.revision();
         let mut outcome = OfferOutcome::default();
-        // All links of a process that starts offer it the same: what is left
-        // of it once the first is taken is not even parsed.
+        // All peers of a starting process offer the same records; skip parsing
+        // those that are known already.
         if offer.next <= fold.next().0 {
             return outcome;
         }
@@ -222,7 +222,8 @@
     offers
 }
 
-/// Encodes the state as records; their ids are nil, they never go to the log.
+/// Encodes the state as records with nil ids, as they are never appended to the
+/// log.
 fn offer_snapshot(snapshot: &Snapshot) -> Vec<ConfigOffer> {
     let offer = |record: Record| ConfigOffer {
         next: snapshot.next.0,
@@ -232,10 +233,11 @@
     records.into_iter().map(offer).collect()
 }
 
-/// Returns the snapshot or part that an offer consists of, if none of records.
+/// Returns the snapshot or snapshot part in an offer, or `None` if it holds records
+/// of the log.
 ///
-/// A snapshot read from the log covers less than the offset after it, so its
-/// `next` tells the two apart.
+/// A snapshot record in the log covers only offsets before its own, so its `next`
+/// differs from that of the offer.
 fn offered_state(offer: &ConfigOffer) -> Option<Body> {
     let [only] = offer.records.as_slice() else {
         return None;
--- a/runtime/src/faults.rs
+++ b/runtime/src/faults.rs
@@ -1,7 +1,7 @@
-//! Tells on standard error where a process dies of a fatal signal.
+//! Reports fatal signals of a process on standard error.
 //!
-//! The part of the handler that is ours neither allocates nor takes a lock: the
-//! fault may have happened inside the allocator.
+//! The report neither allocates nor locks, since the fault may have happened inside
+//! the allocator.
 
 use std::ffi::CStr;
 use std::fmt;
@@ -20,55 +20,55 @@
 use rustix::io::Errno;
 use rustix::time::ClockId;
 
-/// The longest line in bytes.
+/// The maximum length of a line.
 const LINE_BYTES: usize = 1_024;
 
-/// The bytes of the stack that are searched for return addresses.
+/// The part of the stack that is searched for return addresses.
 const STACK_BYTES: usize = 4 * 1_024;
 
-/// How long the process outlives its report.
+/// How long the process stays alive after its report.
 ///
-/// Where standard error is passed on by whoever runs the process, lines
-/// written in its last instant are lost with it.
+/// A supervisor that forwards standard error may lose lines written just before the
+/// process ends.
 const REPORT_GRACE: Duration = Duration::from_millis(5);
 
-/// The size of a page of memory in bytes, or a part of it.
+/// The smallest size of a memory page.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The bytes of code that are told from the instruction on.
+/// The bytes of code reported from the instruction on.
 const CODE_BYTES: usize = 16;
 
-/// The bytes of code that are told before the instruction.
+/// The bytes of code reported before the instruction.
 const CODE_BEFORE_BYTES: usize = 8;
 
-/// The most return addresses that are told.
+/// The maximum number of return addresses reported.
 const FRAMES_MAX: usize = 16;
 
-/// Reports fatal signals of this process from now until its end.
+/// Installs the handler that reports fatal signals.
 ///
-/// The process ends as it would have without the report.
+/// The process then ends as it would without the handler.
 ///
 /// # Errors
 ///
-/// Returns the library's error if no handler can be put in place.
+/// Returns the library's error if the handler can't be installed.
 pub fn install(program: &'static str) -> Result<(), crash_handler::Error> {
     let report = Report {
         program,
         objects: mapped_objects().unwrap_or_else(|error| {
-            eprintln!("{program}: /proc/self/maps: {error}; a fatal signal will be told without the names of programs and libraries");
+            eprintln!("{program}: /proc/self/maps: {error}; fatal signals will be reported without the names of programs and libraries");
             Vec::new()
         }),
     };
     // SAFETY: the closure only formats into memory of its own stack and makes
     // system calls that are safe in a signal handler.
     let event = unsafe { crash_handler::make_crash_event(move |context| report.write(context)) };
-    // Dropped, the handler would be taken away again; threads may still fault
-    // while the process exits.
+    // Dropping it would remove the handler, but threads may still fault while the
+    // process exits.
     std::mem::forget(CrashHandler::attach(event)?);
     Ok(())
 }
 
-/// What is known before a fault, since a handler can't find it out.
+/// Data collected in advance, since a signal handler can't collect it.
 #[derive(Debug)]
 struct Report {
     program: &'static str,
@@ -88,8 +88,8 @@
 impl Report {
     fn write(&self, context: &CrashContext) -> CrashEventResult {
         let signal = FatalSignal::from(context);
-        // Who runs the process may keep its last two lines only: these tell most.
-        // Writing beyond the end of a line cuts it, and fails otherwise never.
+        // A supervisor may keep only the last two lines, so the most useful come last.
+        // Writing fails only at the end of the line, which is then truncated.
         let mut line = Line::default();
         let _cut = describe_registers(&mut line, context);
         line.write_out();
@@ -100,8 +100,8 @@
         let _cut = self.describe_stack(&mut line, signal.stack_pointer);
         line.write_out();
         thread::sleep(REPORT_GRACE);
-        // The standard library's handler tells an overflow of the stack and
-        // aborts. It takes a signal that another process sent for handled.
+        // The standard library's handler runs next: it reports a stack overflow and
+        // aborts. It would ignore a signal sent by a process, so that one ends here.
         CrashEventResult::Handled(signal.is_sent)
     }
 
@@ -133,11 +133,11 @@
         }
     }
 
-    // Words on the stack that point into code are its return addresses, among
-    // a few leftovers of earlier calls.
+    // Words on the stack that point into code are return addresses, along with a
+    // few stale ones of earlier calls.
     fn describe_stack(&self, line: &mut Line, pointer: u64) -> fmt::Result {
         let mut bytes = [0; STACK_BYTES];
-        // A stack that overflowed ends on a page that can't be read.
+        // After an overflow, the stack pointer is on an unreadable guard page.
         let next_page = (pointer | (PAGE_BYTES - 1)).wrapping_add(1);
         let length = read_own_memory(&mut bytes, pointer)
             .or_else(|_unmapped| read_own_memory(&mut bytes, next_page))
@@ -166,8 +166,8 @@
     }
 }
 
-/// Writes the code around an address as it is in memory, which may differ from
-/// what the object's file holds.
+/// Writes the code around an address from memory, which may differ from the
+/// object's file.
 fn describe_code(line: &mut Line, instruction: u64) -> fmt::Result {
     write!(line, " at=")?;
     describe_memory(line, &mut [0; CODE_BYTES], instruction)?;
@@ -222,14 +222,14 @@
 /// Returns the instruction pointer and the stack pointer.
 #[cfg(target_arch = "x86_64")]
 fn registers(context: &CrashContext) -> (u64, u64) {
-    // The places of RIP and RSP in the kernel's array of registers.
+    // The indices of RIP and RSP in the kernel's array of registers.
     let [instruction, stack] = [16, 15].map(|r| context.context.uc_mcontext.gregs[r]);
     (instruction.cast_unsigned(), stack.cast_unsigned())
 }
 
 #[cfg(target_arch = "x86_64")]
 fn describe_registers(line: &mut Line, context: &CrashContext) -> fmt::Result {
-    // Each with its place in the kernel's array.
+    // Each with its index in the kernel's array.
     const REGISTERS: [(&str, usize); 16] = [
         ("rax", 13),
         ("rbx", 11),
@@ -274,7 +274,7 @@
     (registers.pc, registers.sp)
 }
 
-/// Returns the code that is mapped into this process.
+/// Returns the executable mappings of this process.
 fn mapped_objects() -> io::Result<Vec<Object>> {
     let maps = fs::read_to_string("/proc/self/maps")?;
     let mut objects = Vec::new();
@@ -307,7 +307,7 @@
 }
 
 impl<'a> Mapping<'a> {
-    /// Returns the mapping of a file, and none for other memory.
+    /// Parses the mapping of a file; returns `None` for other memory.
     fn parse(line: &'a str) -> Option<Self> {
         let mut fields = line.split_ascii_whitespace();
         let hex = |text| u64::from_str_radix(text, 16).ok();
@@ -331,7 +331,7 @@
     Some(name.trim_end())
 }
 
-/// Reads memory of this process; what is not mapped ends the read.
+/// Reads memory of this process up to the first unmapped address.
 fn read_own_memory(buffer: &mut [u8], from: u64) -> Result<usize, Errno> {
     read(c"/proc/self/mem", buffer, from)
 }
@@ -342,7 +342,7 @@
     rustix::io::pread(&file, buffer, from)
 }
 
-/// One line of text of bounded length, on the stack.
+/// A line of text in a fixed buffer on the stack.
 #[derive(Debug)]
 struct Line {
     bytes: [u8; LINE_BYTES],
@@ -362,7 +362,7 @@
     fn write_out(&mut self) {
         self.bytes[self.length.min(LINE_BYTES - 1)] = b'\n';
         let length = (self.length + 1).min(LINE_BYTES);
-        // Nothing is left to be done if standard error is gone.
+        // There is no way to report a failure to write to standard error.
         let _written = rustix::io::write(rustix::stdio::stderr(), &self.bytes[..length]);
     }
 }
--- a/runtime/src/flag.rs
+++ b/runtime/src/flag.rs
@@ -1,4 +1,4 @@
-//! A condition that becomes true once and can be awaited.
+//! A one-shot flag that can be awaited.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -6,7 +6,7 @@
 
 use event_listener::Event;
 
-/// Becomes true once; clones share the state.
+/// A flag that is set once; clones share its state.
 #[derive(Debug, Clone, Default)]
 pub struct Flag {
     inner: Arc<Inner>,
@@ -19,19 +19,19 @@
 }
 
 impl Flag {
-    /// Makes the condition true and wakes all who wait.
+    /// Sets the flag and wakes all waiting tasks.
     pub fn set(&self) {
         self.inner.set.store(true, Ordering::SeqCst);
         self.inner.event.notify(usize::MAX);
     }
 
-    /// Tells whether the condition is true.
+    /// Returns whether the flag is set.
     #[must_use]
     pub fn is_set(&self) -> bool {
         self.inner.set.load(Ordering::SeqCst)
     }
 
-    /// Waits until the condition is true.
+    /// Waits until the flag is set.
     pub async fn wait(&self) {
         while !self.is_set() {
             let listener = self.inner.event.listen();
--- a/runtime/src/http/body.rs
+++ b/runtime/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and replies.
+//! Request and response bodies.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -22,16 +22,15 @@
 use hyper::body::Incoming;
 use hyper::body::SizeHint;
 
-/// The body of a reply.
+/// The body of a response sent by the server.
 pub type ReplyBody = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// Ends a body early: the connection is closed without the rest.
+/// The error that aborts a body and closes its connection.
 ///
-/// A body that is cut must not look complete, so its connection can't be used
-/// again.
+/// A truncated body must not look complete, so the connection can't be reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
-#[display("the answer can't be completed: send the request again")]
+#[display("the response body was aborted: send the request again")]
 pub struct BodyAborted;
 
 /// The reason why a body can't be read.
@@ -51,34 +50,34 @@
 }
 
 impl BodyError {
-    /// Tells whether the body was too large.
+    /// Returns whether the body was too large.
     #[must_use]
     pub const fn is_too_large(&self) -> bool {
         matches!(self, Self::TooLarge { .. })
     }
 }
 
-/// Returns a body of known bytes.
+/// Returns a body with the given bytes.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> ReplyBody {
     Full::new(bytes.into()).map_err(never).boxed_unsync()
 }
 
-/// Returns a body without bytes.
+/// Returns an empty body.
 #[must_use]
 pub fn empty() -> ReplyBody {
     full(Bytes::new())
 }
 
-/// Returns a body whose pieces come one by one, until the stream ends.
+/// Returns a body that sends the chunks of a stream.
 ///
-/// The stream is dropped when the caller's connection closes.
+/// The stream is dropped when the client's connection closes.
 #[must_use]
 pub fn streamed(chunks: impl Stream<Item = Bytes> + Send + 'static) -> ReplyBody {
     abortable(chunks.map(Ok))
 }
 
-/// Returns a body whose pieces come one by one, and which may be cut.
+/// Returns a body that sends the chunks of a stream, until the end or an abort.
 #[must_use]
 pub fn abortable(
     chunks: impl Stream<Item = Result<Bytes, BodyAborted>> + Send + 'static,
@@ -100,7 +99,7 @@
     collect_with_progress(body, max, |_bytes| ()).await
 }
 
-/// Reads a whole body and tells the bytes of each frame as it comes.
+/// Reads a whole body and passes the size of each frame to `on_frame`.
 ///
 /// # Errors
 ///
@@ -125,7 +124,7 @@
     }
 }
 
-/// Returns the same body, which drops `token` once it was sent or given up.
+/// Returns the same body, which drops `guard` once it is sent or abandoned.
 #[must_use]
 pub fn with_guard(body: ReplyBody, guard: impl Send + 'static) -> ReplyBody {
     let guard = Box::new(guard);
@@ -136,7 +135,7 @@
     .boxed_unsync()
 }
 
-/// A body that keeps something alive until it is dropped.
+/// A body that holds a guard until it is dropped.
 struct GuardedBody<T> {
     body: ReplyBody,
     _guard: Box<T>,
--- a/runtime/src/http/client.rs
+++ b/runtime/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps connections to each address.
+//! An HTTP client with a connection pool per address.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,12 +22,12 @@
 use crate::link::set_socket_options;
 use crate::scope::Scope;
 
-/// A response whose body is still to be read.
+/// A response whose body has not been read yet.
 pub type Response = hyper::Response<Incoming>;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// The idle connections kept to one address.
+/// The maximum number of idle connections per address.
 const IDLE_CONNS_MAX: usize = 32;
 
 /// The reason why a request got no response.
@@ -37,7 +37,7 @@
     /// No connection could be made: the request was not sent.
     #[display("no connection: {_0}; the request was not sent")]
     Connect(io::Error),
-    /// The request was taken by no connection: it was not sent.
+    /// The connection closed before the request was sent.
     #[display("the connection closed before the request was sent: {_0}")]
     NotSent(hyper::Error),
     /// The connection failed after the request may have been sent.
@@ -46,14 +46,14 @@
 }
 
 impl ClientError {
-    /// Tells whether the request surely never left this process.
+    /// Returns whether the request was certainly not sent.
     #[must_use]
     pub const fn is_not_sent(&self) -> bool {
         !matches!(self, Self::Sent(_))
     }
 }
 
-/// Sends requests; clones share the connections.
+/// Sends requests; clones share the connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     scope: Scope,
@@ -64,7 +64,7 @@
 impl Client {
     /// Builds a client whose connections run in `scope`.
     ///
-    /// `limit` bounds the time to connect.
+    /// `connect_timeout` limits the time to connect.
     #[must_use]
     pub fn new(scope: Scope, connect_timeout: Duration) -> Self {
         Self {
@@ -76,13 +76,13 @@
 
     /// Sends a request and returns the head of its response.
     ///
-    /// The connection is used again once the body has been read to its end and
-    /// [`Client::recycle`] was given the sender back; a dropped future closes it,
-    /// which cancels the request at the other side.
+    /// To reuse the connection, read the body to its end and pass the connection to
+    /// [`Client::recycle`]. Dropping the future closes the connection, which cancels
+    /// the request at the server.
     ///
     /// # Errors
     ///
-    /// Returns [`ClientError`], which tells whether the request may have run.
+    /// Returns [`ClientError`], which distinguishes whether the request may have run.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -99,8 +99,8 @@
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, PooledConn { sender, address })),
                 Err(mut error) => match error.take_message() {
-                    // The idle connection had closed: the request comes back
-                    // unsent, so another connection may carry it.
+                    // The idle connection was closed before the request was sent,
+                    // so another connection can be used.
                     Some(unsent) => request = unsent,
                     None => return Err(ClientError::Sent(error.into_error())),
                 },
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Keeps a connection whose response has been read to its end.
+    /// Returns a connection to the pool after its response has been read.
     pub fn recycle(&self, conn: PooledConn) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let conns = idle.entry(conn.address).or_default();
@@ -153,7 +153,7 @@
     }
 }
 
-/// A connection in use, to be kept after its response was read.
+/// A connection in use, to be recycled after its response has been read.
 #[derive(Debug)]
 pub struct PooledConn {
     sender: Sender,
--- a/runtime/src/http/server.rs
+++ b/runtime/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A server loop: bounded heads, idle times and connections.
+//! An HTTP server with limits on connections, request heads and idle time.
 
 use std::convert::Infallible;
 use std::io;
@@ -25,26 +25,26 @@
 use crate::link::set_socket_options;
 use crate::scope::Scope;
 
-/// A request as the server hands it over.
+/// A request received by the server.
 pub type Request = hyper::Request<Incoming>;
 
-/// A reply as the server takes it.
+/// A response to be sent by the server.
 pub type Reply = hyper::Response<ReplyBody>;
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     ///
-    /// The future is dropped when the caller's connection closes.
+    /// The future is dropped when the client's connection closes.
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>>;
 }
 
-/// What a client may take of the server.
+/// The limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// The longest time for the head of a request; also for an idle connection.
+    /// The timeout for the head of a request, and for an idle connection.
     pub head_timeout: Duration,
-    /// The most connections at once.
+    /// The maximum number of open connections.
     pub conns: usize,
 }
 
@@ -57,21 +57,21 @@
     }
 }
 
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 ///
-/// Accept fails when descriptors run out; trying again at once would spin.
+/// Accept fails when file descriptors run out; an immediate retry would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest time for the head of a request on a connection that comes last.
+/// The timeout for the head of a first request during and after a drain.
 ///
-/// A caller that connects and sends nothing would keep the process from ending.
+/// A client that connects and sends nothing would otherwise delay the exit.
 const DRAIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Binds a listener.
 ///
 /// # Errors
 ///
-/// Returns the system's error, for example if the address is taken.
+/// Returns the system's error, for example if the address is in use.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
@@ -90,12 +90,11 @@
 
 /// Serves connections until `end` is set and each has finished its request.
 ///
-/// Once `drain` is set, idle connections are closed; one that was never used has
-/// a second more for the request that it was opened for. New ones are accepted until
-/// the last connection has ended, for the handler to answer them; those that
-/// come after `end` are for one request. A caller whose connection stays in the
-/// queue of a listener hears nothing until the process ends, and can't tell
-/// whether its request ran.
+/// Once `drain` is set, idle connections are closed; one without any request yet
+/// has another second to send it. New connections are accepted until the last one
+/// has ended, and the handler responds to them; those accepted after `end` serve one
+/// request. A connection left in the accept queue would get no response until the
+/// process ends, and its client could not know whether the request ran.
 pub async fn serve_until(
     listener: Async<TcpListener>,
     handler: Arc<dyn Handler>,
@@ -115,7 +114,7 @@
         ConnLifetime::KeepAlive(close.clone())
     };
     server.accept_until(end.wait(), lifetime).await;
-    // The queue of the listener is looked at first: it is empty at the end.
+    // Accepting is polled before the join, so the accept queue is empty at the end.
     server
         .accept_until(server.scope.join(), || ConnLifetime::OneRequest)
         .await;
@@ -123,9 +122,9 @@
 
 /// How long a connection lasts.
 enum ConnLifetime {
-    /// Until it is idle after the flag was set.
+    /// Until it is idle after the flag is set.
     KeepAlive(Flag),
-    /// Until its first request was answered.
+    /// Until its first response is sent.
     OneRequest,
 }
 
@@ -156,7 +155,7 @@
                     let conn = connection(stream, handler, self.bounds, lifetime());
                     self.scope.spawn(conn);
                 }
-                // Beyond the bound the connection is closed unread: nothing ran.
+                // Over the limit, the connection is closed unread, so nothing ran.
                 Some(Ok(_refused)) => {
                     metrics::counter!("snipeyoke_conns_refused_total").increment(1);
                 }
@@ -175,8 +174,8 @@
     bounds: Bounds,
     lifetime: ConnLifetime,
 ) {
-    // A caller's phone may be out of reach for longer than a host ever is; what
-    // an idle caller may take is also the bound for one who is away.
+    // A mobile client may be unreachable for longer than a host, so the idle timeout
+    // also limits how long sent bytes may stay unacknowledged.
     if set_socket_options(&stream, bounds.head_timeout).is_err() {
         return;
     }
@@ -202,7 +201,7 @@
             return future::pending().await;
         };
         drain.wait().await;
-        // The first request of a new connection may be on its way.
+        // The first request of a new connection may still arrive.
         let first_request_timeout = async {
             Timer::after(DRAIN_HEAD_TIMEOUT).await;
         };
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,6 +1,6 @@
 //! Threads, tasks, sockets and settings for the processes of snipeyoke.
 //!
-//! Adapters only: each decision lives in `snipeyoke_lib`.
+//! Contains adapters only; `snipeyoke_lib` makes the decisions.
 
 pub mod clock;
 pub mod config_store;
--- a/runtime/src/link.rs
+++ b/runtime/src/link.rs
@@ -27,44 +27,44 @@
 
 type Stream = Framed<Compat<Async<TcpStream>>, FrameCodec>;
 
-/// The frames that may wait for a connection.
+/// The maximum number of frames queued for a connection.
 ///
-/// A peer that does not read fills its queue, and new calls to it are refused
-/// as not run instead of piling up in memory.
+/// If a peer stops reading, its queue fills up and new calls to it are refused as
+/// not run, instead of using up memory.
 const QUEUE_MAX_FRAMES: usize = 1_024;
 
-/// Bytes of a frame around its body.
+/// The encoding overhead of a frame around its body.
 const FRAME_OVERHEAD_BYTES: usize = 16;
 
-/// The longest time that bytes sent between hosts may go unacknowledged.
+/// The longest time that bytes sent between hosts may stay unacknowledged.
 ///
-/// A peer without power never answers: without this bound a connection to it
-/// would look alive for many minutes.
+/// Without this limit, a connection to a host that lost power would seem alive for
+/// many minutes.
 pub const UNACKED_MAX: Duration = Duration::from_secs(3);
 
-/// A frame on its way out.
+/// A queued frame.
 #[derive(Debug)]
 pub struct Outbound {
-    // Boxed, since a queue allocates its slots many at a time.
+    // Boxed to keep queue slots small, as the queue allocates many at a time.
     body: Box<Body>,
     written: Option<Written>,
 }
 
-/// Tells whether a frame has begun to be written.
+/// Tracks whether writing of a frame has begun.
 ///
-/// Until then the peer can't have read it: a call in it was not run.
+/// Until then the peer can't have read the frame, so its call has not run.
 #[derive(Debug, Clone, Default)]
 pub struct Written(Arc<AtomicBool>);
 
 impl Written {
-    /// Tells whether the frame has begun to be written.
+    /// Returns whether writing of the frame has begun.
     #[must_use]
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 }
 
-/// The reason why a frame was not taken for sending.
+/// The reason why a frame was not queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(derive_more::Display, derive_more::Error)]
 pub enum SendError {
@@ -74,7 +74,7 @@
     /// The connection is closed.
     #[display("the connection is closed: use another")]
     Closed,
-    /// The frame is larger than a connection carries.
+    /// The frame exceeds the maximum size.
     #[display("the frame has more than {FRAME_MAX} bytes: send a smaller body")]
     TooLarge,
 }
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Queues a frame and tells later whether it began to be written.
+    /// Queues a frame and returns a handle that tracks whether writing has begun.
     ///
     /// # Errors
     ///
@@ -114,19 +114,18 @@
 
     /// Ends the writer once the queued frames are written.
     ///
-    /// The connection itself closes when its reader is dropped too.
+    /// The connection closes once its reader is dropped as well.
     pub fn close(&self) {
         self.queue.close();
     }
 
     fn push(&self, outbound: Outbound) -> Result<(), SendError> {
-        // The codec refuses such a frame by ending the connection, and every
-        // other call on it would end as unknown because of one large body.
-        // Refused here, only its own call ends, as not run.
+        // The codec would close the connection on an oversized frame, and all other
+        // calls on it would end as unknown. Refused here, only this call ends.
         if outbound.body.encoded_len() + FRAME_OVERHEAD_BYTES > FRAME_MAX {
             return Err(SendError::TooLarge);
         }
-        // Senders that race may pass the limit by one frame each.
+        // Concurrent senders may each exceed the limit by one frame.
         if self.queue.len() >= QUEUE_MAX_FRAMES {
             return Err(SendError::Full);
         }
@@ -151,8 +150,8 @@
     /// Returns [`FrameError`] if the connection fails.
     pub async fn run(mut self) -> Result<(), FrameError> {
         let result = self.write_all().await;
-        // Frames left in the queue are never written; closing it tells later
-        // senders at once.
+        // Queued frames will never be written; closing the queue makes later sends
+        // fail at once.
         self.queue.close();
         result
     }
@@ -170,8 +169,8 @@
 
     async fn feed(&mut self, outbound: Outbound) -> Result<(), FrameError> {
         if let Some(written) = outbound.written {
-            // Set before the first byte: if the connection fails in between,
-            // the call counts as possibly run, which is the safe error.
+            // Set before the first byte is written: if the connection fails in
+            // between, the call counts as possibly run, which is safe.
             written.0.store(true, Ordering::SeqCst);
         }
         self.sink.feed(*outbound.body).await
@@ -185,11 +184,11 @@
 }
 
 impl LinkReader {
-    /// Returns the next frame, or `None` at the orderly end.
+    /// Returns the next frame, or `None` once the peer has closed the connection.
     ///
     /// # Errors
     ///
-    /// Returns [`FrameError`] if the connection fails or the bytes are no frame.
+    /// Returns [`FrameError`] if the connection fails or the bytes are not a valid frame.
     pub async fn next(&mut self) -> Result<Option<Body>, FrameError> {
         self.stream.next().await.transpose()
     }
@@ -209,7 +208,7 @@
     connect.or(timeout).await
 }
 
-/// Splits a connection into its three parts.
+/// Splits a connection into sender, writer and reader.
 ///
 /// # Errors
 ///
@@ -217,7 +216,7 @@
 pub fn open(stream: Async<TcpStream>) -> io::Result<(LinkSender, LinkWriter, LinkReader)> {
     set_socket_options(&stream, UNACKED_MAX)?;
     let (sink, stream) = Framed::new(stream.compat(), FrameCodec::default()).split();
-    // A bounded channel allocates all its slots at once, for every link.
+    // Unbounded, because a bounded channel would allocate all slots of every link.
     let (send, queue) = async_channel::unbounded();
     Ok((
         LinkSender { queue: send },
@@ -226,9 +225,9 @@
     ))
 }
 
-/// Sets the socket options that every connection of ours has.
+/// Sets the socket options common to all connections.
 ///
-/// `unheard` is the longest time that sent bytes may go unacknowledged.
+/// `unacked` is the longest time that sent bytes may stay unacknowledged.
 ///
 /// # Errors
 ///
--- a/runtime/src/logs.rs
+++ b/runtime/src/logs.rs
@@ -1,4 +1,4 @@
-//! The log lines of a process: key=value pairs.
+//! Logging as lines of key=value pairs.
 
 mod bound;
 mod layout;
@@ -19,10 +19,10 @@
 use self::bound::QueuedLines;
 use self::layout::Pairs;
 
-/// The lines that may wait for standard error.
+/// The maximum number of queued log lines.
 ///
-/// A slow reader of the log must not block traffic: lines beyond this number
-/// are dropped and counted as `snipeyoke_log_dropped_total`.
+/// A slow reader of the log must not block traffic. Lines beyond this limit are
+/// dropped and counted as `snipeyoke_log_dropped_total`.
 const QUEUE_MAX_LINES: usize = 8_192;
 
 /// The reason why the log can't be set up.
@@ -32,15 +32,15 @@
     /// The filter is malformed.
     #[display("the log filter {filter:?} is malformed: write LEVEL or TARGET=LEVEL,…")]
     Filter {
-        /// The filter found.
+        /// The filter as given.
         filter: String,
     },
-    /// Another logger is in place.
-    #[display("the process has a logger already: call this once")]
+    /// A logger is already installed.
+    #[display("a logger is already installed: call this once per process")]
     AlreadyInstalled,
 }
 
-/// Where log lines go.
+/// The destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
@@ -72,15 +72,15 @@
     Ok(())
 }
 
-/// Puts a bounded queue, and a thread that empties it, before an output.
+/// Wraps an output in a bounded queue and a thread that drains it.
 fn with_bounded_queue(output: impl Append) -> BoundedAppend<Async> {
     let queued_lines = QueuedLines::default();
     let counting = CountingAppend {
         inner: output,
         queued_lines: queued_lines.clone(),
     };
-    // The queue has room for every line that the entry lets through, and for
-    // one flush; it never drops by itself.
+    // The queue has room for all accepted lines and one flush, so it never drops
+    // lines itself.
     let queue = AsyncBuilder::new("log")
         .buffered_lines_limit(Some(QUEUE_MAX_LINES + 1))
         .overflow_drop_incoming()
@@ -93,7 +93,7 @@
     }
 }
 
-/// Logs one event whose pairs are only known when it happens.
+/// Logs one event whose keys are only known at run time.
 pub fn event(target: &str, pairs: &[(&'static str, String)]) {
     let level = log::Level::Info;
     let metadata = log::Metadata::builder().level(level).target(target).build();
--- a/runtime/src/logs/bound.rs
+++ b/runtime/src/logs/bound.rs
@@ -1,4 +1,4 @@
-//! A bound on the lines that wait, with a count of those dropped.
+//! A limit on queued log lines, with a count of the dropped ones.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -9,11 +9,11 @@
 use logforth::Error;
 use logforth::record::Record;
 
-/// The lines between the threads that log and the one that writes.
+/// The number of lines queued between the logging threads and the writer.
 #[derive(Debug, Clone, Default)]
 pub(super) struct QueuedLines(Arc<AtomicUsize>);
 
-/// Takes lines in, as long as fewer than a number of them wait.
+/// Accepts lines while fewer than `limit` are queued.
 #[derive(Debug)]
 pub(super) struct BoundedAppend<A> {
     pub(super) inner: A,
@@ -21,7 +21,7 @@
     pub(super) limit: usize,
 }
 
-/// Writes lines and counts them out.
+/// Writes lines and removes them from the count.
 #[derive(Debug)]
 pub(super) struct CountingAppend<A> {
     pub(super) inner: A,
@@ -29,10 +29,9 @@
 }
 
 impl<A: Append> Append for BoundedAppend<A> {
-    // A reader of standard error that stands still would fill the queue: the
-    // threads that serve requests would wait for it, or the queue would take
-    // the node's memory. Beyond the limit a line is dropped here, at once, and
-    // counted, so that a gap in the log is known to be one.
+    // If the reader of the log stalls, a full queue would block the threads that
+    // serve requests or exhaust memory. Lines over the limit are dropped and
+    // counted, so that gaps in the log are visible.
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let before = self.queued_lines.0.fetch_add(1, Ordering::Relaxed);
         if before >= self.limit {
--- a/runtime/src/logs/layout.rs
+++ b/runtime/src/logs/layout.rs
@@ -1,4 +1,4 @@
-//! Writes a record as one line of key=value pairs.
+//! The layout of a log record as one line of key=value pairs.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 use logforth::kv::Visitor;
 use logforth::record::Record;
 
-/// Time, level and module, then the event's own pairs.
+/// Writes time, level and module, followed by the pairs of the event.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pairs;
 
--- a/runtime/src/measures.rs
+++ b/runtime/src/measures.rs
@@ -1,4 +1,4 @@
-//! The metrics of a process, as text for scrapers.
+//! The metrics of a process in the Prometheus text format.
 
 use std::sync::OnceLock;
 
@@ -7,14 +7,14 @@
 
 static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Upper bounds of the buckets of every histogram in seconds.
+/// The upper bounds of histogram buckets.
 ///
-/// From half a millisecond (an added hop) to ten seconds (a long draft).
+/// They range from 0.5 ms (an added hop) to 10 s (a long generation).
 const BUCKETS_SECONDS: [f64; 14] = [
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
 
-/// Installs the recorder of the process, once.
+/// Installs the metrics recorder; later calls have no effect.
 pub fn install() {
     HANDLE.get_or_init(|| {
         let recorder = match PrometheusBuilder::new().set_buckets(&BUCKETS_SECONDS) {
@@ -23,13 +23,13 @@
         };
         let handle = recorder.handle();
         if metrics::set_global_recorder(recorder).is_err() {
-            log::warn!(event = "metrics-taken", remedy = "install no second recorder"; "");
+            log::warn!(event = "metrics-taken", remedy = "install only one metrics recorder"; "");
         }
         handle
     });
 }
 
-/// Returns the metrics as text.
+/// Renders the metrics.
 #[must_use]
 pub fn render() -> String {
     HANDLE.get().map_or_else(String::new, |h| {
--- a/runtime/src/platform/hosts.rs
+++ b/runtime/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list over HTTP: a hint that lags.
+//! Client for the platform's host list, which may lag behind reality.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,10 +23,10 @@
 use crate::http::Client;
 use crate::http::collect;
 
-/// The longest time for one look at the list.
+/// The timeout for reading the list.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest list that is taken, in bytes.
+/// The maximum size of the list.
 const LIST_MAX_BYTES: usize = 4 << 20;
 
 /// Reads the platform's host list.
@@ -70,15 +70,15 @@
 }
 
 impl HttpHosts {
-    /// Builds an adapter for the platform at `address`.
+    /// Creates a client for the platform at `address`.
     #[must_use]
     pub const fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
     }
 
-    /// Returns the list, or nothing if it can't be had or read now.
+    /// Returns the list, or `None` if it can't be fetched or parsed.
     ///
-    /// Callers then keep to the last one: an outage of the platform must not
+    /// Callers then keep the last list, so that an outage of the platform does not
     /// look like the loss of every host.
     pub async fn list(&self) -> Option<Vec<Listed>> {
         let timeout = async {
@@ -88,7 +88,7 @@
         let body = self.fetch().or(timeout).await?;
         let list: List = serde_json::from_slice(&body)
             .inspect_err(|error| {
-                log::warn!(event = "host-list-malformed", error = error.to_string().as_str(), remedy = "mend the platform's list; the last good one stays"; "");
+                log::warn!(event = "host-list-malformed", error = error.to_string().as_str(), remedy = "correct the platform's host list; the last valid list stays in use"; "");
             })
             .ok()?;
         Some(list.hosts.into_iter().flat_map(host_nodes).collect())
--- a/runtime/src/platform/log.rs
+++ b/runtime/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP.
+//! Client for the platform's log service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,25 +26,25 @@
 use crate::http::ClientError;
 use crate::http::collect;
 
-/// The longest time for an append.
+/// The timeout of an append.
 ///
-/// Beyond it the append counts as unanswered and is repeated under the same
-/// record ids.
+/// After it, the append counts as unanswered and is retried with the same record
+/// ids.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest time for a read beyond the wait that it asks for.
+/// The timeout of a read beyond its requested wait.
 const READ_TIMEOUT_SLACK: Duration = Duration::from_secs(2);
 
-/// The largest answer that is taken, in bytes.
+/// The maximum size of a response.
 const RESPONSE_MAX_BYTES: usize = 8 << 20;
 
-/// The header with the lowest offset left.
+/// The header with the lowest retained offset.
 const FIRST_HEADER: &str = "x-log-first";
 
 /// The header with the offset after the newest record.
 const END_HEADER: &str = "x-log-end";
 
-/// Speaks to the platform's log service; one try for each call.
+/// Calls the platform's log service, without retries.
 #[derive(Debug, Clone)]
 pub struct HttpLog {
     client: Client,
@@ -62,7 +62,7 @@
 }
 
 impl HttpLog {
-    /// Builds an adapter for the service at `address`.
+    /// Creates a client for the service at `address`.
     #[must_use]
     pub const fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
@@ -82,7 +82,7 @@
         };
         match response.status() {
             StatusCode::OK => {}
-            // These two say that nothing was done; no other answer does.
+            // Only these two statuses prove that nothing was appended.
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 let retry_after = retry_after_header(response.headers());
                 return AppendEnd::NotDone { retry_after };
@@ -162,18 +162,18 @@
     hyper::Request::post(path).body(Full::new(body)).ok()
 }
 
-/// Writes records, each with its length before it.
+/// Encodes records, each prefixed with its length.
 fn encode(records: &[Vec<u8>]) -> Bytes {
     let mut out = BytesMut::new();
     for record in records {
-        // A record is far below 4 GiB: the service takes 256 KiB at most.
+        // Never truncated: the service accepts records of up to 256 KiB, far below 4 GiB.
         out.put_u32(u32::try_from(record.len()).unwrap_or(u32::MAX));
         out.put_slice(record);
     }
     out.freeze()
 }
 
-/// Reads records; `None` for an answer that was cut off.
+/// Decodes records; returns `None` if the response is truncated.
 fn decode(mut body: Bytes) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while body.has_remaining() {
--- a/runtime/src/platform/mod.rs
+++ b/runtime/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's services, met through their published protocols.
+//! Clients for the platform's services.
 
 mod hosts;
 mod log;
--- a/runtime/src/program.rs
+++ b/runtime/src/program.rs
@@ -1,4 +1,4 @@
-//! The way every process of the system starts, runs and leaves.
+//! Start, reload and shutdown common to all programs of the system.
 
 use std::error::Error;
 use std::path::Path;
@@ -27,18 +27,18 @@
 use crate::threads::Execs;
 use crate::threads::Threads;
 
-/// A process of the system.
+/// A program of the system.
 pub trait Program: Sized {
-    /// The name of its binary.
+    /// The name of the binary.
     const NAME: &'static str;
 
-    /// Where its log goes.
+    /// The destination of the log.
     const LOG: Output = Output::Stderr;
 
-    /// Its checked settings.
+    /// The checked settings.
     type Settings: Checked<Error: 'static>;
 
-    /// The reason why it can't start.
+    /// The reason why the program can't start.
     type StartError: Error + 'static;
 
     /// Returns the log filter.
@@ -47,22 +47,22 @@
     /// Returns the number of traffic threads.
     fn thread_count(settings: &Self::Settings) -> usize;
 
-    /// Starts it on the given executors.
+    /// Starts the program on the given executors.
     ///
     /// # Errors
     ///
-    /// Returns what keeps it from starting.
+    /// Returns an error if the program can't start.
     fn start(settings: Self::Settings, execs: &Execs) -> Result<Self, Self::StartError>;
 
-    /// Takes new settings while it runs; the default keeps the old ones.
+    /// Applies new settings at run time; by default, keeps the old ones.
     fn reload(&self, _settings: Self::Settings) {
-        log::info!(event = "settings-kept", remedy = "restart the process to use new settings"; "");
+        log::info!(event = "settings-kept", remedy = "restart the process to apply new settings"; "");
     }
 
-    /// Waits until the host list says that its host leaves.
+    /// Waits until the host list marks the host as leaving.
     fn leave_requested(&self) -> impl Future<Output = ()>;
 
-    /// Drains and ends it.
+    /// Drains and stops the program.
     fn drain(&self, source: Source) -> impl Future<Output = ()>;
 }
 
@@ -70,8 +70,8 @@
 #[derive(Debug)]
 #[derive(FromArgs)]
 struct Args {
-    /// the settings file: JSON with comments; without it, the one that the
-    /// variable `SNIPEYOKE_SETTINGS` names
+    /// the settings file: JSON with comments; defaults to the file named by the
+    /// environment variable `SNIPEYOKE_SETTINGS`
     #[argh(positional)]
     settings: Option<PathBuf>,
     /// check the settings and exit
@@ -79,19 +79,19 @@
     check: bool,
 }
 
-/// The reason why there is no settings file to read.
+/// The error for a missing path of the settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, DeriveError)]
-#[display("no settings file: name one as argument or in {SETTINGS_VAR}")]
+#[display("no settings file: pass one as argument or in {SETTINGS_VAR}")]
 pub struct NoSettings;
 
-/// The time between two looks at the settings file.
+/// The interval for polling the settings file.
 ///
-/// Operators who change it without a signal expect it in force within seconds;
-/// a look reads a few hundred bytes.
+/// Operators who change the file without a signal expect it in force within seconds.
+/// A poll reads a few hundred bytes.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The variable that names the settings file where no argument does.
+/// The environment variable with the path of the settings file.
 const SETTINGS_VAR: &str = "SNIPEYOKE_SETTINGS";
 
 impl Args {
@@ -103,8 +103,8 @@
 
 /// Defines `main` of the binary of a [`Program`].
 ///
-/// Signals that ask the process to leave or reload are held back from before
-/// `main` until the program takes them: by default they end a process.
+/// Shutdown and reload signals are blocked from before `main` until the program
+/// handles them, since by default they would end the process.
 #[macro_export]
 macro_rules! program {
     ($program:ty) => {
@@ -121,7 +121,7 @@
     };
 }
 
-/// Runs a program to its end, as the body of `main`.
+/// Runs a program until it ends; the body of `main`.
 #[must_use]
 pub fn main<P: Program>() -> ExitCode {
     match run::<P>(&argh::from_env()) {
@@ -134,7 +134,7 @@
 }
 
 fn run<P: Program>(args: &Args) -> Result<(), Box<dyn Error>> {
-    // First of all: the signals are held back until here.
+    // Comes first, since the signals are blocked until here.
     let shutdown = ShutdownSignals::register()?;
     let reload = ReloadSignals::register()?;
     signals::unblock()?;
@@ -187,11 +187,11 @@
         Source::HostList
     };
     let source = signal.or(host_list).or(reloads).await;
-    // Another signal is only noted by the system: nothing is cut.
+    // Further signals stay pending and do not interrupt the drain.
     program.drain(source).await;
 }
 
-// A faulty file must not end a process that serves: the old settings stay.
+// An invalid file must not stop a running process: the old settings stay in force.
 fn reload_settings<P: Program>(program: &P, path: &Path) {
     match settings::load::<P::Settings>(path) {
         Ok(settings) => program.reload(settings),
--- a/runtime/src/scope.rs
+++ b/runtime/src/scope.rs
@@ -1,4 +1,4 @@
-//! Tasks that their parent joins.
+//! Scopes of tasks that are joined by their parent.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -15,7 +15,7 @@
 
 use crate::threads::Exec;
 
-/// The time for last frames once a process has nothing more to do.
+/// The time for tasks to write their last frames before they are cancelled.
 const CANCEL_GRACE: Duration = Duration::from_millis(300);
 
 /// Owns the tasks spawned through it; clones share them.
@@ -46,7 +46,7 @@
 }
 
 impl Scope {
-    /// Builds a scope whose tasks run on `exec`.
+    /// Creates a scope whose tasks run on `exec`.
     #[must_use]
     pub fn new(exec: Exec) -> Self {
         Self {
@@ -61,11 +61,10 @@
         Arc::clone(&self.exec)
     }
 
-    /// Starts a task that this scope owns.
+    /// Spawns a task owned by this scope.
     pub fn spawn(&self, future: impl Future<Output = ()> + Send + 'static) {
-        // The lock is held over spawn and insert: a task that ends at once
-        // would otherwise look for its own entry before there is one, and the
-        // entry would stay for good.
+        // Hold the lock across spawn and insert. Otherwise a task that ends at once
+        // could remove its entry before the insert, and the entry would leak.
         let mut tasks = self.lock();
         let id = tasks.next;
         tasks.next += 1;
@@ -77,19 +76,19 @@
         tasks.running.insert(id, task);
     }
 
-    /// Returns the number of tasks that have not ended.
+    /// Returns the number of running tasks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().running.len()
     }
 
-    /// Tells whether every task has ended.
+    /// Returns whether all tasks have ended.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Waits until every task has ended by itself.
+    /// Waits until all tasks have ended on their own.
     pub async fn join(&self) {
         loop {
             let listener = self.inner.emptied.listen();
@@ -100,9 +99,9 @@
         }
     }
 
-    /// Waits a little for the tasks to end by themselves, then cancels them.
+    /// Waits briefly for all tasks to end, then cancels the rest.
     ///
-    /// For tasks that have been told to end and may still write a last frame.
+    /// For tasks that are already stopping and may still write a last frame.
     pub async fn cancel_after_grace(&self) {
         let grace = async {
             Timer::after(CANCEL_GRACE).await;
@@ -111,7 +110,7 @@
         self.cancel().await;
     }
 
-    /// Cancels every task and waits for their end.
+    /// Cancels all tasks and waits until they have ended.
     pub async fn cancel(&self) {
         loop {
             let running = std::mem::take(&mut self.lock().running);
@@ -136,7 +135,7 @@
     fn remove(&self, id: u64) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(task) = tasks.running.remove(&id) {
-            // The task is this one, at its end: there is nothing to wait for.
+            // This is the calling task, which is about to end.
             task.detach();
         }
         if tasks.running.is_empty() {
--- a/runtime/src/settings.rs
+++ b/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: JSON with comments, checked before use.
+//! Settings files in JSON with comments, checked when loaded.
 
 use std::error::Error as StdError;
 use std::fs;
@@ -25,7 +25,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The text is no JSON with comments.
+    /// The text is not valid JSON with comments.
     #[display("{}: line {line}, column {column}: {message}; correct the syntax there", path.display())]
     Syntax {
         /// The file.
@@ -34,7 +34,7 @@
         line: usize,
         /// The column, from 1.
         column: usize,
-        /// What was found.
+        /// The parser's message.
         message: String,
     },
     /// A key is missing, unknown or of the wrong type.
@@ -42,7 +42,7 @@
     Shape {
         /// The file.
         path: PathBuf,
-        /// What was found, with the key and, where known, the line.
+        /// The message with the key and, if known, the line.
         message: String,
     },
     /// A value is out of its range.
@@ -50,13 +50,13 @@
     Value {
         /// The file.
         path: PathBuf,
-        /// The key, the value and the remedy.
+        /// The message with the key, the value and the remedy.
         message: String,
     },
 }
 
 impl SettingsError {
-    /// Tells whether the file could not be read at all.
+    /// Returns whether the file could not be read.
     #[must_use]
     pub const fn is_read(&self) -> bool {
         matches!(self, Self::Read { .. })
@@ -65,7 +65,7 @@
 
 /// Settings that are parsed as [`Checked::Raw`] and then checked.
 pub trait Checked: Sized {
-    /// The settings as they stand in the file.
+    /// The settings as deserialized from the file.
     type Raw: DeserializeOwned;
     /// The reason why a value is refused, naming the key and the remedy.
     type Error: StdError;
@@ -74,14 +74,13 @@
     ///
     /// # Errors
     ///
-    /// Returns the first value that is out of its range.
+    /// Returns an error for the first value out of range.
     fn check(raw: Self::Raw) -> Result<Self, Self::Error>;
 }
 
-/// Notices when a settings file has other text than before.
+/// Detects changes of a settings file by comparing its text.
 ///
-/// A file may change without a signal. Its text is compared, as the time of a
-/// file may stay the same over two writes.
+/// The modification time may stay the same over two writes.
 #[derive(Debug)]
 pub struct Watch {
     path: PathBuf,
@@ -89,7 +88,7 @@
 }
 
 impl Watch {
-    /// Starts with the text that the file has now.
+    /// Starts with the current text of the file.
     #[must_use]
     pub fn new(path: &Path) -> Self {
         Self {
@@ -98,9 +97,9 @@
         }
     }
 
-    /// Tells whether the text is another one than at the last look.
+    /// Returns whether the text has changed since the last call.
     ///
-    /// A file that can't be read now is no change: it may be on its way.
+    /// An unreadable file is not a change, as it may be about to be replaced.
     pub fn has_changed(&mut self) -> bool {
         let Ok(text) = fs::read_to_string(&self.path) else {
             return false;
@@ -147,7 +146,7 @@
     })
 }
 
-/// Adds the line of the first key that the message quotes.
+/// Adds the line number of the first key quoted in the message.
 fn with_line(text: &str, message: &str) -> String {
     let quoted = message.split('`').nth(1).unwrap_or_default();
     let last = quoted.rsplit('.').next().unwrap_or_default();
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a process to leave or to read its settings again.
+//! Signals that request a shutdown or a reload of the settings.
 
 use std::io;
 
@@ -7,16 +7,16 @@
 use futures_lite::StreamExt;
 use nix::sys::signal::SigSet;
 
-/// Holds back the signals of [`ShutdownSignals`] and [`ReloadSignals`] until [`unblock`].
+/// Blocks the signals of [`ShutdownSignals`] and [`ReloadSignals`] until [`unblock`].
 ///
-/// The system keeps them pending. Meant to run before `main`, so it uses
-/// nothing that the language's runtime sets up.
+/// The kernel keeps them pending. Runs before `main`, so it depends on nothing that
+/// the Rust runtime sets up.
 pub fn block() {
-    // It fails only for a wrong argument, and there is nowhere to tell it yet.
+    // It fails only for an invalid argument, and errors can't be reported yet.
     let _blocked = handled_signals().thread_block();
 }
 
-/// Lets the signals through that [`block`] has held back.
+/// Unblocks the signals blocked by [`block`].
 ///
 /// # Errors
 ///
@@ -25,7 +25,7 @@
     Ok(handled_signals().thread_unblock()?)
 }
 
-/// Returns the signals that a process of the system takes.
+/// Returns the signals that a process handles.
 fn handled_signals() -> SigSet {
     use nix::sys::signal::Signal;
     [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]
@@ -33,14 +33,14 @@
         .collect()
 }
 
-/// Waits for SIGTERM or SIGINT, again at each call.
+/// A stream of SIGTERM and SIGINT.
 #[derive(Debug)]
 pub struct ShutdownSignals {
     signals: Signals,
 }
 
 impl ShutdownSignals {
-    /// Registers for the signals.
+    /// Registers for the signals, which would otherwise end the process.
     ///
     /// # Errors
     ///
@@ -52,13 +52,12 @@
 
     /// Waits for the next signal.
     pub async fn next(&mut self) {
-        // The stream ends only with the registration, which lives as long as
-        // `self`.
+        // The stream ends only when the registration is dropped with `self`.
         let _signal = self.signals.next().await;
     }
 }
 
-/// Waits for SIGHUP, again at each call.
+/// A stream of SIGHUP.
 #[derive(Debug)]
 pub struct ReloadSignals {
     signals: Signals,
--- a/runtime/src/threads.rs
+++ b/runtime/src/threads.rs
@@ -1,4 +1,4 @@
-//! The threads of a process: one for control state, others for traffic.
+//! The threads of a process: one for control tasks, others for traffic.
 
 use std::io;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 
 use crate::flag::Flag;
 
-/// An executor that tasks are spawned on.
+/// A shared task executor.
 pub type Exec = Arc<Executor<'static>>;
 
-/// The executors of a process, by what runs on them.
+/// The executors of a process.
 #[derive(Debug, Clone, Default)]
 pub struct Execs {
-    /// Runs control state, on one thread.
+    /// Runs control tasks on a single thread.
     pub control: Exec,
-    /// Runs traffic, on the other threads.
+    /// Runs traffic on the other threads.
     pub traffic: Exec,
 }
 
-/// Runs one control thread and some traffic threads until joined.
+/// One control thread and a number of traffic threads.
 #[derive(Debug)]
 pub struct Threads {
     execs: Execs,
@@ -50,13 +50,13 @@
         })
     }
 
-    /// Returns the executors that the threads run.
+    /// Returns the executors that run on the threads.
     #[must_use]
     pub fn execs(&self) -> Execs {
         self.execs.clone()
     }
 
-    /// Stops the threads and waits for their end.
+    /// Stops the threads and waits until they have ended.
     pub fn join(self) {
         self.stop.set();
         for handle in self.handles {
@@ -70,8 +70,8 @@
 fn run(name: &str, exec: &Exec, stop: &Flag) -> io::Result<JoinHandle<()>> {
     let exec = Arc::clone(exec);
     let stop = stop.clone();
-    // A thread that waits polls the sockets itself. Left to the reactor's own
-    // thread, each event would wake two threads in place of one.
+    // `block_on` lets an idle thread poll the sockets itself. With the reactor's own
+    // thread, each event would wake two threads instead of one.
     let body = move || block_on(exec.run(stop.wait()));
     thread::Builder::new().name(name.to_owned()).spawn(body)
 }
--- a/runtime/src/watched.rs
+++ b/runtime/src/watched.rs
@@ -1,4 +1,4 @@
-//! One fact of a blackboard: an immutable snapshot that readers share.
+//! A shared value that can be watched for changes.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -6,10 +6,9 @@
 use arc_swap::ArcSwap;
 use event_listener::Event;
 
-/// Holds the newest value of one fact.
+/// A shared value, read as immutable snapshots.
 ///
-/// Controllers write it on the control thread; traffic threads read snapshots
-/// without waiting for them.
+/// The control thread writes it; traffic threads read it without locking.
 pub struct WatchedValue<T> {
     value: ArcSwap<T>,
     changed: Event,
@@ -22,7 +21,7 @@
 }
 
 impl<T> WatchedValue<T> {
-    /// Starts with `value`.
+    /// Creates it with an initial value.
     #[must_use]
     pub fn new(value: T) -> Self {
         Self {
@@ -37,18 +36,17 @@
         self.value.load_full()
     }
 
-    /// Replaces the value and wakes those who wait for a change.
+    /// Replaces the value and wakes all tasks that wait for a change.
     pub fn set(&self, value: T) {
         self.value.store(Arc::new(value));
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until `wanted` holds for the value, and returns it.
+    /// Waits until `predicate` holds for the value, and returns the value.
     pub async fn wait(&self, predicate: impl Fn(&T) -> bool) -> Arc<T> {
         loop {
-            // The listener comes before the look at the value: a change
-            // between the two would otherwise be missed and the caller would
-            // wait for one that never comes.
+            // Listen before reading the value: a change between the two would
+            // otherwise be missed, and the caller might wait forever.
             let listener = self.changed.listen();
             let value = self.get();
             if predicate(&value) {
