--- a/agent/src/calls.rs
+++ b/agent/src/calls.rs
@@ -1,4 +1,4 @@
-//! The life of one call at the agent, from frame to reply.
+//! Handling of a call from a router, up to the reply.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::node::Node;
 use crate::once;
 
-/// Runs a call and sends its one reply.
+/// Runs a call and sends its only reply.
 pub(crate) async fn run(node: &Arc<Node>, link: &LinkSender, call: Call, cancel: Flag) {
     let started = node.clock.now();
     let number = call.call;
@@ -52,8 +52,7 @@
     permit: Permit,
 ) -> CallOutcome {
     if call.once.is_some() {
-        // The effect keeps its room however long it runs; here only the wait
-        // for it ends.
+        // At the deadline only the wait ends: the effect runs on and keeps its permit.
         return once::run(node, call, permit)
             .or(deadline_passed(call))
             .await;
@@ -66,7 +65,7 @@
             tokens: chunk.tokens,
             data: Bytes::from(chunk.text),
         };
-        // A router that does not read its link can't use the answer either.
+        // A router that does not read its link can't use the result either.
         if link.send(Body::Chunk(frame)).is_err() {
             cancel.set();
         }
@@ -79,7 +78,7 @@
             status: 0,
         }
     };
-    // Dropping `work` closes its connection, at which the endpoint stops.
+    // Dropping `call_endpoint` closes its connection, which stops the endpoint.
     let outcome = call_endpoint.or(cancelled).or(deadline_passed(call)).await;
     drop(permit);
     outcome
--- a/agent/src/endpoint.rs
+++ b/agent/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One call to the endpoint, over HTTP.
+//! HTTP client for the endpoint.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,45 +21,45 @@
 
 use crate::sse::EventDecoder;
 
-/// The largest answer of an endpoint, in bytes: what fits in a frame.
+/// The maximum size of a response, so that it fits in a frame.
 const RESPONSE_MAX_BYTES: usize = 1 << 20;
 
-/// The header with which an endpoint vouches that it did not run a request.
+/// The header by which an endpoint guarantees that it did not run a request.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// The data of the event that ends a streamed answer.
+/// The data of the last event of a streamed response.
 const DONE_EVENT: &[u8] = b"[DONE]";
 
-/// How a call to the endpoint ended.
+/// The outcome of a call to the endpoint.
 #[derive(Debug)]
 pub(crate) enum CallOutcome {
-    /// The whole answer; `body` is empty if it was streamed.
+    /// The response is complete; `body` is empty if it was streamed.
     Completed {
         status: u16,
         body: Bytes,
         usage: TokenUsage,
     },
-    /// The endpoint, or the lack of a connection, proves that it did not run.
+    /// The call did not run, as the endpoint guarantees or as it was never sent.
     NotRun {
         reason: Reason,
         retry_after: Option<Duration>,
     },
-    /// It may have run.
+    /// The call may have run.
     Unknown { reason: Reason, status: u16 },
 }
 
-/// Tokens that an engine says it used.
+/// The token usage reported by an engine.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct TokenUsage {
     pub(crate) cached_tokens: u32,
     pub(crate) completion_tokens: u32,
-    /// Time in the engine's queue, in microseconds.
+    /// The time spent in the engine's queue, in microseconds.
     pub(crate) queue_us: u64,
 }
 
-/// A piece of a streamed answer.
+/// A chunk of a streamed response.
 #[derive(Debug)]
 pub(crate) struct StreamChunk {
     pub(crate) index: u32,
@@ -73,9 +73,9 @@
 struct EventBody {
     choices: Vec<EventChoice>,
     usage: Option<TokenUsage>,
-    /// Index of the event's first token, where the engine says it.
+    /// The index of the event's first token, if the engine reports it.
     token_index: Option<u32>,
-    /// Tokens in the event, where the engine says it.
+    /// The number of tokens in the event, if the engine reports it.
     token_count: Option<u32>,
 }
 
@@ -100,7 +100,7 @@
     usage: TokenUsage,
 }
 
-/// Calls the endpoint beside this agent.
+/// A client for the endpoint of this agent.
 #[derive(Debug, Clone)]
 pub(crate) struct Endpoint {
     client: Client,
@@ -112,7 +112,7 @@
         Self { client, address }
     }
 
-    /// Runs one call; pieces of a streamed answer go to `deliver` as they come.
+    /// Runs a call and passes the chunks of a streamed response to `deliver`.
     pub(crate) async fn run(&self, call: &Call, deliver: impl FnMut(StreamChunk)) -> CallOutcome {
         let result = self.client.send(self.address, request(call)).await;
         let (response, conn) = match result {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Posts a small JSON document and returns the status, or nothing on failure.
+    /// Posts a small JSON document and returns the status, or `None` on failure.
     pub(crate) async fn post(&self, path: &str, body: &serde_json::Value) -> Option<StatusCode> {
         let request = hyper::Request::post(path)
             .header(CONTENT_TYPE, "application/json")
@@ -162,7 +162,7 @@
         Some(status)
     }
 
-    /// Fetches a small JSON document, or nothing on any failure.
+    /// Fetches a small JSON document, or `None` on failure.
     pub(crate) async fn get(&self, path: &str) -> Option<Bytes> {
         let request = hyper::Request::get(path).body(Full::default()).ok()?;
         let (response, conn) = self.client.send(self.address, request).await.ok()?;
@@ -180,8 +180,8 @@
 fn request(call: &Call) -> hyper::Request<Full<Bytes>> {
     let mut request = hyper::Request::new(Full::new(call.body.clone()));
     *request.method_mut() = hyper::Method::POST;
-    // The path comes from the checked configuration; a bad one would only
-    // reach "/" of the endpoint, which answers 404.
+    // The path comes from the validated configuration; an invalid one would only
+    // request "/" of the endpoint, which responds with 404.
     *request.uri_mut() = call.path.parse().unwrap_or_default();
     let headers = request.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -290,7 +290,7 @@
             }
         }
     }
-    // Without its last event the answer is not whole, whatever came before.
+    // Without its last event, the response is incomplete.
     CallOutcome::Unknown {
         reason: Reason::Connection,
         status: 200,
--- a/agent/src/gate.rs
+++ b/agent/src/gate.rs
@@ -1,4 +1,4 @@
-//! Admission to the endpoint.
+//! Admission control for the endpoint.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,10 +9,10 @@
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_wire::Call;
 
-/// When a caller may come back after it found the endpoint full.
+/// When a router may retry after the endpoint was at capacity.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Admits calls up to the endpoint's room, and none while draining.
+/// Admits calls up to the endpoint's capacity, and none while draining.
 #[derive(Debug, Clone)]
 pub(crate) struct Gate {
     capacity: u32,
@@ -26,21 +26,21 @@
     tokens: u64,
 }
 
-/// A refusal before anything was passed on.
+/// A refusal of a call before it reaches the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) reason: Reason,
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// Room taken by one call, given back when dropped.
+/// The capacity used by one call, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Permit {
     state: Arc<Mutex<State>>,
     tokens: u64,
 }
 
-/// What the gate has admitted.
+/// The admitted calls in flight and their tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Admitted {
     pub(crate) active: u32,
@@ -56,11 +56,11 @@
         }
     }
 
-    /// Takes room for a call.
+    /// Reserves capacity for a call.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`], which proves that the call was not passed on.
+    /// Returns a [`Refusal`], which proves that the call was not sent to the endpoint.
     pub(crate) fn admit(&self, call: &Call) -> Result<Permit, Refusal> {
         if self.drain.is_set() {
             return Err(Refusal {
--- a/agent/src/hosts.rs
+++ b/agent/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Learns from the platform's host list that this host leaves.
+//! Polls the platform's host list to find out whether this host is leaving.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::node::Node;
 
-/// The time between two looks at the list, which itself lags by more.
+/// The poll interval; the list itself lags by more.
 const LIST_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the list until the agent stops or is told to leave.
+/// Polls the list until the agent stops or the list marks its host as leaving.
 ///
-/// The list lags, and a host replaced under the same name may still be listed
-/// as leaving. So the entry must name this very process's address as well.
+/// A replaced host of the same name may still be listed as leaving, since the list
+/// lags. So the entry must have the address of this process as well.
 pub(crate) async fn follow(node: Arc<Node>, hosts: HttpHosts) {
     while !node.stop.is_set() {
         let stopped = async {
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,7 +1,7 @@
-//! The process beside an endpoint: its only gate.
+//! The agent: a process that controls all access to one endpoint.
 //!
-//! Routers reach the endpoint through it alone, so it can vouch for what did
-//! not run.
+//! Routers reach the endpoint only through its agent, so the agent can prove that a
+//! call did not run.
 
 mod calls;
 mod endpoint;
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent's program: `snipeyoke-agent SETTINGS`.
+//! The agent binary: `snipeyoke-agent SETTINGS`.
 
 use snipeyoke_agent::Agent;
 
--- a/agent/src/node.rs
+++ b/agent/src/node.rs
@@ -1,4 +1,4 @@
-//! The agent as a whole: what it shares, how it starts and leaves.
+//! The shared state of an agent, its start and its drain.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -52,16 +52,16 @@
 use crate::settings::Raw;
 use crate::settings::Settings;
 
-/// The version of the frames between processes.
+/// The version of the protocol between processes.
 const PROTOCOL: u32 = 1;
 
-/// The longest time to connect to the endpoint on the same host.
+/// The timeout for connecting to the endpoint on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest silence of a router that a drain still waits for.
+/// The longest silence of a router after which a drain no longer waits for it.
 const ROUTER_SILENCE_MAX: Duration = Duration::from_secs(6);
 
-/// The pause between two looks at what a drain still waits for.
+/// The interval for polling what a drain waits for.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The reason why an agent can't start.
@@ -78,7 +78,7 @@
     },
 }
 
-/// What the tasks of an agent share.
+/// The state shared by the tasks of an agent.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Raw,
@@ -86,21 +86,21 @@
     pub(crate) clock: Clock,
     pub(crate) gate: Gate,
     pub(crate) endpoint: Endpoint,
-    /// The owner of key slots, beside a plain service and with a platform.
+    /// The owner of key slots, for a plain service if a platform is configured.
     pub(crate) owner: Option<Arc<Owner>>,
     pub(crate) endpoint_status: WatchedValue<EndpointStatus>,
-    /// The configuration, kept for routers that lack it.
+    /// The configuration, stored for routers that lack it.
     pub(crate) config_store: ConfigStore,
     pub(crate) drain: Flag,
     pub(crate) stop: Flag,
-    /// Set once the platform's host list says that the host leaves.
+    /// Set once the platform's host list marks the host as leaving.
     pub(crate) host_leaving: Flag,
-    /// Number of the last heartbeat to all routers.
+    /// The sequence number of the last heartbeat to all routers.
     pub(crate) heartbeat_seq: AtomicU64,
     pub(crate) orders: Mutex<placement::Gate>,
     pub(crate) scope: Scope,
     address: SocketAddr,
-    /// Number of the next load report; routers pass over older ones.
+    /// The sequence number of the next load report; routers ignore older ones.
     load_seq: AtomicU64,
     links: Mutex<Links>,
 }
@@ -111,15 +111,15 @@
     open: BTreeMap<u64, OpenLink>,
 }
 
-/// One router's link and what it said about heartbeats.
+/// A link to a router and the state of its heartbeats.
 #[derive(Debug)]
 struct OpenLink {
     sender: LinkSender,
-    /// The router's last heartbeat.
+    /// The sequence number of the router's last heartbeat.
     router_seq: u64,
-    /// Our last heartbeat that the router has seen.
+    /// The last heartbeat of this agent that the router has acknowledged.
     acked_seq: u64,
-    /// The interval that the router asks for.
+    /// The heartbeat interval that the router requests.
     interval: Duration,
     next_heartbeat: Time,
     last_heard: Time,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns the load at this moment, numbered after all before it.
+    /// Returns the current load with the next sequence number.
     pub(crate) fn load(&self) -> Load {
         let seq = self.load_seq.fetch_add(1, Ordering::Relaxed);
         let load = self.endpoint_status.get().load_frame(self);
@@ -184,7 +184,7 @@
 }
 
 impl Node {
-    /// Sends a heartbeat on each link that is due one, or on all.
+    /// Sends a heartbeat on each link whose interval has elapsed, or on all links.
     pub(crate) fn send_heartbeats(&self, heartbeat: &Heartbeat, all: bool) {
         let now = self.clock.now();
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
@@ -193,8 +193,8 @@
             .values_mut()
             .filter(|l| all || l.next_heartbeat <= now)
         {
-            // A router with many links asks for fewer heartbeats; a tick early
-            // is better than one late.
+            // A router with many links requests fewer heartbeats. Half a report
+            // interval of tolerance sends one early rather than late.
             link.next_heartbeat = now + link.interval.saturating_sub(report::REPORT_INTERVAL / 2);
             let frame = Heartbeat {
                 seen_seq: link.router_seq,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Takes in a router's heartbeat.
+    /// Handles a router's heartbeat.
     pub(crate) fn on_heartbeat(&self, id: u64, heartbeat: &Heartbeat) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = links.open.get_mut(&id) {
@@ -217,10 +217,10 @@
         }
     }
 
-    /// Counts the routers that may not have read our heartbeat `seq`.
+    /// Counts the routers that have not acknowledged heartbeat `seq`.
     ///
-    /// A router that is itself paused or cut off would hold the drain for as
-    /// long as that lasts, so after a while of silence it no longer counts.
+    /// A paused or partitioned router would block the drain, so a router that has been
+    /// silent for [`ROUTER_SILENCE_MAX`] no longer counts.
     fn count_unaware(&self, seq: u64) -> usize {
         let now = self.clock.now();
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
@@ -305,20 +305,20 @@
         self.node.address
     }
 
-    /// Waits until the platform's host list says that this host leaves.
+    /// Waits until the platform's host list marks this host as leaving.
     pub async fn leave_requested(&self) {
         self.node.host_leaving.wait().await;
     }
 
-    /// Drains as at SIGTERM.
+    /// Drains as on SIGTERM.
     pub async fn leave(&self) {
         self.drain(Source::Signal).await;
     }
 
-    /// Drains: takes nothing new, finishes what runs, says goodbye, and ends.
+    /// Drains: refuses new calls, finishes running ones, sends goodbye and stops.
     ///
-    /// It leaves only after every router has echoed a draining heartbeat: a
-    /// link keeps its order, so all that a router sent before is answered.
+    /// Stops only after every router has acknowledged a draining heartbeat. A link
+    /// preserves order, so everything that a router sent before has been handled.
     pub async fn drain(&self, source: Source) {
         let node = &self.node;
         let mut drain = Drain::new(DrainSettings::default());
@@ -329,14 +329,14 @@
             for action in &actions {
                 match action {
                     DrainAction::Stop => drain_seq = self.refuse_new(),
-                    // Only now: a successor may run a key at once after the
-                    // release.
+                    // Not earlier: after the release, another agent may run a key
+                    // at once.
                     DrainAction::HandOver => self.hand_over().await,
                     DrainAction::Report { held, overdue } => {
                         log::warn!(event = "drain-held", node = node.settings.node.as_str(), held = held.to_string().as_str(), overdue = overdue; "");
                     }
-                    // Routers resume elsewhere by themselves; goodbye and exit
-                    // follow the loop; nothing here resumes service.
+                    // Routers move calls to other agents on their own; goodbye and
+                    // exit follow after the loop; an agent never resumes service.
                     DrainAction::Move
                     | DrainAction::Goodbye
                     | DrainAction::Exit
@@ -358,12 +358,12 @@
             reason: "drain".to_owned(),
         };
         node.broadcast(&Body::Goodbye(goodbye));
-        // The last replies are queued by now; the writers end once the links
-        // are closed and their queues are empty.
+        // The last replies are queued by now. Writers end once their links are closed
+        // and their queues are empty.
         self.stop().await;
     }
 
-    /// Refuses new work and says so; returns the number of that heartbeat.
+    /// Refuses new calls, announces it, and returns the number of that heartbeat.
     fn refuse_new(&self) -> u64 {
         let node = &self.node;
         node.drain.set();
@@ -381,7 +381,7 @@
         }
     }
 
-    /// Stops at once, cutting off what runs.
+    /// Stops at once and cancels running calls.
     pub async fn stop(&self) {
         self.node.stop.set();
         self.node.scope.cancel_after_grace().await;
--- a/agent/src/once.rs
+++ b/agent/src/once.rs
@@ -1,4 +1,4 @@
-//! The life of one non-idempotent call at the agent.
+//! At-most-once execution of non-idempotent calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,16 +22,16 @@
 use crate::node::Node;
 use crate::owner::Owner;
 
-/// The longest time for an effect, whoever still waits for it.
+/// The timeout of an effect, even if a router still waits for it.
 ///
-/// Beyond it the key counts as unknown, so that a service that never answers
-/// can't fill the key table with calls that run for good.
+/// After it, the key counts as unknown, so that a service that never responds can't
+/// fill the key table with running calls.
 const EFFECT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// When a caller may come back after a refusal for lack of a lease.
+/// When a router may retry after a refusal, for example for lack of a lease.
 const LEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Runs a call at most once, or answers from the key table.
+/// Runs a call at most once, or returns the stored result for its key.
 pub(crate) async fn run(node: &Arc<Node>, call: &Call, permit: Permit) -> CallOutcome {
     let Some(owner) = &node.owner else {
         return not_run(NotRun::NoLease);
@@ -41,14 +41,14 @@
     };
     let mut permit = Some(permit);
     loop {
-        // The listener comes before the look at the table: an end between the
-        // two would otherwise be missed.
+        // Listen before reading the table: an end between the two would otherwise be
+        // missed.
         let listener = owner.listen_ended();
         match owner.admit(&key) {
             Verdict::Run => {
                 let Some(permit) = permit.take() else {
-                    // The first try of two turned out not to have run. Taking
-                    // the room again is for the router to ask for.
+                    // The concurrent attempt did not run, but this one has released
+                    // its permit, so the router has to retry.
                     owner.end(&key, OnceEnd::NotRun);
                     return not_run(NotRun::Full);
                 };
@@ -63,7 +63,7 @@
     }
 }
 
-/// Answers a question about a key, once the call under way has ended.
+/// Returns the result for a key, once any running call for it has ended.
 pub(crate) async fn look_up(owner: &Owner, key: &OnceKey) -> CallOutcome {
     loop {
         let listener = owner.listen_ended();
@@ -74,10 +74,10 @@
     }
 }
 
-/// Starts the effect on its own task and waits for its end.
+/// Runs the effect in a separate task and waits for its end.
 ///
-/// The effect goes on when the router, its link or the caller are gone: called
-/// off, it would end as unknown where waiting gives the key an answer.
+/// The effect continues even if the router, its link or the caller is gone: if
+/// cancelled, it would end as unknown, while waiting yields a result for the key.
 async fn run_effect(
     node: &Arc<Node>,
     owner: &Arc<Owner>,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Reads a key out of a frame; `None` if it is malformed.
+/// Parses a key from a frame; returns `None` if it is malformed.
 pub(crate) fn key_of(key: &snipeyoke_wire::OnceKey) -> Option<OnceKey> {
     Some(OnceKey {
         account: key.account.parse().ok()?,
--- a/agent/src/orders.rs
+++ b/agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of a pool's lease holder, checked and passed to the engine.
+//! Checks orders from the lease holder of the pool and forwards them to the engine.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -16,10 +16,10 @@
 
 use crate::node::Node;
 
-/// The longest wait for the engine to take an order; loading goes on after it.
+/// The timeout for the engine to accept an order; loading continues after it.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Checks an order, passes it on and answers it.
+/// Checks an order, forwards it and replies to it.
 pub(crate) async fn run(node: Arc<Node>, link: LinkSender, order: Order) {
     let (accepted, reason) = match check(&node, &order) {
         Ok(GateOutcome::Repeated) => (true, "repeated".to_owned()),
--- a/agent/src/owner.rs
+++ b/agent/src/owner.rs
@@ -1,4 +1,4 @@
-//! Owns key slots through leases in the log, and gates non-idempotent calls.
+//! Owns key slots by leases in the log, and admits non-idempotent calls.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -46,30 +46,30 @@
 
 use crate::settings::Raw;
 
-/// The pause between two looks at what is due.
+/// The interval for polling pending reads and lease records.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause between two reads while something is claimed or awaited.
+/// The interval of log reads while a claim or a change of owner is pending.
 const READ_INTERVAL_ACTIVE: Duration = Duration::from_millis(250);
 
-/// The pause between two reads while nothing is expected.
+/// The interval of log reads while no change is expected.
 ///
-/// A joining agent's seat is seen after this time at the latest. At 680 agents
-/// it makes 45 reads a second in all, were every pool non-idempotent.
+/// A joining agent is noticed after this time at the latest. With 680 agents, all of
+/// them in non-idempotent pools, this makes 45 reads per second in total.
 const READ_INTERVAL_IDLE: Duration = Duration::from_secs(15);
 
-/// The time after a release by another agent in which its slots are looked for.
+/// How long to read often after another agent has released slots.
 ///
-/// Bounded, so that a release that can't be read yet costs a few reads alone.
+/// Limited, so that a release that can't be read yet costs only a few reads.
 const SEEK_PERIOD: Duration = Duration::from_secs(2);
 
-/// The time after the start in which the other agents' seats are looked for.
+/// How long to read often after the start, to find the other agents of the pool.
 const START_PERIOD: Duration = Duration::from_secs(5);
 
-/// The most bytes of one read.
+/// The maximum size of one read.
 const READ_MAX: Bytes = Bytes(1 << 20);
 
-/// How long a leaving agent tries to release its leases.
+/// How long a draining agent tries to release its leases.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The slots and keys of this incarnation.
@@ -79,9 +79,9 @@
     state: Mutex<State>,
     /// Notified whenever a call ends.
     ended: Event,
-    /// Notified whenever slots are won or lost.
+    /// Notified whenever slots are acquired or lost.
     slots_changed: Event,
-    /// Set when another agent of the pool is said to have given slots up.
+    /// Set when another agent of the pool is reported to have released slots.
     slots_freed: AtomicBool,
     leaving: Flag,
     released: Flag,
@@ -118,7 +118,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides on a call.
+    /// Decides whether a call may run.
     pub(crate) fn admit(&self, key: &OnceKey) -> Verdict {
         let mut state = self.state();
         let held = self.held(&state, key);
@@ -130,7 +130,7 @@
         verdict
     }
 
-    /// Checks the lease; nothing may come between this and the effect.
+    /// Checks the lease; must be called immediately before the effect.
     pub(crate) fn start(&self, key: &OnceKey) -> Result<(), NotRun> {
         let mut state = self.state();
         let held = self.held(&state, key);
@@ -150,22 +150,22 @@
         self.state().gate.ask(key)
     }
 
-    /// Returns what wakes up when any call ends.
+    /// Returns a listener that is notified when any call ends.
     pub(crate) fn listen_ended(&self) -> EventListener {
         self.ended.listen()
     }
 
-    /// Returns what wakes up when slots are won or lost.
+    /// Returns a listener that is notified when slots are acquired or lost.
     pub(crate) fn listen_slots(&self) -> EventListener {
         self.slots_changed.listen()
     }
 
-    /// Looks soon for slots that another agent gave up.
+    /// Reads the log soon, since another agent has released slots.
     pub(crate) fn on_slots_freed(&self) {
         self.slots_freed.store(true, Ordering::SeqCst);
     }
 
-    /// Returns the slots that are owned at this moment.
+    /// Returns the slots that are owned now.
     pub(crate) fn slots(&self) -> BTreeMap<KeySlot, FencingNumber> {
         let state = self.state();
         state.share.owned(&state.holder, self.clock.now())
@@ -176,12 +176,12 @@
         state.holder.held(self.clock.now(), &lease)
     }
 
-    /// Refuses new keys; those in the table are still answered.
+    /// Refuses new keys; results for known keys are still returned.
     pub(crate) fn drain(&self) {
         self.state().gate.drain(true);
     }
 
-    /// Gives the slots up, once nothing runs any more.
+    /// Releases the slots; call only when nothing runs any more.
     pub(crate) async fn release(&self) {
         self.leaving.set();
         let limit = async {
@@ -190,7 +190,7 @@
         self.released.wait().or(limit).await;
     }
 
-    /// Keeps the leases until `stop`.
+    /// Claims and renews the leases until `stop` is set.
     pub(crate) async fn run(self: Arc<Self>, log: Arc<dyn LogStore>, stop: Flag) {
         let mut reader = Reader::new(self.state().holder.me().incarnation.0);
         let work = async {
@@ -279,7 +279,7 @@
         let now = self.clock.now();
         let before = state.share.owned(&state.holder, now);
         for (offset, bytes) in (from.0..).map(Offset).zip(records) {
-            // A record of another release still takes its place in the order.
+            // A record from another software version still advances the offset.
             let record = Record::try_from(bytes.as_slice()).ok();
             state.holder.read(now, offset, record.as_ref());
         }
@@ -292,7 +292,7 @@
         state.holder.fold().next()
     }
 
-    /// Tells whether news of the log is wanted soon.
+    /// Returns whether changes in the log are expected soon.
     fn is_unsettled(&self) -> bool {
         let state = self.state();
         let now = self.clock.now();
@@ -311,11 +311,11 @@
     }
 }
 
-/// When to read next.
+/// Schedules the reads of the log.
 #[derive(Debug)]
 struct Reader {
     next_read: Time,
-    /// Until when slots are looked for that another agent gave up.
+    /// Until when to read often for slots that another agent has released.
     seek_until: Time,
     backoff: Backoff,
 }
--- a/agent/src/peers.rs
+++ b/agent/src/peers.rs
@@ -28,10 +28,11 @@
 use crate::orders;
 use crate::report;
 
-/// The pause after a failed accept, so that a lack of descriptors can't spin.
+/// The delay after a failed accept, so that running out of file descriptors does
+/// not spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The calls of one link that have no reply yet, by number.
+/// The calls of one link without a reply so far, by number.
 type Calls = Arc<Mutex<BTreeMap<u64, Running>>>;
 
 #[derive(Debug)]
@@ -77,8 +78,7 @@
 async fn serve(node: Arc<Node>, sender: LinkSender, mut reader: LinkReader) {
     let id = node.add_link(sender.clone());
     let calls = Calls::default();
-    // The first report goes out at once: a router sends an agent nothing before
-    // it has one.
+    // The first report is sent at once, since a router sends no calls before it.
     let first = [
         Body::Hello(node.hello()),
         Body::Heartbeat(report::heartbeat(&node, 0)),
@@ -176,7 +176,7 @@
 
 fn on_slots_freed(node: &Node, freed: &SlotsFreed) {
     let same = freed.pool == node.settings.endpoint.pool.as_str();
-    // A draining agent would only have to give them up again.
+    // A draining agent would have to release them right away.
     if let Some(owner) = &node.owner
         && same
         && !node.drain.is_set()
@@ -204,10 +204,10 @@
     });
 }
 
-/// Cancels what nobody waits for any more.
+/// Cancels the idempotent calls of a closed link.
 ///
-/// A non-idempotent call goes on: its router may ask for the result on another
-/// link, and a cancelled effect would leave nothing to tell.
+/// A non-idempotent call continues: its router may request the result over another
+/// link, and a cancelled effect would have no result.
 fn cancel_idempotent(calls: &Calls) {
     let calls = calls.lock().unwrap_or_else(PoisonError::into_inner);
     for running in calls.values().filter(|r| r.idempotent) {
--- a/agent/src/program.rs
+++ b/agent/src/program.rs
@@ -1,4 +1,4 @@
-//! The agent as a program of its own.
+//! The implementation of [`Program`] for the agent.
 
 use snipeyoke_lib::drain::Source;
 use snipeyoke_runtime::program::Program;
--- a/agent/src/report.rs
+++ b/agent/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of the endpoint's load and cache to the routers.
+//! Reports the endpoint's load and cache to the routers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,16 +18,16 @@
 use crate::node::Node;
 use crate::settings::EndpointKind;
 
-/// The time between two reports to each router.
+/// The interval of reports to each router.
 ///
-/// At 8 routers an agent and some 120 bytes a report this is 2 KB/s, well
-/// below the 30 KB/s that a node may spend on control.
+/// With 8 routers per agent and about 120 bytes per report, this takes 2 KB/s, well
+/// below the budget of 30 KB/s for control traffic per node.
 pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The longest wait for the endpoint's own report.
+/// The timeout for polling the endpoint.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What an engine says of its load.
+/// The load reported by an engine.
 #[derive(Debug, Clone, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -44,7 +44,7 @@
     age_ms: u64,
 }
 
-/// The newest report of the endpoint and when it came.
+/// The last report of the endpoint and when it was received.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EndpointStatus {
     load: EngineLoad,
@@ -72,7 +72,7 @@
 }
 
 impl EndpointStatus {
-    /// Combines the endpoint's report with what the gate has admitted.
+    /// Combines the endpoint's report with the calls admitted by the gate.
     pub(crate) fn load_frame(&self, node: &Node) -> Load {
         let admitted = node.gate.admitted();
         let own = &self.load;
@@ -82,8 +82,8 @@
             own.slots
         };
         let age = node.clock.now().since(self.received_at) + Duration::from_millis(own.age_ms);
-        // The gate knows each call at once, the endpoint's report lags: the
-        // greater of the two never hides work.
+        // The gate counts each call at once, while the endpoint's report lags. The
+        // greater of the two never underestimates the load.
         let active = own.active.max(admitted.active.min(slots));
         let queued = own.queued.max(admitted.active.saturating_sub(slots));
         Load {
@@ -109,8 +109,8 @@
     let mut cache = (0, 0);
     let mut slots_changed = false;
     while !node.stop.is_set() {
-        // The listener comes before the report: a move between the two would
-        // otherwise wait for the next one.
+        // Listen before reporting: a change of slots between the two would otherwise
+        // wait for the next report.
         let listener = node.owner.as_ref().map(|o| o.listen_slots());
         poll_endpoint(&node).await;
         let seq = node.heartbeat_seq.fetch_add(1, Ordering::SeqCst) + 1;
@@ -130,10 +130,9 @@
     }
 }
 
-/// Waits until slots were won or lost, then tells so.
+/// Waits until slots are acquired or lost, then returns `true`.
 ///
-/// Callers wait at the routers for a slot's next owner, so that its news
-/// doesn't wait for the next report.
+/// Calls at the routers wait for a slot's next owner, so this is reported at once.
 async fn slot_change(listener: Option<EventListener>) -> bool {
     match listener {
         Some(listener) => listener.await,
@@ -142,7 +141,7 @@
     true
 }
 
-/// Builds a heartbeat with the load at this moment.
+/// Builds a heartbeat with the current load.
 pub(crate) fn heartbeat(node: &Node, seq: u64) -> Heartbeat {
     let config = {
         let fold = node.config_store.fold();
--- a/agent/src/settings.rs
+++ b/agent/src/settings.rs
@@ -15,13 +15,13 @@
 use snipeyoke_lib::lease::LeaseTerm;
 use snipeyoke_runtime::settings::Checked;
 
-/// The most slots an endpoint may be said to have.
+/// The maximum number of slots of an endpoint.
 const SLOTS_MAX: u32 = 4_096;
 
-/// The most traffic threads of an agent.
+/// The maximum number of traffic threads.
 const THREADS_MAX: usize = 16;
 
-/// The settings as they stand in the file.
+/// The settings as deserialized from the file.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -36,14 +36,14 @@
     pub region: Region,
     /// The address that routers connect to.
     pub listen: SocketAddr,
-    /// The endpoint beside this process.
+    /// The endpoint that this agent controls.
     pub endpoint: Endpoint,
     /// The platform's address.
     pub platform: Option<SocketAddr>,
     /// How long a lease of key slots lasts, in seconds.
     ///
-    /// Longer: non-idempotent calls go on for longer while the log is away.
-    /// Shorter: the slots of an agent that died are taken over sooner.
+    /// A longer lease lets non-idempotent calls continue for longer while the log is
+    /// unavailable. With a shorter one, the slots of a dead agent are taken over sooner.
     #[serde(default = "default_lease_s")]
     pub lease_s: u64,
     /// The number of traffic threads.
@@ -54,10 +54,10 @@
     pub log: String,
 }
 
-/// The usual term of leases of key slots, in seconds.
+/// The default term of leases of key slots, in seconds.
 ///
-/// Ten minutes: most outages of a log pass unnoticed within it, and a dead
-/// agent's share of keys is refused for no longer.
+/// Ten minutes cover most outages of the log. A dead agent's share of keys is
+/// refused for this time at most.
 pub const LEASE_S: u64 = 600;
 
 const fn default_lease_s() -> u64 {
@@ -72,7 +72,7 @@
     "info".to_owned()
 }
 
-/// What stands beside the agent.
+/// The settings of the endpoint.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -83,20 +83,20 @@
     pub pool: PoolName,
     /// Its address.
     pub address: SocketAddr,
-    /// What it speaks.
+    /// The protocol it speaks.
     pub kind: EndpointKind,
-    /// The calls it works on at once.
+    /// The number of calls it runs concurrently.
     pub slots: u32,
-    /// The calls that may wait at it beyond those.
+    /// The number of calls that may be queued at it in addition.
     pub queue: u32,
 }
 
-/// What an endpoint speaks.
+/// The protocol that an endpoint speaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointKind {
-    /// A model engine: reports its load, takes orders.
+    /// A model engine, which reports its load and accepts orders.
     Engine,
     /// A plain service.
     Plain,
@@ -136,7 +136,7 @@
 }
 
 impl ValueError {
-    /// Tells whether the endpoint's slots were refused.
+    /// Returns whether the endpoint's slots are out of range.
     #[must_use]
     pub const fn is_slots(&self) -> bool {
         matches!(self, Self::Slots { .. })
--- a/agent/src/sse.rs
+++ b/agent/src/sse.rs
@@ -1,10 +1,10 @@
-//! Events of a streamed answer, cut out of its bytes.
+//! A decoder for server-sent events.
 
 use bytes::Buf;
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Collects bytes and gives back the data of whole events.
+/// Buffers bytes and returns the data of complete events.
 #[derive(Debug, Default)]
 pub(crate) struct EventDecoder {
     buffer: BytesMut,
@@ -15,10 +15,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the data of the next whole event.
+    /// Returns the data of the next complete event.
     ///
-    /// An event that its sender broke off stays inside: half an event must not
-    /// reach a caller as if it were a token.
+    /// An incomplete event stays in the buffer, as a partial event must not reach a
+    /// caller as if it were a token.
     pub(crate) fn next(&mut self) -> Option<Bytes> {
         loop {
             let end = self.buffer.windows(2).position(|w| w == b"\n\n")?;
