--- a/runtime/tests/faults/main.rs
+++ b/runtime/tests/faults/main.rs
@@ -1,6 +1,6 @@
-//! Processes that die of fatal signals, and what they tell.
+//! Tests of the reports of fatal signals.
 //!
-//! Each case runs this program again, which faults on purpose.
+//! Each case runs this program as a child process that faults on purpose.
 
 use std::os::unix::process::ExitStatusExt;
 use std::process::Command;
@@ -13,13 +13,13 @@
 use snipeyoke_runtime::faults;
 use snipeyoke_runtime::threads::Threads;
 
-/// The variable that tells a run of this program how to fault.
+/// The environment variable with the fault that a child process has to trigger.
 const FAULT_VAR: &str = "SNIPEYOKE_TEST_FAULT";
 
-/// The variable that tells it in which thread.
+/// The environment variable with the thread in which it has to fault.
 const THREAD_VAR: &str = "SNIPEYOKE_TEST_THREAD";
 
-/// The threads of a process of the system that the test can fault in.
+/// The threads in which the test can trigger a fault.
 const THREADS: &[&str] = &["main", "control", "traffic"];
 
 fn main() -> ExitCode {
@@ -49,7 +49,7 @@
 
 /// The faults, each with the signal that ends its process, and the threads.
 ///
-/// The main thread gets a signal that is sent to a process, if it takes it.
+/// A signal sent to a process is delivered to its main thread unless blocked there.
 const FAULTS: &[(&str, Signal, &[&str])] = &[
     ("write", Signal::SEGV, THREADS),
     ("execute", Signal::SEGV, THREADS),
@@ -58,12 +58,12 @@
     ("sent", Signal::SEGV, &["main"]),
 ];
 
-/// Guards against a process that dies of a memory fault without a word.
+/// Guards against a process that dies of a fatal signal without a report.
 fn check(fault: &str, signal: Signal, thread: &str) -> Result<(), String> {
     let own = std::env::current_exe().expect("the test has a path");
     let mut child = Command::new(own);
     let child = child.env(FAULT_VAR, fault).env(THREAD_VAR, thread);
-    let output = child.output().expect("the test starts again");
+    let output = child.output().expect("the child process starts");
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     let ended = output.status.signal();
     if ended != Some(signal.as_raw()) {
@@ -82,10 +82,10 @@
     Ok(())
 }
 
-/// Returns the pairs that a report must have.
+/// Returns the key=value pairs and texts that a report must contain.
 fn expected(fault: &str, thread: &str, output: &Output) -> Vec<String> {
     let own = own_name();
-    // The kernel cuts the name of a thread after 15 bytes.
+    // The kernel truncates thread names to 15 bytes.
     let main = &own[..own.len().min(15)];
     let name = if thread == "main" { main } else { thread };
     let mut pairs = vec![
@@ -104,7 +104,7 @@
     }
     assert!(
         output.stdout.is_empty(),
-        "a report belongs to standard error"
+        "reports go to standard error only"
     );
     pairs
 }
@@ -115,9 +115,9 @@
     name.to_string_lossy().into_owned()
 }
 
-/// Faults in the named thread, as a process of the system would.
+/// Triggers the fault in the named thread of a process set up as in production.
 fn run_fault(fault: &str, thread: &str) {
-    faults::install("faults").expect("a handler can be put in place");
+    faults::install("faults").expect("the handler can be installed");
     let threads = Threads::start(1).expect("threads start");
     let execs = threads.execs();
     let exec = match thread {
@@ -142,18 +142,18 @@
 
 fn write() {
     let address = std::hint::black_box(0x10) as *mut u8;
-    // SAFETY: none; the page is never mapped, and the fault is the purpose.
+    // SAFETY: unsound on purpose; the page is never mapped, so the write faults.
     unsafe { address.write_volatile(1) };
 }
 
 fn execute() {
     let address = std::hint::black_box(0x2000) as *const ();
-    // SAFETY: none; the page is never mapped, and the fault is the purpose.
+    // SAFETY: unsound on purpose; the page is never mapped, so the call faults.
     let function = unsafe { std::mem::transmute::<*const (), fn()>(address) };
     function();
 }
 
-#[expect(unconditional_recursion, reason = "the overflow is the purpose")]
+#[expect(unconditional_recursion, reason = "the test needs a stack overflow")]
 fn overflow(depth: u64) -> u64 {
     let frame = std::hint::black_box([depth; 64]);
     overflow(depth + 1).wrapping_add(frame[1])
--- a/runtime/tests/test_body.rs
+++ b/runtime/tests/test_body.rs
@@ -1,4 +1,4 @@
-//! Tests of bodies.
+//! Tests of response bodies.
 
 use std::sync::Arc;
 
@@ -12,19 +12,19 @@
 
 #[test]
 fn a_response_counts_as_in_flight_until_it_was_read() {
-    // A caller on a slow line gets half of its answer when a router leaves.
-    // The request has ended, but its answer waits for the caller to read on.
-    // The token lives as long as the body, and the drain waits for it.
+    // Guards against a drain that truncates the response to a slow client. The
+    // request has ended, but the client is still reading. The guard lives as long as
+    // the body, and the drain waits for it.
     let (send, chunks) = async_channel::unbounded();
     let guard = Arc::new(());
     let mut body = with_guard(streamed(chunks), Arc::clone(&guard));
     for chunk in ["one", "two"] {
         send.try_send(Bytes::from(chunk))
-            .expect("the body takes it");
+            .expect("the channel is open");
     }
     drop(send);
     future::block_on(async {
-        let first = body.frame().await.expect("a frame").expect("a good one");
+        let first = body.frame().await.expect("a frame").expect("a valid one");
         assert_eq!(first.into_data().expect("data"), "one");
         assert_eq!(Arc::strong_count(&guard), 2);
         let rest = body.collect().await.expect("the rest").to_bytes();
--- a/runtime/tests/test_config_store.rs
+++ b/runtime/tests/test_config_store.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration on its way from process to process.
+//! Tests of the exchange of the configuration between processes.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -27,10 +27,10 @@
 use snipeyoke_runtime::link;
 use snipeyoke_wire::frame;
 
-/// The client accounts of letter 1.
+/// The number of client accounts in a deployment of full size.
 const ACCOUNTS: usize = 7_600;
 
-/// Keys of an account whose record is as large as a log takes.
+/// The keys of an account whose record has the maximum size that the log accepts.
 const KEYS: usize = 2_500;
 
 fn account(first: usize, keys: usize) -> Account {
@@ -60,15 +60,16 @@
     }
 }
 
-/// Sends all that one process offers another over a link, and has it taken.
+/// Sends the offers of one process to another over a link and applies them.
 fn sync(source: &ConfigStore, target: &ConfigStore) {
     let exec = Arc::new(Executor::new());
     future::block_on(exec.run(async {
         let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
         let address = listener.get_ref().local_addr().expect("an address");
         let near = link::connect(address, Duration::from_secs(5)).await;
-        let (far, _peer) = listener.accept().await.expect("the connection comes");
-        let (sender, writer, _near) = link::open(near.expect("it is there")).expect("options");
+        let (far, _peer) = listener.accept().await.expect("a connection arrives");
+        let (sender, writer, _near) =
+            link::open(near.expect("the listener accepts")).expect("options");
         let (_sender, _writer, mut far) = link::open(far).expect("options");
         let task = exec.spawn(writer.run());
         let offers = source.offers_since(target.next());
@@ -78,7 +79,7 @@
             sent.expect("an offer fits a frame");
         }
         for _frame in 0..frames {
-            let frame = far.next().await.expect("the link stands");
+            let frame = far.next().await.expect("the link is open");
             let Some(frame::Body::ConfigOffer(offer)) = frame else {
                 panic!("not an offer: {frame:?}");
             };
@@ -96,9 +97,9 @@
 
 #[test]
 fn a_router_without_log_gets_a_large_configuration_from_an_agent() {
-    // A router refuses its callers for as long as the log is away: it starts
-    // without memory, its agents have 7,600 accounts, and their offer has to
-    // get through the link. As one frame it is too large and is never sent.
+    // Guards against a router that starts while the log is unavailable and can't get
+    // the 7,600 accounts from its agents. As a single frame, the offer would exceed
+    // the maximum size and never be sent.
     let (agent, router) = (ConfigStore::default(), ConfigStore::default());
     assert!(agent.fold().adopt(&full_size_snapshot()));
     sync(&agent, &router);
@@ -107,8 +108,8 @@
 
 #[test]
 fn a_process_many_large_records_behind_gets_them_all() {
-    // A process stays at an old revision: it misses eight changes, each as
-    // large as a log takes, and together they are larger than a frame.
+    // Guards against a process that stays at an old revision. It missed eight
+    // changes of the maximum record size, which together exceed a frame.
     let (ahead, behind) = (ConfigStore::default(), ConfigStore::default());
     for n in 0..8 {
         let name = format!("account-{n}").parse().expect("a name");
@@ -132,16 +133,16 @@
 
 #[test]
 fn a_starting_router_requests_one_copy_though_all_agents_are_ahead() {
-    // A router starts while the log is away. Twenty agents report the letter's
-    // configuration of 1.3 MB within half a second. Asked together they would
-    // send 26 MB, a minute and more of a small host's link.
+    // Guards against congestion when a router starts while the log is unavailable.
+    // Twenty agents announce a configuration of 1.3 MB within half a second. Requested
+    // from all, it takes 26 MB, over a minute on the link of a small host.
     let (agent, router) = (ConfigStore::default(), ConfigStore::default());
     assert!(agent.fold().adopt(&full_size_snapshot()));
     let mut now = Time::from_millis(1_000);
     let requests = (0..20).filter_map(|_| router.request(now)).count();
     assert_eq!(requests, 1);
     for offer in agent.offers_since(Offset(0)) {
-        assert_eq!(router.request(now), None, "the answer comes");
+        assert_eq!(router.request(now), None, "a response is arriving");
         router.apply_offer(now, &offer, |_, _, _| {});
         now = now + REQUEST_STALL / 2;
     }
@@ -159,8 +160,8 @@
 
 #[test]
 fn a_large_state_is_not_sent_without_a_request() {
-    // An agent starts and reports that it has nothing. Each of its routers would
-    // send it the whole configuration; told what there is, it asks one of them.
+    // Guards against routers that all send their whole configuration to a starting
+    // agent. They announce the newest offset, and the agent requests it from one.
     let (router, agent) = (ConfigStore::default(), ConfigStore::default());
     assert!(router.fold().adopt(&full_size_snapshot()));
     let now = Time::from_millis(1_000);
--- a/runtime/tests/test_link.rs
+++ b/runtime/tests/test_link.rs
@@ -26,8 +26,8 @@
     let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
     let address = listener.get_ref().local_addr().expect("an address");
     let near = link::connect(address, Duration::from_secs(5)).await;
-    let (far, _peer) = listener.accept().await.expect("the connection comes");
-    let near = link::open(near.expect("the listener is there"));
+    let (far, _peer) = listener.accept().await.expect("a connection arrives");
+    let near = link::open(near.expect("the listener accepts"));
     (near.expect("options"), link::open(far).expect("options"))
 }
 
@@ -48,7 +48,7 @@
             assert_eq!(far.next().await.expect("a frame"), Some(cancel(call)));
         }
         sender.close();
-        task.await.expect("the writer ends in order");
+        task.await.expect("the writer ends without error");
         drop(near);
         assert_eq!(far.next().await.expect("the end"), None);
     }));
@@ -56,7 +56,8 @@
 
 #[test]
 fn a_peer_that_does_not_read_fills_its_queue() {
-    // A stopped peer: frames for it are refused instead of piling up in memory.
+    // Guards against unbounded memory use when a peer stops reading: once the queue
+    // is full, further frames are refused.
     future::block_on(async {
         let ((sender, _writer, _near), _far) = pair().await;
         let accepted = (0..2_000).take_while(|&call| sender.send(cancel(call)).is_ok());
@@ -67,9 +68,8 @@
 
 #[test]
 fn an_oversized_frame_ends_only_its_own_call() {
-    // The caller of one huge body is refused, others on the same link see nothing.
-    // A frame beyond the codec's limit is queued between two small ones.
-    // The codec would end the whole connection, so the queue refuses it first.
+    // Guards against an oversized body that fails all calls on its link. The codec
+    // would close the connection on a frame over its limit, so the queue refuses it.
     let exec = Arc::new(Executor::new());
     future::block_on(exec.run(async {
         let ((sender, writer, _near), (_sender, _writer, mut far)) = pair().await;
@@ -81,7 +81,7 @@
         });
         sender.send(cancel(1)).expect("there is room");
         assert_matches!(sender.send(huge), Err(SendError::TooLarge));
-        sender.send(cancel(2)).expect("the link still stands");
+        sender.send(cancel(2)).expect("the link is still open");
         assert_eq!(far.next().await.expect("a frame"), Some(cancel(1)));
         assert_eq!(far.next().await.expect("a frame"), Some(cancel(2)));
         task.cancel().await;
@@ -90,9 +90,8 @@
 
 #[test]
 fn a_frame_that_was_never_written_is_known_as_such() {
-    // The caller is told "not run", and that has to be true.
-    // A call is queued, but the writer never runs before the link is closed.
-    // Nothing was written, and later sends are refused outright.
+    // Guards against a wrong "not run" for a call that may have run. Here the link is
+    // closed before the writer runs: nothing is written, and later sends are refused.
     future::block_on(async {
         let ((sender, writer, _near), _far) = pair().await;
         let written = sender.send_tracked(cancel(1)).expect("there is room");
--- a/runtime/tests/test_link_memory.rs
+++ b/runtime/tests/test_link_memory.rs
@@ -1,4 +1,4 @@
-//! The heap that framed connections take.
+//! Tests of the heap use of framed connections.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// The most bytes of heap for one end of a link that nothing waits on.
+/// The maximum heap use of one end of an idle link.
 ///
-/// Two ends to each of 340 nodes then take a sixth of 128 MB.
+/// Two ends to each of 340 nodes then use a sixth of 128 MB.
 const LINK_END_MAX_BYTES: usize = 32 << 10;
 
 const LINKS: usize = 64;
 
 #[test]
 fn an_idle_link_uses_little_memory() {
-    // Each node holds two ends to every other one: what an idle link takes is
-    // paid as often as there are nodes, and a fleet of hundreds runs out of memory.
+    // Guards against nodes that run out of memory in a fleet of hundreds: each node
+    // holds two link ends to every other node, so idle links add up.
     let _profiler = dhat::Profiler::builder().testing().build();
     future::block_on(async {
         let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
@@ -32,8 +32,8 @@
         let mut links = Vec::new();
         for call in 0..LINKS as u64 {
             let near = link::connect(address, Duration::from_secs(5)).await;
-            let (far, _peer) = listener.accept().await.expect("the connection comes");
-            let near = link::open(near.expect("the listener is there")).expect("options");
+            let (far, _peer) = listener.accept().await.expect("a connection arrives");
+            let near = link::open(near.expect("the listener accepts")).expect("options");
             let far = link::open(far).expect("options");
             near.0
                 .send(Body::Cancel(Cancel { call }))
--- a/runtime/tests/test_settings.rs
+++ b/runtime/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! Tests of settings files: every error names file, place and remedy.
+//! Tests of settings files: every error contains the file, the place and the remedy.
 
 use std::path::Path;
 
@@ -47,7 +47,7 @@
 #[test]
 fn comments_and_trailing_commas_are_accepted() {
     let text = "{\n  // one a core\n  \"threads\": 2,\n}";
-    let settings = parse::<Settings>(Path::new("node.jsonc"), text).expect("good settings");
+    let settings = parse::<Settings>(Path::new("node.jsonc"), text).expect("valid settings");
     assert_eq!(settings.threads, 2);
 }
 
--- a/runtime/tests/test_watch.rs
+++ b/runtime/tests/test_watch.rs
@@ -1,4 +1,4 @@
-//! Settings files that change without a signal.
+//! Tests of settings files that change without a signal.
 
 use std::fs;
 
@@ -6,8 +6,8 @@
 
 #[test]
 fn changed_text_is_a_change_and_a_missing_file_is_not() {
-    // A file is replaced while it is looked at: for a moment it isn't there.
-    // The process must neither end nor take this for a change.
+    // Guards against a reload or failure while a settings file is being replaced and
+    // is missing for a moment.
     let path = std::env::temp_dir().join(format!("snipeyoke-watch-{}", std::process::id()));
     fs::write(&path, "{}").expect("a file of our own");
     let mut watch = Watch::new(&path);
