--- a/runtime/src/faults.rs
+++ b/runtime/src/faults.rs
@@ -101,7 +101,7 @@
         line.write_out();
         thread::sleep(REPORT_GRACE);
         // The standard library's handler runs next: it reports a stack overflow and
-        // aborts. It would ignore a signal sent by a process, so that one ends here.
+        // aborts. It would ignore a signal sent by a process, so that counts as handled.
         CrashEventResult::Handled(signal.is_sent)
     }
 
