--- a/agent/src/gate.rs
+++ b/agent/src/gate.rs
@@ -1,4 +1,4 @@
-//! Admission to the endpoint.
+//! Admission control for the endpoint.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,13 +9,13 @@
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_wire::Call;
 
-/// When a caller may come back after it found the endpoint full.
-const FULL_RETRY: Duration = Duration::from_millis(200);
+/// When a router may retry after the endpoint was at capacity.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Admits calls up to the endpoint's room, and none while draining.
+/// Admits calls up to the endpoint's capacity, and none while draining.
 #[derive(Debug, Clone)]
 pub(crate) struct Gate {
-    room: u32,
+    capacity: u32,
     drain: Flag,
     state: Arc<Mutex<State>>,
 }
@@ -26,21 +26,21 @@
     tokens: u64,
 }
 
-/// A refusal before anything was passed on.
+/// A refusal of a call before it reaches the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) reason: Reason,
-    pub(crate) retry: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
-/// Room taken by one call, given back when dropped.
+/// The capacity used by one call, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Permit {
     state: Arc<Mutex<State>>,
     tokens: u64,
 }
 
-/// What the gate has admitted.
+/// The admitted calls in flight and their tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Admitted {
     pub(crate) active: u32,
@@ -48,38 +48,38 @@
 }
 
 impl Gate {
-    pub(crate) fn new(room: u32, drain: Flag) -> Self {
+    pub(crate) fn new(capacity: u32, drain: Flag) -> Self {
         Self {
-            room,
+            capacity,
             drain,
             state: Arc::default(),
         }
     }
 
-    /// Takes room for a call.
+    /// Reserves capacity for a call.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`], which proves that the call was not passed on.
-    pub(crate) fn enter(&self, call: &Call) -> Result<Permit, Refusal> {
+    /// Returns a [`Refusal`], which proves that the call was not sent to the endpoint.
+    pub(crate) fn admit(&self, call: &Call) -> Result<Permit, Refusal> {
         if self.drain.is_set() {
             return Err(Refusal {
                 reason: Reason::Draining,
-                retry: None,
+                retry_after: None,
             });
         }
         if call.left_us == 0 {
             return Err(Refusal {
                 reason: Reason::Deadline,
-                retry: None,
+                retry_after: None,
             });
         }
         let tokens = u64::from(call.prompt_tokens) + u64::from(call.max_tokens);
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if state.active >= self.room {
+        if state.active >= self.capacity {
             return Err(Refusal {
                 reason: Reason::Overload,
-                retry: Some(FULL_RETRY),
+                retry_after: Some(FULL_RETRY_DELAY),
             });
         }
         state.active += 1;
--- a/agent/src/node.rs
+++ b/agent/src/node.rs
@@ -1,4 +1,4 @@
-//! The agent as a whole: what it shares, how it starts and leaves.
+//! The shared state of an agent, its start and its drain.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,9 +23,8 @@
 use snipeyoke_lib::lease::LeaseHolder;
 use snipeyoke_lib::placement;
 use snipeyoke_lib::time::Time;
-use snipeyoke_runtime::board::Fact;
-use snipeyoke_runtime::book::Book;
 use snipeyoke_runtime::clock::Clock;
+use snipeyoke_runtime::config_store::ConfigStore;
 use snipeyoke_runtime::flag::Flag;
 use snipeyoke_runtime::http;
 use snipeyoke_runtime::http::Client;
@@ -34,6 +33,7 @@
 use snipeyoke_runtime::platform::HttpLog;
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_runtime::threads::Execs;
+use snipeyoke_runtime::watched::WatchedValue;
 use snipeyoke_wire::Goodbye;
 use snipeyoke_wire::Heartbeat;
 use snipeyoke_wire::Hello;
@@ -47,22 +47,22 @@
 use crate::owner::Owner;
 use crate::peers;
 use crate::report;
-use crate::report::Seen;
+use crate::report::EndpointStatus;
 use crate::settings::EndpointKind;
 use crate::settings::Raw;
 use crate::settings::Settings;
 
-/// The version of the frames between processes.
+/// The version of the protocol between processes.
 const PROTOCOL: u32 = 1;
 
-/// The longest time to connect to the endpoint on the same host.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// The timeout for connecting to the endpoint on the same host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest silence of a router that a drain still waits for.
-const SILENCE_MAX: Duration = Duration::from_secs(6);
+/// The longest silence of a router after which a drain no longer waits for it.
+const ROUTER_SILENCE_MAX: Duration = Duration::from_secs(6);
 
-/// The pause between two looks at what a drain still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// The interval for polling what a drain waits for.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The reason why an agent can't start.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     },
 }
 
-/// What the tasks of an agent share.
+/// The state shared by the tasks of an agent.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Raw,
@@ -86,22 +86,22 @@
     pub(crate) clock: Clock,
     pub(crate) gate: Gate,
     pub(crate) endpoint: Endpoint,
-    /// The owner of key slots, beside a plain service and with a platform.
+    /// The owner of key slots, for a plain service if a platform is configured.
     pub(crate) owner: Option<Arc<Owner>>,
-    pub(crate) seen: Fact<Seen>,
-    /// The configuration, kept for routers that lack it.
-    pub(crate) book: Book,
+    pub(crate) endpoint_status: WatchedValue<EndpointStatus>,
+    /// The configuration, stored for routers that lack it.
+    pub(crate) config_store: ConfigStore,
     pub(crate) drain: Flag,
     pub(crate) stop: Flag,
-    /// Set once the platform's host list says that the host leaves.
-    pub(crate) leave: Flag,
-    /// Number of the last heartbeat to all routers.
-    pub(crate) seq: AtomicU64,
+    /// Set once the platform's host list marks the host as leaving.
+    pub(crate) host_leaving: Flag,
+    /// The sequence number of the last heartbeat to all routers.
+    pub(crate) heartbeat_seq: AtomicU64,
     pub(crate) orders: Mutex<placement::Gate>,
     pub(crate) scope: Scope,
     address: SocketAddr,
-    /// Number of the next load report; routers pass over older ones.
-    loads: AtomicU64,
+    /// The sequence number of the next load report; routers ignore older ones.
+    load_seq: AtomicU64,
     links: Mutex<Links>,
 }
 
@@ -111,18 +111,18 @@
     open: BTreeMap<u64, OpenLink>,
 }
 
-/// One router's link and what it said about heartbeats.
+/// A link to a router and the state of its heartbeats.
 #[derive(Debug)]
 struct OpenLink {
     sender: LinkSender,
-    /// The router's last heartbeat.
-    seen: u64,
-    /// Our last heartbeat that the router has seen.
-    echoed: u64,
-    /// The interval that the router asks for.
-    pace: Duration,
-    due: Time,
-    heard: Time,
+    /// The sequence number of the router's last heartbeat.
+    router_seq: u64,
+    /// The last heartbeat of this agent that the router has acknowledged.
+    acked_seq: u64,
+    /// The heartbeat interval that the router requests.
+    interval: Duration,
+    next_heartbeat: Time,
+    last_heard: Time,
 }
 
 impl Node {
@@ -142,10 +142,10 @@
         }
     }
 
-    /// Returns the load at this moment, numbered after all before it.
+    /// Returns the current load with the next sequence number.
     pub(crate) fn load(&self) -> Load {
-        let seq = self.loads.fetch_add(1, Ordering::Relaxed);
-        let load = self.seen.get().frame(self);
+        let seq = self.load_seq.fetch_add(1, Ordering::Relaxed);
+        let load = self.endpoint_status.get().load_frame(self);
         Load { seq, ..load }
     }
 
@@ -155,17 +155,17 @@
         links.next += 1;
         let open = OpenLink {
             sender,
-            seen: 0,
-            echoed: 0,
-            pace: Duration::ZERO,
-            due: Time::ZERO,
-            heard: self.clock.now(),
+            router_seq: 0,
+            acked_seq: 0,
+            interval: Duration::ZERO,
+            next_heartbeat: Time::ZERO,
+            last_heard: self.clock.now(),
         };
         links.open.insert(id, open);
         id
     }
 
-    pub(crate) fn drop_link(&self, id: u64) {
+    pub(crate) fn remove_link(&self, id: u64) {
         self.links
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -184,16 +184,20 @@
 }
 
 impl Node {
-    /// Sends a heartbeat on each link that is due one, or on all.
-    pub(crate) fn beat(&self, heartbeat: &Heartbeat, all: bool) {
+    /// Sends a heartbeat on each link whose interval has elapsed, or on all links.
+    pub(crate) fn send_heartbeats(&self, heartbeat: &Heartbeat, all: bool) {
         let now = self.clock.now();
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        for link in links.open.values_mut().filter(|l| all || l.due <= now) {
-            // A router with many links asks for fewer heartbeats; a tick early
-            // is better than one late.
-            link.due = now + link.pace.saturating_sub(report::REPORT_EVERY / 2);
+        for link in links
+            .open
+            .values_mut()
+            .filter(|l| all || l.next_heartbeat <= now)
+        {
+            // A router with many links requests fewer heartbeats. Half a report
+            // interval of tolerance sends one early rather than late.
+            link.next_heartbeat = now + link.interval.saturating_sub(report::REPORT_INTERVAL / 2);
             let frame = Heartbeat {
-                seen_seq: link.seen,
+                seen_seq: link.router_seq,
                 ..heartbeat.clone()
             };
             if let Err(error) = link.sender.send(Body::Heartbeat(frame)) {
@@ -202,25 +206,26 @@
         }
     }
 
-    /// Takes in a router's heartbeat.
-    pub(crate) fn heard(&self, id: u64, heartbeat: &Heartbeat) {
+    /// Handles a router's heartbeat.
+    pub(crate) fn on_heartbeat(&self, id: u64, heartbeat: &Heartbeat) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = links.open.get_mut(&id) {
-            link.heard = self.clock.now();
-            link.seen = link.seen.max(heartbeat.seq);
-            link.echoed = link.echoed.max(heartbeat.seen_seq);
-            link.pace = Duration::from_millis(heartbeat.interval_ms.into());
+            link.last_heard = self.clock.now();
+            link.router_seq = link.router_seq.max(heartbeat.seq);
+            link.acked_seq = link.acked_seq.max(heartbeat.seen_seq);
+            link.interval = Duration::from_millis(heartbeat.interval_ms.into());
         }
     }
 
-    /// Counts the routers that may not have read our heartbeat `seq`.
+    /// Counts the routers that have not acknowledged heartbeat `seq`.
     ///
-    /// A router that is itself paused or cut off would hold the drain for as
-    /// long as that lasts, so after a while of silence it no longer counts.
-    fn unaware(&self, seq: u64) -> usize {
+    /// A paused or partitioned router would block the drain, so a router that has been
+    /// silent for [`ROUTER_SILENCE_MAX`] no longer counts.
+    fn count_unaware(&self, seq: u64) -> usize {
         let now = self.clock.now();
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let unaware = |l: &&OpenLink| l.echoed < seq && now.since(l.heard) < SILENCE_MAX;
+        let unaware =
+            |l: &&OpenLink| l.acked_seq < seq && now.since(l.last_heard) < ROUTER_SILENCE_MAX;
         links.open.values().filter(unaware).count()
     }
 }
@@ -241,48 +246,48 @@
         let raw = settings.raw;
         let term = settings.term;
         let listen = raw.listen;
-        let wrap = |source| StartError::Listen {
+        let listen_error = |source| StartError::Listen {
             address: listen,
             source,
         };
-        let listener = http::bind(listen).map_err(wrap)?;
-        let address = listener.get_ref().local_addr().map_err(wrap)?;
+        let listener = http::bind(listen).map_err(listen_error)?;
+        let address = listener.get_ref().local_addr().map_err(listen_error)?;
         let scope = Scope::new(Arc::clone(&execs.traffic));
-        let client = Client::new(scope.clone(), CONNECT_LIMIT);
+        let client = Client::new(scope.clone(), CONNECT_TIMEOUT);
         let drain = Flag::default();
-        let room = raw.endpoint.slots + raw.endpoint.queue;
+        let capacity = raw.endpoint.slots + raw.endpoint.queue;
         let incarnation = Incarnation(Clock::wall().as_millis());
         let clock = Clock::start();
-        let me = LeaseHolder {
+        let lease_holder = LeaseHolder {
             node: raw.node.clone(),
             incarnation,
         };
-        let owns = raw.endpoint.kind == EndpointKind::Plain && raw.platform.is_some();
-        let owner = owns.then(|| Arc::new(Owner::new(&raw, me, term, clock)));
+        let owns_slots = raw.endpoint.kind == EndpointKind::Plain && raw.platform.is_some();
+        let owner = owns_slots.then(|| Arc::new(Owner::new(&raw, lease_holder, term, clock)));
         let log = raw.platform.map(|p| HttpLog::new(client.clone(), p));
         let node = Arc::new(Node {
             incarnation,
             clock,
             owner,
-            gate: Gate::new(room, drain.clone()),
+            gate: Gate::new(capacity, drain.clone()),
             endpoint: Endpoint::new(client, raw.endpoint.address),
-            seen: Fact::new(Seen::default()),
-            book: Book::default(),
+            endpoint_status: WatchedValue::new(EndpointStatus::default()),
+            config_store: ConfigStore::default(),
             settings: raw,
             drain,
             stop: Flag::default(),
-            leave: Flag::default(),
-            seq: AtomicU64::new(1),
+            host_leaving: Flag::default(),
+            heartbeat_seq: AtomicU64::new(1),
             orders: Mutex::default(),
             scope,
             address,
-            loads: AtomicU64::new(1),
+            load_seq: AtomicU64::new(1),
             links: Mutex::default(),
         });
         node.scope.spawn(peers::accept(Arc::clone(&node), listener));
         node.scope.spawn(report::run(Arc::clone(&node)));
         if let Some(platform) = node.settings.platform {
-            let client = Client::new(node.scope.clone(), CONNECT_LIMIT);
+            let client = Client::new(node.scope.clone(), CONNECT_TIMEOUT);
             let hosts = HttpHosts::new(client, platform);
             node.scope.spawn(hosts::follow(Arc::clone(&node), hosts));
         }
@@ -300,49 +305,49 @@
         self.node.address
     }
 
-    /// Waits until the platform's host list says that this host leaves.
-    pub async fn told_to_leave(&self) {
-        self.node.leave.wait().await;
+    /// Waits until the platform's host list marks this host as leaving.
+    pub async fn leave_requested(&self) {
+        self.node.host_leaving.wait().await;
     }
 
-    /// Drains as at SIGTERM.
+    /// Drains as on SIGTERM.
     pub async fn leave(&self) {
         self.drain(Source::Signal).await;
     }
 
-    /// Drains: takes nothing new, finishes what runs, says goodbye, and ends.
+    /// Drains: refuses new calls, finishes running ones, sends goodbye and stops.
     ///
-    /// It leaves only after every router has echoed a draining heartbeat: a
-    /// link keeps its order, so all that a router sent before is answered.
+    /// Stops only after every router has acknowledged a draining heartbeat. A link
+    /// preserves order, so everything that a router sent before has been handled.
     pub async fn drain(&self, source: Source) {
         let node = &self.node;
         let mut drain = Drain::new(DrainSettings::default());
         let mut actions = drain.begin(node.clock.now(), source, true);
         log::info!(event = "drain-begins", source = source.to_string().as_str(), calls = node.gate.admitted().active; "");
-        let mut told = 0;
+        let mut drain_seq = 0;
         while drain.phase() != Phase::Done {
             for action in &actions {
                 match action {
-                    DrainAction::Stop => told = self.refuse_new(),
-                    // Only now: a successor may run a key at once after the
-                    // release.
+                    DrainAction::Stop => drain_seq = self.refuse_new(),
+                    // Not earlier: after the release, another agent may run a key
+                    // at once.
                     DrainAction::HandOver => self.hand_over().await,
                     DrainAction::Report { held, overdue } => {
                         log::warn!(event = "drain-held", node = node.settings.node.as_str(), held = held.to_string().as_str(), overdue = overdue; "");
                     }
-                    // Routers resume elsewhere by themselves; goodbye and exit
-                    // follow the loop; nothing here resumes service.
+                    // Routers move calls to other agents on their own; goodbye and
+                    // exit follow after the loop; an agent never resumes service.
                     DrainAction::Move
                     | DrainAction::Goodbye
                     | DrainAction::Exit
                     | DrainAction::Resume => {}
                 }
             }
-            Timer::after(DRAIN_LOOK).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
             let owned = node.owner.as_ref().map(|o| o.slots().len());
             let held = DrainBlockers {
                 calls: node.gate.admitted().active as usize,
-                unaware: node.unaware(told),
+                unaware: node.count_unaware(drain_seq),
                 slots: owned.unwrap_or_default(),
                 ..DrainBlockers::default()
             };
@@ -353,21 +358,21 @@
             reason: "drain".to_owned(),
         };
         node.broadcast(&Body::Goodbye(goodbye));
-        // The last replies are queued by now; the writers end once the links
-        // are closed and their queues are empty.
+        // The last replies are queued by now. Writers end once their links are closed
+        // and their queues are empty.
         self.stop().await;
     }
 
-    /// Refuses new work and says so; returns the number of that heartbeat.
+    /// Refuses new calls, announces it, and returns the number of that heartbeat.
     fn refuse_new(&self) -> u64 {
         let node = &self.node;
         node.drain.set();
         if let Some(owner) = &node.owner {
             owner.drain();
         }
-        let told = node.seq.fetch_add(1, Ordering::SeqCst) + 1;
-        node.beat(&report::frame(node, told), true);
-        told
+        let drain_seq = node.heartbeat_seq.fetch_add(1, Ordering::SeqCst) + 1;
+        node.send_heartbeats(&report::heartbeat(node, drain_seq), true);
+        drain_seq
     }
 
     async fn hand_over(&self) {
@@ -376,10 +381,10 @@
         }
     }
 
-    /// Stops at once, cutting off what runs.
+    /// Stops at once and cancels running calls.
     pub async fn stop(&self) {
         self.node.stop.set();
-        self.node.scope.cancel_later().await;
+        self.node.scope.cancel_after_grace().await;
         log::info!(event = "agent-down", node = self.node.settings.node.as_str(); "");
     }
 }
--- a/agent/src/program.rs
+++ b/agent/src/program.rs
@@ -1,4 +1,4 @@
-//! The agent as a program of its own.
+//! The implementation of [`Program`] for the agent.
 
 use snipeyoke_lib::drain::Source;
 use snipeyoke_runtime::program::Program;
@@ -26,8 +26,8 @@
         Self::start(settings, execs)
     }
 
-    async fn told_to_leave(&self) {
-        Self::told_to_leave(self).await;
+    async fn leave_requested(&self) {
+        Self::leave_requested(self).await;
     }
 
     async fn drain(&self, source: Source) {
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -439,7 +439,7 @@
         }
         Body::Told(response) => link.on_outcome_response(response),
         Body::ConfigAsk(ask) => {
-            for offer in node.book.offer(Offset(ask.have)) {
+            for offer in node.book.offers_since(Offset(ask.have)) {
                 link.send(Body::ConfigOffer(offer));
             }
         }
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -170,13 +170,13 @@
         request_config(node, link);
         return;
     }
-    for offer in node.book.push(theirs) {
+    for offer in node.book.announce(theirs) {
         link.send(Body::ConfigOffer(offer));
     }
 }
 
 fn request_config(node: &Node, link: &AgentLink) {
-    if let Some(request) = node.book.ask(node.clock.now()) {
+    if let Some(request) = node.book.request(node.clock.now()) {
         link.send(Body::ConfigAsk(request));
     }
 }
@@ -184,7 +184,7 @@
 /// Applies a configuration offer from a peer.
 pub(crate) fn on_offer(node: &Node, link: &AgentLink, offer: &ConfigOffer) {
     let now = node.clock.now();
-    let offered = node.book.take(now, offer, |fold, offset, applied| {
+    let offered = node.book.apply_offer(now, offer, |fold, offset, applied| {
         record_applied(node, fold, offset, applied);
     });
     if offered.gap {
@@ -195,7 +195,7 @@
         log::info!(event = "config-from-peer", next = fold.next().0, revision = fold.revision().0; "");
         put_in_force(node, &fold);
     }
-    for (bytes, applied) in &offered.read {
+    for (bytes, applied) in &offered.applied {
         node.control.waiters.notify(bytes, applied);
     }
 }
--- a/router/src/node.rs
+++ b/router/src/node.rs
@@ -34,9 +34,8 @@
 use snipeyoke_lib::routing::RouterLocation;
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Tokens;
-use snipeyoke_runtime::board::Fact;
-use snipeyoke_runtime::book::Book;
 use snipeyoke_runtime::clock::Clock;
+use snipeyoke_runtime::config_store::ConfigStore;
 use snipeyoke_runtime::http;
 use snipeyoke_runtime::http::Bounds;
 use snipeyoke_runtime::http::Client;
@@ -44,6 +43,7 @@
 use snipeyoke_runtime::platform::HttpLog;
 use snipeyoke_runtime::scope::Scope;
 use snipeyoke_runtime::threads::Execs;
+use snipeyoke_runtime::watched::WatchedValue;
 use snipeyoke_wire::Goodbye;
 use snipeyoke_wire::Hello;
 use snipeyoke_wire::NodeKind;
@@ -104,9 +104,9 @@
     pub(crate) clock: Clock,
     pub(crate) board: Board,
     /// The configuration as read and passed on to peers.
-    pub(crate) book: Book,
+    pub(crate) book: ConfigStore,
     /// The state of the configuration topic when last read.
-    pub(crate) log_state: Fact<LogState>,
+    pub(crate) log_state: WatchedValue<LogState>,
     pub(crate) agents: Agents,
     pub(crate) members: Members,
     pub(crate) admission: Admission,
@@ -206,7 +206,7 @@
         let (caller_listener, callers) = listen(raw.listen.callers)?;
         let (control_listener, operators) = listen(raw.listen.control)?;
         let bounds = Bounds {
-            head_time: Duration::from_millis(raw.bounds.head_ms),
+            head_timeout: Duration::from_millis(raw.bounds.head_ms),
             conns: raw.bounds.conns,
         };
         let address = raw.listen.peers;
@@ -276,7 +276,7 @@
     }
 
     /// Waits until the platform's host list marks this host as leaving.
-    pub async fn told_to_leave(&self) {
+    pub async fn leave_requested(&self) {
         self.node.board.host_leaving.wait().await;
     }
 
@@ -342,8 +342,8 @@
         self.node.board.drain.set();
         self.node.board.callers_closed.set();
         self.node.board.stop.set();
-        self.control.cancel_later().await;
-        self.node.scope.cancel_later().await;
+        self.control.cancel_after_grace().await;
+        self.node.scope.cancel_after_grace().await;
         self.node.requests.cancel().await;
         log::info!(event = "router-down", node = self.node.settings.node.as_str(); "");
     }
@@ -371,8 +371,8 @@
         incarnation,
         clock: Clock::start(),
         board: Board::new(),
-        book: Book::default(),
-        log_state: Fact::new(LogState::default()),
+        book: ConfigStore::default(),
+        log_state: WatchedValue::new(LogState::default()),
         agents: Agents::default(),
         members,
         admission: Admission::new(Time::ZERO, raw.routers.len() + 1),
--- a/runtime/src/http/body.rs
+++ b/runtime/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and replies.
+//! Request and response bodies.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -22,17 +22,16 @@
 use hyper::body::Incoming;
 use hyper::body::SizeHint;
 
-/// The body of a reply.
-pub type ReplyBody = UnsyncBoxBody<Bytes, Cut>;
+/// The body of a response sent by the server.
+pub type ReplyBody = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// Ends a body early: the connection is closed without the rest.
+/// The error that aborts a body and closes its connection.
 ///
-/// A body that is cut must not look complete, so its connection can't be used
-/// again.
+/// A truncated body must not look complete, so the connection can't be reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
-#[display("the answer can't be completed: send the request again")]
-pub struct Cut;
+#[display("the response body was aborted: send the request again")]
+pub struct BodyAborted;
 
 /// The reason why a body can't be read.
 #[derive(Debug)]
@@ -51,41 +50,43 @@
 }
 
 impl BodyError {
-    /// Tells whether the body was too large.
+    /// Returns whether the body was too large.
     #[must_use]
     pub const fn is_too_large(&self) -> bool {
         matches!(self, Self::TooLarge { .. })
     }
 }
 
-/// Returns a body of known bytes.
+/// Returns a body with the given bytes.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> ReplyBody {
     Full::new(bytes.into()).map_err(never).boxed_unsync()
 }
 
-/// Returns a body without bytes.
+/// Returns an empty body.
 #[must_use]
 pub fn empty() -> ReplyBody {
     full(Bytes::new())
 }
 
-/// Returns a body whose pieces come one by one, until the stream ends.
+/// Returns a body that sends the chunks of a stream.
 ///
-/// The stream is dropped when the caller's connection closes.
+/// The stream is dropped when the client's connection closes.
 #[must_use]
-pub fn streamed(pieces: impl Stream<Item = Bytes> + Send + 'static) -> ReplyBody {
-    cuttable(pieces.map(Ok))
+pub fn streamed(chunks: impl Stream<Item = Bytes> + Send + 'static) -> ReplyBody {
+    abortable(chunks.map(Ok))
 }
 
-/// Returns a body whose pieces come one by one, and which may be cut.
+/// Returns a body that sends the chunks of a stream, until the end or an abort.
 #[must_use]
-pub fn cuttable(pieces: impl Stream<Item = Result<Bytes, Cut>> + Send + 'static) -> ReplyBody {
-    let frames = pieces.map(|piece| piece.map(Frame::data));
+pub fn abortable(
+    chunks: impl Stream<Item = Result<Bytes, BodyAborted>> + Send + 'static,
+) -> ReplyBody {
+    let frames = chunks.map(|chunk| chunk.map(Frame::data));
     StreamBody::new(frames).boxed_unsync()
 }
 
-fn never(error: Infallible) -> Cut {
+fn never(error: Infallible) -> BodyAborted {
     match error {}
 }
 
@@ -95,25 +96,25 @@
 ///
 /// Returns [`BodyError`] if it is larger or its connection fails.
 pub async fn collect(body: Incoming, max: usize) -> Result<Bytes, BodyError> {
-    collect_noting(body, max, |_bytes| ()).await
+    collect_with_progress(body, max, |_bytes| ()).await
 }
 
-/// Reads a whole body and tells the bytes of each frame as it comes.
+/// Reads a whole body and passes the size of each frame to `on_frame`.
 ///
 /// # Errors
 ///
 /// Returns [`BodyError`] if it is larger than `max` bytes or its connection
 /// fails.
-pub async fn collect_noting(
+pub async fn collect_with_progress(
     body: Incoming,
     max: usize,
-    mut note: impl FnMut(usize),
+    mut on_frame: impl FnMut(usize),
 ) -> Result<Bytes, BodyError> {
-    let noted = body.map_frame(|frame| {
-        note(frame.data_ref().map_or(0, Bytes::len));
+    let observed = body.map_frame(|frame| {
+        on_frame(frame.data_ref().map_or(0, Bytes::len));
         frame
     });
-    match Limited::new(noted, max).collect().await {
+    match Limited::new(observed, max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge { max }),
         Err(error) => match error.downcast::<hyper::Error>() {
@@ -123,31 +124,31 @@
     }
 }
 
-/// Returns the same body, which drops `token` once it was sent or given up.
+/// Returns the same body, which drops `guard` once it is sent or abandoned.
 #[must_use]
-pub fn holding(body: ReplyBody, token: impl Send + 'static) -> ReplyBody {
-    let token = Box::new(token);
-    Holding {
+pub fn with_guard(body: ReplyBody, guard: impl Send + 'static) -> ReplyBody {
+    let guard = Box::new(guard);
+    GuardedBody {
         body,
-        _token: token,
+        _guard: guard,
     }
     .boxed_unsync()
 }
 
-/// A body that keeps something alive until it is dropped.
-struct Holding<T> {
+/// A body that holds a guard until it is dropped.
+struct GuardedBody<T> {
     body: ReplyBody,
-    _token: Box<T>,
+    _guard: Box<T>,
 }
 
-impl<T> Body for Holding<T> {
+impl<T> Body for GuardedBody<T> {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
--- a/runtime/src/http/client.rs
+++ b/runtime/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps connections to each address.
+//! An HTTP client with a connection pool per address.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,18 +17,18 @@
 use hyper::client::conn::http1::SendRequest;
 use smol_hyper::rt::FuturesIo;
 
-use crate::link::UNHEARD_MAX;
+use crate::link::UNACKED_MAX;
 use crate::link::connect;
-use crate::link::prepare;
+use crate::link::set_socket_options;
 use crate::scope::Scope;
 
-/// A response whose body is still to be read.
+/// A response whose body has not been read yet.
 pub type Response = hyper::Response<Incoming>;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// The idle connections kept to one address.
-const IDLE_MAX: usize = 32;
+/// The maximum number of idle connections per address.
+const IDLE_CONNS_MAX: usize = 32;
 
 /// The reason why a request got no response.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// No connection could be made: the request was not sent.
     #[display("no connection: {_0}; the request was not sent")]
     Connect(io::Error),
-    /// The request was taken by no connection: it was not sent.
+    /// The connection closed before the request was sent.
     #[display("the connection closed before the request was sent: {_0}")]
     NotSent(hyper::Error),
     /// The connection failed after the request may have been sent.
@@ -46,69 +46,69 @@
 }
 
 impl ClientError {
-    /// Tells whether the request surely never left this process.
+    /// Returns whether the request was certainly not sent.
     #[must_use]
     pub const fn is_not_sent(&self) -> bool {
         !matches!(self, Self::Sent(_))
     }
 }
 
-/// Sends requests; clones share the connections.
+/// Sends requests; clones share the connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     scope: Scope,
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<Sender>>>>,
-    limit: Duration,
+    connect_timeout: Duration,
 }
 
 impl Client {
     /// Builds a client whose connections run in `scope`.
     ///
-    /// `limit` bounds the time to connect.
+    /// `connect_timeout` limits the time to connect.
     #[must_use]
-    pub fn new(scope: Scope, limit: Duration) -> Self {
+    pub fn new(scope: Scope, connect_timeout: Duration) -> Self {
         Self {
             scope,
             idle: Arc::default(),
-            limit,
+            connect_timeout,
         }
     }
 
     /// Sends a request and returns the head of its response.
     ///
-    /// The connection is used again once the body has been read to its end and
-    /// [`Client::keep`] was given the sender back; a dropped future closes it,
-    /// which cancels the request at the other side.
+    /// To reuse the connection, read the body to its end and pass the connection to
+    /// [`Client::recycle`]. Dropping the future closes the connection, which cancels
+    /// the request at the server.
     ///
     /// # Errors
     ///
-    /// Returns [`ClientError`], which tells whether the request may have run.
+    /// Returns [`ClientError`], which distinguishes whether the request may have run.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut request: hyper::Request<Full<Bytes>>,
-    ) -> Result<(Response, Kept), ClientError> {
-        set_host(&mut request, address);
+    ) -> Result<(Response, PooledConn), ClientError> {
+        set_host_header(&mut request, address);
         loop {
-            let Some(mut sender) = self.take(address) else {
+            let Some(mut sender) = self.take_idle(address) else {
                 break;
             };
             if sender.ready().await.is_err() {
                 continue;
             }
             match sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, Kept { sender, address })),
+                Ok(response) => return Ok((response, PooledConn { sender, address })),
                 Err(mut error) => match error.take_message() {
-                    // The idle connection had closed: the request comes back
-                    // unsent, so another connection may carry it.
+                    // The idle connection was closed before the request was sent,
+                    // so another connection can be used.
                     Some(unsent) => request = unsent,
                     None => return Err(ClientError::Sent(error.into_error())),
                 },
             }
         }
-        let mut sender = self.fresh(address).await?;
+        let mut sender = self.open_conn(address).await?;
         match sender.try_send_request(request).await {
-            Ok(response) => Ok((response, Kept { sender, address })),
+            Ok(response) => Ok((response, PooledConn { sender, address })),
             Err(mut error) => match error.take_message() {
                 Some(_unsent) => Err(ClientError::NotSent(error.into_error())),
                 None => Err(ClientError::Sent(error.into_error())),
@@ -116,16 +116,16 @@
         }
     }
 
-    /// Keeps a connection whose response has been read to its end.
-    pub fn keep(&self, kept: Kept) {
+    /// Returns a connection to the pool after its response has been read.
+    pub fn recycle(&self, conn: PooledConn) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let conns = idle.entry(kept.address).or_default();
-        if conns.len() < IDLE_MAX && !kept.sender.is_closed() {
-            conns.push(kept.sender);
+        let conns = idle.entry(conn.address).or_default();
+        if conns.len() < IDLE_CONNS_MAX && !conn.sender.is_closed() {
+            conns.push(conn.sender);
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let conns = idle.get_mut(&address)?;
         while let Some(sender) = conns.pop() {
@@ -136,11 +136,11 @@
         None
     }
 
-    async fn fresh(&self, address: SocketAddr) -> Result<Sender, ClientError> {
-        let stream = connect(address, self.limit)
+    async fn open_conn(&self, address: SocketAddr) -> Result<Sender, ClientError> {
+        let stream = connect(address, self.connect_timeout)
             .await
             .map_err(ClientError::Connect)?;
-        prepare(&stream, UNHEARD_MAX).map_err(ClientError::Connect)?;
+        set_socket_options(&stream, UNACKED_MAX).map_err(ClientError::Connect)?;
         let (sender, conn) = http1::handshake(FuturesIo::new(stream))
             .await
             .map_err(ClientError::NotSent)?;
@@ -153,14 +153,14 @@
     }
 }
 
-/// A connection in use, to be kept after its response was read.
+/// A connection in use, to be recycled after its response has been read.
 #[derive(Debug)]
-pub struct Kept {
+pub struct PooledConn {
     sender: Sender,
     address: SocketAddr,
 }
 
-fn set_host(request: &mut hyper::Request<Full<Bytes>>, address: SocketAddr) {
+fn set_host_header(request: &mut hyper::Request<Full<Bytes>>, address: SocketAddr) {
     let host = hyper::header::HeaderValue::try_from(address.to_string());
     if let Ok(host) = host {
         request.headers_mut().insert(hyper::header::HOST, host);
--- a/runtime/src/http/server.rs
+++ b/runtime/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A server loop: bounded heads, idle times and connections.
+//! An HTTP server with limits on connections, request heads and idle time.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,56 +22,56 @@
 
 use super::body::ReplyBody;
 use crate::flag::Flag;
-use crate::link::prepare;
+use crate::link::set_socket_options;
 use crate::scope::Scope;
 
-/// A request as the server hands it over.
+/// A request received by the server.
 pub type Request = hyper::Request<Incoming>;
 
-/// A reply as the server takes it.
+/// A response to be sent by the server.
 pub type Reply = hyper::Response<ReplyBody>;
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     ///
-    /// The future is dropped when the caller's connection closes.
+    /// The future is dropped when the client's connection closes.
     fn handle(&self, request: Request) -> Pin<Box<dyn Future<Output = Reply> + Send + '_>>;
 }
 
-/// What a client may take of the server.
+/// The limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// The longest time for the head of a request; also for an idle connection.
-    pub head_time: Duration,
-    /// The most connections at once.
+    /// The timeout for the head of a request, and for an idle connection.
+    pub head_timeout: Duration,
+    /// The maximum number of open connections.
     pub conns: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            head_time: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(30),
             conns: 3_500,
         }
     }
 }
 
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 ///
-/// Accept fails when descriptors run out; trying again at once would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Accept fails when file descriptors run out; an immediate retry would spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest time for the head of a request on a connection that comes last.
+/// The timeout for the head of a first request during and after a drain.
 ///
-/// A caller that connects and sends nothing would keep the process from ending.
-const LAST_HEAD_TIME: Duration = Duration::from_secs(1);
+/// A client that connects and sends nothing would otherwise delay the exit.
+const DRAIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Binds a listener.
 ///
 /// # Errors
 ///
-/// Returns the system's error, for example if the address is taken.
+/// Returns the system's error, for example if the address is in use.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
@@ -90,12 +90,11 @@
 
 /// Serves connections until `end` is set and each has finished its request.
 ///
-/// Once `drain` is set, idle connections are closed; one that was never used has
-/// a second more for the request that it was opened for. New ones are accepted until
-/// the last connection has ended, for the handler to answer them; those that
-/// come after `end` are for one request. A caller whose connection stays in the
-/// queue of a listener hears nothing until the process ends, and can't tell
-/// whether its request ran.
+/// Once `drain` is set, idle connections are closed; one without any request yet
+/// has another second to send it. New connections are accepted until the last one
+/// has ended, and the handler responds to them; those accepted after `end` serve one
+/// request. A connection left in the accept queue would get no response until the
+/// process ends, and its client could not know whether the request ran.
 pub async fn serve_until(
     listener: Async<TcpListener>,
     handler: Arc<dyn Handler>,
@@ -110,22 +109,22 @@
         bounds,
         scope,
     };
-    let kept = || {
+    let lifetime = || {
         let close = if drain.is_set() { &end } else { &drain };
-        Life::Kept(close.clone())
+        ConnLifetime::KeepAlive(close.clone())
     };
-    server.accept_until(end.wait(), kept).await;
-    // The queue of the listener is looked at first: it is empty at the end.
+    server.accept_until(end.wait(), lifetime).await;
+    // Accepting is polled before the join, so the accept queue is empty at the end.
     server
-        .accept_until(server.scope.join(), || Life::OneRequest)
+        .accept_until(server.scope.join(), || ConnLifetime::OneRequest)
         .await;
 }
 
 /// How long a connection lasts.
-enum Life {
-    /// Until it is idle after the flag was set.
-    Kept(Flag),
-    /// Until its first request was answered.
+enum ConnLifetime {
+    /// Until it is idle after the flag is set.
+    KeepAlive(Flag),
+    /// Until its first response is sent.
     OneRequest,
 }
 
@@ -137,28 +136,32 @@
 }
 
 impl Server {
-    async fn accept_until(&self, over: impl Future<Output = ()>, life: impl Fn() -> Life) {
-        let mut over = pin!(over);
+    async fn accept_until(
+        &self,
+        until: impl Future<Output = ()>,
+        lifetime: impl Fn() -> ConnLifetime,
+    ) {
+        let mut until = pin!(until);
         loop {
             let accepted = async { Some(self.listener.accept().await) };
             let ended = async {
-                over.as_mut().await;
+                until.as_mut().await;
                 None
             };
             match accepted.or(ended).await {
                 None => return,
                 Some(Ok((stream, _peer))) if self.scope.len() < self.bounds.conns => {
                     let handler = Arc::clone(&self.handler);
-                    let conn = connection(stream, handler, self.bounds, life());
+                    let conn = connection(stream, handler, self.bounds, lifetime());
                     self.scope.spawn(conn);
                 }
-                // Beyond the bound the connection is closed unread: nothing ran.
+                // Over the limit, the connection is closed unread, so nothing ran.
                 Some(Ok(_refused)) => {
                     metrics::counter!("snipeyoke_conns_refused_total").increment(1);
                 }
                 Some(Err(error)) => {
                     log::warn!(event = "accept-failed", error = error.to_string().as_str(), remedy = "raise the descriptor limit"; "");
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -169,40 +172,40 @@
     stream: Async<TcpStream>,
     handler: Arc<dyn Handler>,
     bounds: Bounds,
-    life: Life,
+    lifetime: ConnLifetime,
 ) {
-    // A caller's phone may be out of reach for longer than a host ever is; what
-    // an idle caller may take is also the bound for one who is away.
-    if prepare(&stream, bounds.head_time).is_err() {
+    // A mobile client may be unreachable for longer than a host, so the idle timeout
+    // also limits how long sent bytes may stay unacknowledged.
+    if set_socket_options(&stream, bounds.head_timeout).is_err() {
         return;
     }
-    let used = Flag::default();
+    let has_request = Flag::default();
     let service = service_fn(|request: Request| {
-        used.set();
+        has_request.set();
         let handler = Arc::clone(&handler);
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
-    let head_time = match life {
-        Life::Kept(_) => bounds.head_time,
-        Life::OneRequest => bounds.head_time.min(LAST_HEAD_TIME),
+    let head_timeout = match lifetime {
+        ConnLifetime::KeepAlive(_) => bounds.head_timeout,
+        ConnLifetime::OneRequest => bounds.head_timeout.min(DRAIN_HEAD_TIMEOUT),
     };
     let conn = http1::Builder::new()
         .timer(SmolTimer::new())
-        .keep_alive(matches!(life, Life::Kept(_)))
-        .header_read_timeout(head_time)
+        .keep_alive(matches!(lifetime, ConnLifetime::KeepAlive(_)))
+        .header_read_timeout(head_timeout)
         .serve_connection(FuturesIo::new(stream), service);
     let mut conn = pin!(conn);
     let served = async { Some(conn.as_mut().await) };
     let drained = async {
-        let Life::Kept(drain) = &life else {
+        let ConnLifetime::KeepAlive(drain) = &lifetime else {
             return future::pending().await;
         };
         drain.wait().await;
-        // The first request of a new connection may be on its way.
-        let over = async {
-            Timer::after(LAST_HEAD_TIME).await;
+        // The first request of a new connection may still arrive.
+        let first_request_timeout = async {
+            Timer::after(DRAIN_HEAD_TIMEOUT).await;
         };
-        used.wait().or(over).await;
+        has_request.wait().or(first_request_timeout).await;
         None
     };
     let ended = served.or(drained).await;
--- a/runtime/src/logs.rs
+++ b/runtime/src/logs.rs
@@ -1,4 +1,4 @@
-//! The log lines of a process: key=value pairs.
+//! Logging as lines of key=value pairs.
 
 mod bound;
 mod layout;
@@ -14,16 +14,16 @@
 use logforth::core::builder;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 
-use self::bound::Entry;
-use self::bound::Exit;
-use self::bound::Waiting;
+use self::bound::BoundedAppend;
+use self::bound::CountingAppend;
+use self::bound::QueuedLines;
 use self::layout::Pairs;
 
-/// The lines that may wait for standard error.
+/// The maximum number of queued log lines.
 ///
-/// A slow reader of the log must not block traffic: lines beyond this number
-/// are dropped and counted as `snipeyoke_log_dropped_total`.
-const BUFFER_LINES: usize = 8_192;
+/// A slow reader of the log must not block traffic. Lines beyond this limit are
+/// dropped and counted as `snipeyoke_log_dropped_total`.
+const QUEUE_MAX_LINES: usize = 8_192;
 
 /// The reason why the log can't be set up.
 #[derive(Debug)]
@@ -32,15 +32,15 @@
     /// The filter is malformed.
     #[display("the log filter {filter:?} is malformed: write LEVEL or TARGET=LEVEL,…")]
     Filter {
-        /// The filter found.
+        /// The filter as given.
         filter: String,
     },
-    /// Another logger is in place.
-    #[display("the process has a logger already: call this once")]
-    Taken,
+    /// A logger is already installed.
+    #[display("a logger is already installed: call this once per process")]
+    AlreadyInstalled,
 }
 
-/// Where log lines go.
+/// The destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
@@ -60,39 +60,40 @@
             filter: filter.to_owned(),
         })?;
     let append = match output {
-        Output::Stdout => queued(Stdout::default().with_layout(Pairs)),
-        Output::Stderr => queued(Stderr::default().with_layout(Pairs)),
+        Output::Stdout => with_bounded_queue(Stdout::default().with_layout(Pairs)),
+        Output::Stderr => with_bounded_queue(Stderr::default().with_layout(Pairs)),
     };
     let logger = builder()
         .dispatch(|d| d.filter(spec.build()).append(append))
         .build();
-    log::set_boxed_logger(Box::new(LogBridge::new(logger))).map_err(|_taken| LogsError::Taken)?;
+    log::set_boxed_logger(Box::new(LogBridge::new(logger)))
+        .map_err(|_installed| LogsError::AlreadyInstalled)?;
     log::set_max_level(log::LevelFilter::Trace);
     Ok(())
 }
 
-/// Puts a bounded queue, and a thread that empties it, before an output.
-fn queued(output: impl Append) -> Entry<Async> {
-    let waiting = Waiting::default();
-    let exit = Exit {
+/// Wraps an output in a bounded queue and a thread that drains it.
+fn with_bounded_queue(output: impl Append) -> BoundedAppend<Async> {
+    let queued_lines = QueuedLines::default();
+    let counting = CountingAppend {
         inner: output,
-        waiting: waiting.clone(),
+        queued_lines: queued_lines.clone(),
     };
-    // The queue has room for every line that the entry lets through, and for
-    // one flush; it never drops by itself.
+    // The queue has room for all accepted lines and one flush, so it never drops
+    // lines itself.
     let queue = AsyncBuilder::new("log")
-        .buffered_lines_limit(Some(BUFFER_LINES + 1))
+        .buffered_lines_limit(Some(QUEUE_MAX_LINES + 1))
         .overflow_drop_incoming()
-        .append(exit)
+        .append(counting)
         .build();
-    Entry {
+    BoundedAppend {
         inner: queue,
-        waiting,
-        limit: BUFFER_LINES,
+        queued_lines,
+        limit: QUEUE_MAX_LINES,
     }
 }
 
-/// Logs one event whose pairs are only known when it happens.
+/// Logs one event whose keys are only known at run time.
 pub fn event(target: &str, pairs: &[(&'static str, String)]) {
     let level = log::Level::Info;
     let metadata = log::Metadata::builder().level(level).target(target).build();
--- a/runtime/src/logs/bound.rs
+++ b/runtime/src/logs/bound.rs
@@ -1,4 +1,4 @@
-//! A bound on the lines that wait, with a count of those dropped.
+//! A limit on queued log lines, with a count of the dropped ones.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -9,34 +9,33 @@
 use logforth::Error;
 use logforth::record::Record;
 
-/// The lines between the threads that log and the one that writes.
+/// The number of lines queued between the logging threads and the writer.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Waiting(Arc<AtomicUsize>);
+pub(super) struct QueuedLines(Arc<AtomicUsize>);
 
-/// Takes lines in, as long as fewer than a number of them wait.
+/// Accepts lines while fewer than `limit` are queued.
 #[derive(Debug)]
-pub(super) struct Entry<A> {
+pub(super) struct BoundedAppend<A> {
     pub(super) inner: A,
-    pub(super) waiting: Waiting,
+    pub(super) queued_lines: QueuedLines,
     pub(super) limit: usize,
 }
 
-/// Writes lines and counts them out.
+/// Writes lines and removes them from the count.
 #[derive(Debug)]
-pub(super) struct Exit<A> {
+pub(super) struct CountingAppend<A> {
     pub(super) inner: A,
-    pub(super) waiting: Waiting,
+    pub(super) queued_lines: QueuedLines,
 }
 
-impl<A: Append> Append for Entry<A> {
-    // A reader of standard error that stands still would fill the queue: the
-    // threads that serve requests would wait for it, or the queue would take
-    // the node's memory. Beyond the limit a line is dropped here, at once, and
-    // counted, so that a gap in the log is known to be one.
+impl<A: Append> Append for BoundedAppend<A> {
+    // If the reader of the log stalls, a full queue would block the threads that
+    // serve requests or exhaust memory. Lines over the limit are dropped and
+    // counted, so that gaps in the log are visible.
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        let before = self.waiting.0.fetch_add(1, Ordering::Relaxed);
+        let before = self.queued_lines.0.fetch_add(1, Ordering::Relaxed);
         if before >= self.limit {
-            self.waiting.0.fetch_sub(1, Ordering::Relaxed);
+            self.queued_lines.0.fetch_sub(1, Ordering::Relaxed);
             metrics::counter!("snipeyoke_log_dropped_total").increment(1);
             return Ok(());
         }
@@ -48,9 +47,9 @@
     }
 }
 
-impl<A: Append> Append for Exit<A> {
+impl<A: Append> Append for CountingAppend<A> {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        self.waiting.0.fetch_sub(1, Ordering::Relaxed);
+        self.queued_lines.0.fetch_sub(1, Ordering::Relaxed);
         self.inner.append(record, diags)
     }
 
--- a/runtime/src/platform/hosts.rs
+++ b/runtime/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list over HTTP: a hint that lags.
+//! Client for the platform's host list, which may lag behind reality.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 use crate::http::Client;
 use crate::http::collect;
 
-/// The longest time for one look at the list.
-const READ_LIMIT: Duration = Duration::from_secs(2);
+/// The timeout for reading the list.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest list that is taken, in bytes.
-const LIST_MAX: usize = 4 << 20;
+/// The maximum size of the list.
+const LIST_MAX_BYTES: usize = 4 << 20;
 
 /// Reads the platform's host list.
 #[derive(Debug, Clone)]
@@ -70,44 +70,44 @@
 }
 
 impl HttpHosts {
-    /// Builds an adapter for the platform at `address`.
+    /// Creates a client for the platform at `address`.
     #[must_use]
     pub const fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
     }
 
-    /// Returns the list, or nothing if it can't be had or read now.
+    /// Returns the list, or `None` if it can't be fetched or parsed.
     ///
-    /// Callers then keep to the last one: an outage of the platform must not
+    /// Callers then keep the last list, so that an outage of the platform does not
     /// look like the loss of every host.
     pub async fn list(&self) -> Option<Vec<Listed>> {
         let timeout = async {
-            Timer::after(READ_LIMIT).await;
+            Timer::after(READ_TIMEOUT).await;
             None
         };
         let body = self.fetch().or(timeout).await?;
         let list: List = serde_json::from_slice(&body)
             .inspect_err(|error| {
-                log::warn!(event = "host-list-malformed", error = error.to_string().as_str(), remedy = "mend the platform's list; the last good one stays"; "");
+                log::warn!(event = "host-list-malformed", error = error.to_string().as_str(), remedy = "correct the platform's host list; the last valid list stays in use"; "");
             })
             .ok()?;
-        Some(list.hosts.into_iter().flat_map(listed).collect())
+        Some(list.hosts.into_iter().flat_map(host_nodes).collect())
     }
 
     async fn fetch(&self) -> Option<Bytes> {
         let mut request = Request::new(Full::default());
         *request.uri_mut() = Uri::from_static("/hosts");
-        let (response, kept) = self.client.send(self.address, request).await.ok()?;
+        let (response, conn) = self.client.send(self.address, request).await.ok()?;
         if !response.status().is_success() {
             return None;
         }
-        let body = collect(response.into_body(), LIST_MAX).await.ok()?;
-        self.client.keep(kept);
+        let body = collect(response.into_body(), LIST_MAX_BYTES).await.ok()?;
+        self.client.recycle(conn);
         Some(body)
     }
 }
 
-fn listed(entry: HostEntry) -> Vec<Listed> {
+fn host_nodes(entry: HostEntry) -> Vec<Listed> {
     let leaving = entry.state == State::Leaving;
     let listed = |node: NodeEntry| Listed {
         profile: Profile {
--- a/runtime/src/platform/log.rs
+++ b/runtime/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP.
+//! Client for the platform's log service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,25 +26,25 @@
 use crate::http::ClientError;
 use crate::http::collect;
 
-/// The longest time for an append.
+/// The timeout of an append.
 ///
-/// Beyond it the append counts as unanswered and is repeated under the same
-/// record ids.
-const APPEND_LIMIT: Duration = Duration::from_secs(2);
+/// After it, the append counts as unanswered and is retried with the same record
+/// ids.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest time for a read beyond the wait that it asks for.
-const READ_SLACK: Duration = Duration::from_secs(2);
+/// The timeout of a read beyond its requested wait.
+const READ_TIMEOUT_SLACK: Duration = Duration::from_secs(2);
 
-/// The largest answer that is taken, in bytes.
-const ANSWER_MAX: usize = 8 << 20;
+/// The maximum size of a response.
+const RESPONSE_MAX_BYTES: usize = 8 << 20;
 
-/// The header with the lowest offset left.
-const FIRST: &str = "x-log-first";
+/// The header with the lowest retained offset.
+const FIRST_HEADER: &str = "x-log-first";
 
 /// The header with the offset after the newest record.
-const END: &str = "x-log-end";
+const END_HEADER: &str = "x-log-end";
 
-/// Speaks to the platform's log service; one try for each call.
+/// Calls the platform's log service, without retries.
 #[derive(Debug, Clone)]
 pub struct HttpLog {
     client: Client,
@@ -62,7 +62,7 @@
 }
 
 impl HttpLog {
-    /// Builds an adapter for the service at `address`.
+    /// Creates a client for the service at `address`.
     #[must_use]
     pub const fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
@@ -73,8 +73,8 @@
         let Some(request) = post(&path, encode(&append.records)) else {
             return AppendEnd::NotDone { retry_after: None };
         };
-        let (response, kept) = match self.client.send(self.address, request).await {
-            Ok(answered) => answered,
+        let (response, conn) = match self.client.send(self.address, request).await {
+            Ok(sent) => sent,
             Err(error) if error.is_not_sent() => return AppendEnd::NotDone { retry_after: None },
             Err(ClientError::Connect(_) | ClientError::NotSent(_) | ClientError::Sent(_)) => {
                 return AppendEnd::Unanswered;
@@ -82,17 +82,17 @@
         };
         match response.status() {
             StatusCode::OK => {}
-            // These two say that nothing was done; no other answer does.
+            // Only these two statuses prove that nothing was appended.
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                let retry_after = retry_after(response.headers());
+                let retry_after = retry_after_header(response.headers());
                 return AppendEnd::NotDone { retry_after };
             }
             _ => return AppendEnd::Unanswered,
         }
-        let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
+        let Ok(body) = collect(response.into_body(), RESPONSE_MAX_BYTES).await else {
             return AppendEnd::Unanswered;
         };
-        self.client.keep(kept);
+        self.client.recycle(conn);
         match serde_json::from_slice::<Appended>(&body) {
             Ok(appended) => AppendEnd::Done {
                 offset: Offset(appended.offset),
@@ -112,16 +112,16 @@
         let Ok(request) = hyper::Request::get(path).body(Full::default()) else {
             return ReadEnd::Failed;
         };
-        let Ok((response, kept)) = self.client.send(self.address, request).await else {
+        let Ok((response, conn)) = self.client.send(self.address, request).await else {
             return ReadEnd::Failed;
         };
         let status = response.status();
-        let first = offset(response.headers(), FIRST);
-        let end = offset(response.headers(), END);
-        let Ok(body) = collect(response.into_body(), ANSWER_MAX).await else {
+        let first = offset_header(response.headers(), FIRST_HEADER);
+        let end = offset_header(response.headers(), END_HEADER);
+        let Ok(body) = collect(response.into_body(), RESPONSE_MAX_BYTES).await else {
             return ReadEnd::Failed;
         };
-        self.client.keep(kept);
+        self.client.recycle(conn);
         if status == StatusCode::GONE {
             let gone = serde_json::from_slice::<GoneBody>(&body);
             return gone.map_or(ReadEnd::Failed, |g| ReadEnd::Gone {
@@ -142,14 +142,14 @@
 impl LogStore for HttpLog {
     fn append(&self, append: Append) -> LogCall<'_, AppendEnd> {
         let timeout = async {
-            Timer::after(APPEND_LIMIT).await;
+            Timer::after(APPEND_TIMEOUT).await;
             AppendEnd::Unanswered
         };
         Box::pin(self.try_append(append).or(timeout))
     }
 
     fn read(&self, read: Read) -> LogCall<'_, ReadEnd> {
-        let limit = read.wait + READ_SLACK;
+        let limit = read.wait + READ_TIMEOUT_SLACK;
         let timeout = async move {
             Timer::after(limit).await;
             ReadEnd::Failed
@@ -162,18 +162,18 @@
     hyper::Request::post(path).body(Full::new(body)).ok()
 }
 
-/// Writes records, each with its length before it.
+/// Encodes records, each prefixed with its length.
 fn encode(records: &[Vec<u8>]) -> Bytes {
     let mut out = BytesMut::new();
     for record in records {
-        // A record is far below 4 GiB: the service takes 256 KiB at most.
+        // Never truncated: the service accepts records of up to 256 KiB, far below 4 GiB.
         out.put_u32(u32::try_from(record.len()).unwrap_or(u32::MAX));
         out.put_slice(record);
     }
     out.freeze()
 }
 
-/// Reads records; `None` for an answer that was cut off.
+/// Decodes records; returns `None` if the response is truncated.
 fn decode(mut body: Bytes) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while body.has_remaining() {
@@ -186,11 +186,11 @@
     Some(records)
 }
 
-fn offset(headers: &HeaderMap, name: &str) -> Option<Offset> {
+fn offset_header(headers: &HeaderMap, name: &str) -> Option<Offset> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn retry_after(headers: &HeaderMap) -> Option<Duration> {
+fn retry_after_header(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
--- a/runtime/src/program.rs
+++ b/runtime/src/program.rs
@@ -1,4 +1,4 @@
-//! The way every process of the system starts, runs and leaves.
+//! Start, reload and shutdown common to all programs of the system.
 
 use std::error::Error;
 use std::path::Path;
@@ -22,23 +22,23 @@
 use crate::settings::Checked;
 use crate::settings::Watch;
 use crate::signals;
-use crate::signals::Leave;
-use crate::signals::Reload;
+use crate::signals::ReloadSignals;
+use crate::signals::ShutdownSignals;
 use crate::threads::Execs;
 use crate::threads::Threads;
 
-/// A process of the system.
+/// A program of the system.
 pub trait Program: Sized {
-    /// The name of its binary.
+    /// The name of the binary.
     const NAME: &'static str;
 
-    /// Where its log goes.
+    /// The destination of the log.
     const LOG: Output = Output::Stderr;
 
-    /// Its checked settings.
+    /// The checked settings.
     type Settings: Checked<Error: 'static>;
 
-    /// The reason why it can't start.
+    /// The reason why the program can't start.
     type StartError: Error + 'static;
 
     /// Returns the log filter.
@@ -47,22 +47,22 @@
     /// Returns the number of traffic threads.
     fn thread_count(settings: &Self::Settings) -> usize;
 
-    /// Starts it on the given executors.
+    /// Starts the program on the given executors.
     ///
     /// # Errors
     ///
-    /// Returns what keeps it from starting.
+    /// Returns an error if the program can't start.
     fn start(settings: Self::Settings, execs: &Execs) -> Result<Self, Self::StartError>;
 
-    /// Takes new settings while it runs; the default keeps the old ones.
+    /// Applies new settings at run time; by default, keeps the old ones.
     fn reload(&self, _settings: Self::Settings) {
-        log::info!(event = "settings-kept", remedy = "restart the process to use new settings"; "");
+        log::info!(event = "settings-kept", remedy = "restart the process to apply new settings"; "");
     }
 
-    /// Waits until the host list says that its host leaves.
-    fn told_to_leave(&self) -> impl Future<Output = ()>;
+    /// Waits until the host list marks the host as leaving.
+    fn leave_requested(&self) -> impl Future<Output = ()>;
 
-    /// Drains and ends it.
+    /// Drains and stops the program.
     fn drain(&self, source: Source) -> impl Future<Output = ()>;
 }
 
@@ -70,8 +70,8 @@
 #[derive(Debug)]
 #[derive(FromArgs)]
 struct Args {
-    /// the settings file: JSON with comments; without it, the one that the
-    /// variable `SNIPEYOKE_SETTINGS` names
+    /// the settings file: JSON with comments; defaults to the file named by the
+    /// environment variable `SNIPEYOKE_SETTINGS`
     #[argh(positional)]
     settings: Option<PathBuf>,
     /// check the settings and exit
@@ -79,39 +79,39 @@
     check: bool,
 }
 
-/// The reason why there is no settings file to read.
+/// The error for a missing path of the settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, DeriveError)]
-#[display("no settings file: name one as argument or in {SETTINGS}")]
+#[display("no settings file: pass one as argument or in {SETTINGS_VAR}")]
 pub struct NoSettings;
 
-/// The time between two looks at the settings file.
+/// The interval for polling the settings file.
 ///
-/// Operators who change it without a signal expect it in force within seconds;
-/// a look reads a few hundred bytes.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Operators who change the file without a signal expect it in force within seconds.
+/// A poll reads a few hundred bytes.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The variable that names the settings file where no argument does.
-const SETTINGS: &str = "SNIPEYOKE_SETTINGS";
+/// The environment variable with the path of the settings file.
+const SETTINGS_VAR: &str = "SNIPEYOKE_SETTINGS";
 
 impl Args {
     fn path(&self) -> Result<PathBuf, NoSettings> {
-        let named = std::env::var_os(SETTINGS).map(PathBuf::from);
+        let named = std::env::var_os(SETTINGS_VAR).map(PathBuf::from);
         self.settings.clone().or(named).ok_or(NoSettings)
     }
 }
 
 /// Defines `main` of the binary of a [`Program`].
 ///
-/// Signals that ask the process to leave or reload are held back from before
-/// `main` until the program takes them: by default they end a process.
+/// Shutdown and reload signals are blocked from before `main` until the program
+/// handles them, since by default they would end the process.
 #[macro_export]
 macro_rules! program {
     ($program:ty) => {
         $crate::ctor::declarative::ctor! {
             #[ctor(unsafe)]
-            fn hold_signals() {
-                $crate::signals::hold();
+            fn block_signals() {
+                $crate::signals::block();
             }
         }
 
@@ -121,7 +121,7 @@
     };
 }
 
-/// Runs a program to its end, as the body of `main`.
+/// Runs a program until it ends; the body of `main`.
 #[must_use]
 pub fn main<P: Program>() -> ExitCode {
     match run::<P>(&argh::from_env()) {
@@ -134,10 +134,10 @@
 }
 
 fn run<P: Program>(args: &Args) -> Result<(), Box<dyn Error>> {
-    // First of all: the signals are held back until here.
-    let leave = Leave::register()?;
-    let reload = Reload::register()?;
-    signals::release()?;
+    // Comes first, since the signals are blocked until here.
+    let shutdown = ShutdownSignals::register()?;
+    let reload = ReloadSignals::register()?;
+    signals::unblock()?;
     faults::install(P::NAME)?;
     let path = args.path()?;
     let settings: P::Settings = settings::load(&path)?;
@@ -149,15 +149,20 @@
     measures::install();
     let threads = Threads::start(P::thread_count(&settings))?;
     let program = P::start(settings, &threads.execs())?;
-    block_on(serve(&program, leave, reload, &path));
+    block_on(serve(&program, shutdown, reload, &path));
     threads.join();
     log::logger().flush();
     Ok(())
 }
 
-async fn serve<P: Program>(program: &P, mut leave: Leave, mut reload: Reload, path: &Path) {
+async fn serve<P: Program>(
+    program: &P,
+    mut shutdown: ShutdownSignals,
+    mut reload: ReloadSignals,
+    path: &Path,
+) {
     let signal = async {
-        leave.next().await;
+        shutdown.next().await;
         Source::Signal
     };
     let reloads = async {
@@ -167,27 +172,27 @@
                 reload.next().await;
                 true
             };
-            let look = async {
-                Timer::after(LOOK_EVERY).await;
+            let poll = async {
+                Timer::after(SETTINGS_POLL_INTERVAL).await;
                 false
             };
-            let asked = signal.or(look).await;
-            if watch.has_changed() || asked {
-                load_again(program, path);
+            let signalled = signal.or(poll).await;
+            if watch.has_changed() || signalled {
+                reload_settings(program, path);
             }
         }
     };
-    let list = async {
-        program.told_to_leave().await;
+    let host_list = async {
+        program.leave_requested().await;
         Source::HostList
     };
-    let source = signal.or(list).or(reloads).await;
-    // Another signal is only noted by the system: nothing is cut.
+    let source = signal.or(host_list).or(reloads).await;
+    // Further signals stay pending and do not interrupt the drain.
     program.drain(source).await;
 }
 
-// A faulty file must not end a process that serves: the old settings stay.
-fn load_again<P: Program>(program: &P, path: &Path) {
+// An invalid file must not stop a running process: the old settings stay in force.
+fn reload_settings<P: Program>(program: &P, path: &Path) {
     match settings::load::<P::Settings>(path) {
         Ok(settings) => program.reload(settings),
         Err(error) => {
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a process to leave or to read its settings again.
+//! Signals that request a shutdown or a reload of the settings.
 
 use std::io;
 
@@ -7,40 +7,40 @@
 use futures_lite::StreamExt;
 use nix::sys::signal::SigSet;
 
-/// Holds back the signals of [`Leave`] and [`Reload`] until [`release`].
+/// Blocks the signals of [`ShutdownSignals`] and [`ReloadSignals`] until [`unblock`].
 ///
-/// The system keeps them pending. Meant to run before `main`, so it uses
-/// nothing that the language's runtime sets up.
-pub fn hold() {
-    // It fails only for a wrong argument, and there is nowhere to tell it yet.
-    let _held = taken().thread_block();
+/// The kernel keeps them pending. Runs before `main`, so it depends on nothing that
+/// the Rust runtime sets up.
+pub fn block() {
+    // It fails only for an invalid argument, and errors can't be reported yet.
+    let _blocked = handled_signals().thread_block();
 }
 
-/// Lets the signals through that [`hold`] has held back.
+/// Unblocks the signals blocked by [`block`].
 ///
 /// # Errors
 ///
 /// Returns the system's error if the signals stay blocked.
-pub fn release() -> io::Result<()> {
-    Ok(taken().thread_unblock()?)
+pub fn unblock() -> io::Result<()> {
+    Ok(handled_signals().thread_unblock()?)
 }
 
-/// Returns the signals that a process of the system takes.
-fn taken() -> SigSet {
+/// Returns the signals that a process handles.
+fn handled_signals() -> SigSet {
     use nix::sys::signal::Signal;
     [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]
         .into_iter()
         .collect()
 }
 
-/// Waits for SIGTERM or SIGINT, again at each call.
+/// A stream of SIGTERM and SIGINT.
 #[derive(Debug)]
-pub struct Leave {
+pub struct ShutdownSignals {
     signals: Signals,
 }
 
-impl Leave {
-    /// Registers for the signals.
+impl ShutdownSignals {
+    /// Registers for the signals, which would otherwise end the process.
     ///
     /// # Errors
     ///
@@ -52,19 +52,18 @@
 
     /// Waits for the next signal.
     pub async fn next(&mut self) {
-        // The stream ends only with the registration, which lives as long as
-        // `self`.
+        // The stream ends only when the registration is dropped with `self`.
         let _signal = self.signals.next().await;
     }
 }
 
-/// Waits for SIGHUP, again at each call.
+/// A stream of SIGHUP.
 #[derive(Debug)]
-pub struct Reload {
+pub struct ReloadSignals {
     signals: Signals,
 }
 
-impl Reload {
+impl ReloadSignals {
     /// Registers for the signal, which would otherwise end the process.
     ///
     /// # Errors
--- a/runtime/tests/faults/main.rs
+++ b/runtime/tests/faults/main.rs
@@ -1,6 +1,6 @@
-//! Processes that die of fatal signals, and what they tell.
+//! Tests of the reports of fatal signals.
 //!
-//! Each case runs this program again, which faults on purpose.
+//! Each case runs this program as a child process that faults on purpose.
 
 use std::os::unix::process::ExitStatusExt;
 use std::process::Command;
@@ -13,18 +13,18 @@
 use snipeyoke_runtime::faults;
 use snipeyoke_runtime::threads::Threads;
 
-/// The variable that tells a run of this program how to fault.
-const FAULT: &str = "SNIPEYOKE_TEST_FAULT";
+/// The environment variable with the fault that a child process has to trigger.
+const FAULT_VAR: &str = "SNIPEYOKE_TEST_FAULT";
 
-/// The variable that tells it in which thread.
-const THREAD: &str = "SNIPEYOKE_TEST_THREAD";
+/// The environment variable with the thread in which it has to fault.
+const THREAD_VAR: &str = "SNIPEYOKE_TEST_THREAD";
 
-/// The threads of a process of the system that the test can fault in.
+/// The threads in which the test can trigger a fault.
 const THREADS: &[&str] = &["main", "control", "traffic"];
 
 fn main() -> ExitCode {
-    if let (Ok(fault), Ok(thread)) = (std::env::var(FAULT), std::env::var(THREAD)) {
-        die(&fault, &thread);
+    if let (Ok(fault), Ok(thread)) = (std::env::var(FAULT_VAR), std::env::var(THREAD_VAR)) {
+        run_fault(&fault, &thread);
     }
     let mut failed = 0;
     let mut passed = 0;
@@ -32,8 +32,8 @@
         for thread in *threads {
             match check(fault, *signal, thread) {
                 Ok(()) => passed += 1,
-                Err(why) => {
-                    println!("{fault} in thread {thread}: {why}");
+                Err(error) => {
+                    println!("{fault} in thread {thread}: {error}");
                     failed += 1;
                 }
             }
@@ -49,7 +49,7 @@
 
 /// The faults, each with the signal that ends its process, and the threads.
 ///
-/// The main thread gets a signal that is sent to a process, if it takes it.
+/// A signal sent to a process is delivered to its main thread unless blocked there.
 const FAULTS: &[(&str, Signal, &[&str])] = &[
     ("write", Signal::SEGV, THREADS),
     ("execute", Signal::SEGV, THREADS),
@@ -58,34 +58,34 @@
     ("sent", Signal::SEGV, &["main"]),
 ];
 
-/// Guards against a process that dies of a memory fault without a word.
+/// Guards against a process that dies of a fatal signal without a report.
 fn check(fault: &str, signal: Signal, thread: &str) -> Result<(), String> {
     let own = std::env::current_exe().expect("the test has a path");
     let mut child = Command::new(own);
-    let child = child.env(FAULT, fault).env(THREAD, thread);
-    let output = child.output().expect("the test starts again");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let child = child.env(FAULT_VAR, fault).env(THREAD_VAR, thread);
+    let output = child.output().expect("the child process starts");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     let ended = output.status.signal();
     if ended != Some(signal.as_raw()) {
-        return Err(format!("ended with {}: {told}", output.status));
+        return Err(format!("ended with {}: {stderr}", output.status));
     }
     let expected = expected(fault, thread, &output);
-    if let Some(missing) = expected.iter().find(|pair| !told.contains(*pair)) {
-        return Err(format!("no {missing:?} in: {told}"));
+    if let Some(missing) = expected.iter().find(|pair| !stderr.contains(*pair)) {
+        return Err(format!("no {missing:?} in: {stderr}"));
     }
-    let frames = told
+    let frames = stderr
         .lines()
         .find(|l| l.starts_with("event=fatal-signal-stack"));
     if !frames.is_some_and(|l| l.contains(&format!("{}+0x", own_name()))) {
-        return Err(format!("no frame of the program in: {told}"));
+        return Err(format!("no frame of the program in: {stderr}"));
     }
     Ok(())
 }
 
-/// Returns the pairs that a report must have.
+/// Returns the key=value pairs and texts that a report must contain.
 fn expected(fault: &str, thread: &str, output: &Output) -> Vec<String> {
     let own = own_name();
-    // The kernel cuts the name of a thread after 15 bytes.
+    // The kernel truncates thread names to 15 bytes.
     let main = &own[..own.len().min(15)];
     let name = if thread == "main" { main } else { thread };
     let mut pairs = vec![
@@ -104,7 +104,7 @@
     }
     assert!(
         output.stdout.is_empty(),
-        "a report belongs to standard error"
+        "reports go to standard error only"
     );
     pairs
 }
@@ -115,22 +115,22 @@
     name.to_string_lossy().into_owned()
 }
 
-/// Faults in the named thread, as a process of the system would.
-fn die(fault: &str, thread: &str) {
-    faults::install("faults").expect("a handler can be put in place");
+/// Triggers the fault in the named thread of a process set up as in production.
+fn run_fault(fault: &str, thread: &str) {
+    faults::install("faults").expect("the handler can be installed");
     let threads = Threads::start(1).expect("threads start");
     let execs = threads.execs();
     let exec = match thread {
         "control" => Arc::clone(&execs.control),
         "traffic" => Arc::clone(&execs.traffic),
-        _ => return act(fault),
+        _ => return trigger(fault),
     };
     let fault = fault.to_owned();
-    let task = exec.spawn(async move { act(&fault) });
+    let task = exec.spawn(async move { trigger(&fault) });
     future::block_on(task);
 }
 
-fn act(fault: &str) {
+fn trigger(fault: &str) {
     match fault {
         "write" => write(),
         "execute" => execute(),
@@ -142,18 +142,18 @@
 
 fn write() {
     let address = std::hint::black_box(0x10) as *mut u8;
-    // SAFETY: none; the page is never mapped, and the fault is the purpose.
+    // SAFETY: unsound on purpose; the page is never mapped, so the write faults.
     unsafe { address.write_volatile(1) };
 }
 
 fn execute() {
     let address = std::hint::black_box(0x2000) as *const ();
-    // SAFETY: none; the page is never mapped, and the fault is the purpose.
+    // SAFETY: unsound on purpose; the page is never mapped, so the call faults.
     let function = unsafe { std::mem::transmute::<*const (), fn()>(address) };
     function();
 }
 
-#[expect(unconditional_recursion, reason = "the overflow is the purpose")]
+#[expect(unconditional_recursion, reason = "the test needs a stack overflow")]
 fn overflow(depth: u64) -> u64 {
     let frame = std::hint::black_box([depth; 64]);
     overflow(depth + 1).wrapping_add(frame[1])
--- a/runtime/tests/test_body.rs
+++ b/runtime/tests/test_body.rs
@@ -1,4 +1,4 @@
-//! Tests of bodies.
+//! Tests of response bodies.
 
 use std::sync::Arc;
 
@@ -7,34 +7,34 @@
 use http_body_util::BodyExt;
 use hyper::body::Body;
 use snipeyoke_runtime::http::full;
-use snipeyoke_runtime::http::holding;
 use snipeyoke_runtime::http::streamed;
+use snipeyoke_runtime::http::with_guard;
 
 #[test]
-fn an_answer_counts_as_in_flight_until_it_was_read() {
-    // A caller on a slow line gets half of its answer when a router leaves.
-    // The request has ended, but its answer waits for the caller to read on.
-    // The token lives as long as the body, and the drain waits for it.
-    let (send, pieces) = async_channel::unbounded();
-    let token = Arc::new(());
-    let mut body = holding(streamed(pieces), Arc::clone(&token));
-    for piece in ["one", "two"] {
-        send.try_send(Bytes::from(piece))
-            .expect("the body takes it");
+fn a_response_counts_as_in_flight_until_it_was_read() {
+    // Guards against a drain that truncates the response to a slow client. The
+    // request has ended, but the client is still reading. The guard lives as long as
+    // the body, and the drain waits for it.
+    let (send, chunks) = async_channel::unbounded();
+    let guard = Arc::new(());
+    let mut body = with_guard(streamed(chunks), Arc::clone(&guard));
+    for chunk in ["one", "two"] {
+        send.try_send(Bytes::from(chunk))
+            .expect("the channel is open");
     }
     drop(send);
     future::block_on(async {
-        let first = body.frame().await.expect("a frame").expect("a good one");
+        let first = body.frame().await.expect("a frame").expect("a valid one");
         assert_eq!(first.into_data().expect("data"), "one");
-        assert_eq!(Arc::strong_count(&token), 2);
+        assert_eq!(Arc::strong_count(&guard), 2);
         let rest = body.collect().await.expect("the rest").to_bytes();
         assert_eq!(rest, "two");
     });
-    assert_eq!(Arc::strong_count(&token), 1);
+    assert_eq!(Arc::strong_count(&guard), 1);
 }
 
 #[test]
-fn a_held_body_keeps_its_length() {
-    let body = holding(full("four"), ());
+fn a_guarded_body_keeps_its_length() {
+    let body = with_guard(full("four"), ());
     assert_eq!(body.size_hint().exact(), Some(4));
 }
