--- a/gateway/src/registry.rs
+++ b/gateway/src/registry.rs
@@ -8,7 +8,7 @@
 use derive_more::Error;
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::log::LogCall;
+use snipeyoke_lib::log::LogFuture;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::directory::Entry;
 use snipeyoke_lib::serving::replica::Record;
@@ -136,7 +136,7 @@
         topic: Topic,
         after: Option<String>,
         on_progress: OnProgress<'a>,
-    ) -> LogCall<'a, Result<Page, RegistryError>>;
+    ) -> LogFuture<'a, Result<Page, RegistryError>>;
 
     /// Reads the records from an offset on, or waits for one.
     fn read<'a>(
@@ -145,10 +145,10 @@
         from: Offset,
         wait: Duration,
         on_progress: OnProgress<'a>,
-    ) -> LogCall<'a, Update>;
+    ) -> LogFuture<'a, Update>;
 
     /// Registers this node; tells whether it is registered for sure.
-    fn register(&self, node: &NodeId, entry: NodeEntry) -> LogCall<'_, bool>;
+    fn register(&self, node: &NodeId, entry: NodeEntry) -> LogFuture<'_, bool>;
 
     /// Reads a record of the configuration; `None` if its key is another one.
     ///
--- a/lib/examples/capacity.rs
+++ b/lib/examples/capacity.rs
@@ -17,7 +17,7 @@
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::config::Fold;
 use snipeyoke_lib::config::Limits;
-use snipeyoke_lib::config::PART_MAX;
+use snipeyoke_lib::config::PART_BYTES_MAX;
 use snipeyoke_lib::config::Snapshot;
 use snipeyoke_lib::ids::AttemptId;
 use snipeyoke_lib::ids::ClientAccount;
@@ -229,7 +229,7 @@
         "B",
     );
     let largest = sizes().max().unwrap_or_default();
-    assert!(largest <= PART_MAX, "a record of {largest} bytes");
+    assert!(largest <= PART_BYTES_MAX, "a record of {largest} bytes");
     print("parts: largest record", count, largest as f64, "B");
     print("parts: time to make", count, micros(time), "us");
     let mut fold = Fold::new();
--- a/lib/src/config/fold.rs
+++ b/lib/src/config/fold.rs
@@ -8,9 +8,9 @@
 use crate::config::Change;
 use crate::config::Config;
 use crate::config::ConfigError;
-use crate::config::Part;
-use crate::config::PartSet;
 use crate::config::Snapshot;
+use crate::config::SnapshotId;
+use crate::config::SnapshotPart;
 use crate::config::parts::Assembly;
 use crate::config::parts::Tally;
 use crate::ids::Offset;
@@ -28,17 +28,17 @@
 pub const RECENT_MAX: usize = 256;
 
 /// The raw records kept for peers that are a little behind.
-pub const TAIL_MAX: usize = 64;
+pub const TAIL_RECORDS_MAX: usize = 64;
 
 /// The most bytes of the raw records kept.
 ///
 /// A peer that is further behind gets a snapshot, at letter 1's size a third
 /// as large.
-pub const TAIL_BYTES: usize = 4 * 1024 * 1024;
+pub const TAIL_BYTES_MAX: usize = 4 * 1024 * 1024;
 
 /// An accepted change, as the author of one that lost is shown it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Winner {
+pub struct AcceptedChange {
     /// The record that won.
     pub id: RecordId,
     /// Its author.
@@ -62,7 +62,7 @@
         /// The revision in force.
         revision: Revision,
         /// The change that took its base, unless it is too long ago.
-        winner: Option<Box<Winner>>,
+        winner: Option<Box<AcceptedChange>>,
     },
     /// The change does not fit the configuration and has no effect.
     Invalid(ConfigError),
@@ -126,7 +126,7 @@
     config: Arc<Config>,
     revision: Revision,
     next: Offset,
-    winners: BTreeMap<Revision, Winner>,
+    winners: BTreeMap<Revision, AcceptedChange>,
     recent: VecDeque<Accepted>,
     tail: VecDeque<(Offset, Vec<u8>)>,
     assembly: Assembly,
@@ -181,7 +181,7 @@
     }
 
     /// Returns the accepted changes still remembered, oldest first.
-    pub fn winners(&self) -> impl Iterator<Item = &Winner> {
+    pub fn accepted_changes(&self) -> impl Iterator<Item = &AcceptedChange> {
         self.winners.values()
     }
 
@@ -229,7 +229,7 @@
         self.next = offset.next();
         self.assembly.forget(self.next);
         self.tail.push_back((offset, bytes));
-        while self.tail.len() > TAIL_MAX || self.tail_bytes() > TAIL_BYTES {
+        while self.tail.len() > TAIL_RECORDS_MAX || self.tail_bytes() > TAIL_BYTES_MAX {
             self.tail.pop_front();
         }
     }
@@ -267,7 +267,7 @@
         self.config = Arc::new(config);
         self.revision = self.revision.next();
         let revision = self.revision;
-        let winner = Winner {
+        let winner = AcceptedChange {
             id: record.id,
             author: record.author.clone(),
             change: change.clone(),
@@ -322,9 +322,9 @@
     ///
     /// Returns whether the state was replaced. Parts may come in any order and
     /// repeatedly; those that complete nothing are bounded by
-    /// [`SETS_MAX`](crate::config::SETS_MAX) and
-    /// [`HELD_MAX`](crate::config::HELD_MAX).
-    pub fn adopt_part(&mut self, part: &Part) -> bool {
+    /// [`INCOMPLETE_SNAPSHOTS_MAX`](crate::config::INCOMPLETE_SNAPSHOTS_MAX) and
+    /// [`INCOMPLETE_BYTES_MAX`](crate::config::INCOMPLETE_BYTES_MAX).
+    pub fn adopt_part(&mut self, part: &SnapshotPart) -> bool {
         // Parts of a state already passed would only push out better ones.
         if part.set.next <= self.next && self.guards.order {
             return false;
@@ -335,7 +335,7 @@
 
     /// Returns the bytes held of incomplete snapshots.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn incomplete_bytes(&self) -> usize {
         self.assembly.held()
     }
 
@@ -353,7 +353,7 @@
 
     /// Returns the raw records from an offset on, if all are still kept.
     #[must_use]
-    pub fn since(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
+    pub fn records_since(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
         if from == self.next {
             return Some(Vec::new());
         }
@@ -370,8 +370,8 @@
 // place; with the text, each snapshot would cost each link a megabyte.
 fn passed_on(record: &Record) -> Vec<u8> {
     let bare = match &record.body {
-        Body::Snapshot(snapshot) => Part {
-            set: PartSet {
+        Body::Snapshot(snapshot) => SnapshotPart {
+            set: SnapshotId {
                 next: snapshot.next,
                 count: 1,
                 digest: 0,
--- a/lib/src/config/parts.rs
+++ b/lib/src/config/parts.rs
@@ -19,24 +19,24 @@
 /// It leaves a quarter of the 256 KiB that the log service takes as one record
 /// and append, and is a sixth of a frame, so that calls on the same link wait
 /// for little.
-pub const PART_MAX: usize = 192 * 1024;
+pub const PART_BYTES_MAX: usize = 192 * 1024;
 
 /// Bytes of a record around a part's text; names have 64 at most.
 const PART_SLACK: usize = 1024;
 
-/// The most parts of one snapshot; more than [`HELD_MAX`] has room for.
-pub const PARTS_MAX: u32 = 128;
+/// The most parts of one snapshot; more than [`INCOMPLETE_BYTES_MAX`] has room for.
+pub const PART_COUNT_MAX: u32 = 128;
 
 /// The most incomplete snapshots held at once.
 ///
 /// A publisher that stops half-way leaves one for good; a later snapshot lies
 /// higher and pushes it out.
-pub const SETS_MAX: usize = 8;
+pub const INCOMPLETE_SNAPSHOTS_MAX: usize = 8;
 
 /// The most bytes of incomplete snapshots held at once.
 ///
 /// A snapshot of 100,000 accounts fits, 13 times those of letter 1.
-pub const HELD_MAX: usize = 16 * 1024 * 1024;
+pub const INCOMPLETE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Which snapshot a part belongs to.
 ///
@@ -44,7 +44,7 @@
 /// several peers complete one another, and those of different states never mix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct PartSet {
+pub struct SnapshotId {
     /// The offset after the last record covered.
     pub next: Offset,
     /// The number of parts.
@@ -56,16 +56,16 @@
 /// A piece of an encoded snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Part {
+pub struct SnapshotPart {
     /// The snapshot.
-    pub set: PartSet,
+    pub set: SnapshotId,
     /// The position among the parts, from 0.
     pub index: u32,
     /// The piece; empty where a reader needs no more than to know of it.
     pub text: String,
 }
 
-impl Part {
+impl SnapshotPart {
     /// Returns the part without its text.
     #[must_use]
     pub const fn bare(&self) -> Self {
@@ -77,7 +77,7 @@
     }
 
     const fn is_sound(&self) -> bool {
-        self.index < self.set.count && self.set.count <= PARTS_MAX
+        self.index < self.set.count && self.set.count <= PART_COUNT_MAX
     }
 }
 
@@ -88,7 +88,7 @@
     ///
     /// Panics if the snapshot has no JSON form, as [`Record::encode`] does.
     #[must_use]
-    pub fn parts(&self, most: usize) -> Vec<Part> {
+    pub fn parts(&self, most: usize) -> Vec<SnapshotPart> {
         self.split(&self.text(), most)
     }
 
@@ -98,7 +98,7 @@
     ///
     /// Panics if the snapshot has no JSON form, as [`Record::encode`] does.
     pub fn records(&self, author: &Author, mut id: impl FnMut() -> RecordId) -> Vec<Record> {
-        let most = PART_MAX - PART_SLACK;
+        let most = PART_BYTES_MAX - PART_SLACK;
         let text = self.text();
         let bodies = if text.len() <= most {
             vec![Body::Snapshot(self.clone())]
@@ -118,14 +118,14 @@
         serde_json::to_string(self).expect("snapshots have a JSON form")
     }
 
-    fn split(&self, text: &str, most: usize) -> Vec<Part> {
+    fn split(&self, text: &str, most: usize) -> Vec<SnapshotPart> {
         let texts = pieces(text, most);
-        let set = PartSet {
+        let set = SnapshotId {
             next: self.next,
             count: u32::try_from(texts.len()).unwrap_or(u32::MAX),
             digest: rapidhash_v3(text.as_bytes()),
         };
-        let part = |(index, text): (u32, &str)| Part {
+        let part = |(index, text): (u32, &str)| SnapshotPart {
             set,
             index,
             text: text.to_owned(),
@@ -162,12 +162,12 @@
 /// Incomplete snapshots, within bounds.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Assembly {
-    sets: BTreeMap<PartSet, BTreeMap<u32, String>>,
+    sets: BTreeMap<SnapshotId, BTreeMap<u32, String>>,
 }
 
 impl Assembly {
     /// Adds a part and returns its snapshot if it was the last one missing.
-    pub(super) fn add(&mut self, part: &Part) -> Option<Snapshot> {
+    pub(super) fn add(&mut self, part: &SnapshotPart) -> Option<Snapshot> {
         if !part.is_sound() || part.text.is_empty() {
             return None;
         }
@@ -200,7 +200,7 @@
     // behind retention would run out of memory. The lowest go first: any
     // snapshot that still comes lies higher than those given up.
     fn bound(&mut self) {
-        while self.sets.len() > SETS_MAX || self.held() > HELD_MAX {
+        while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX || self.held() > INCOMPLETE_BYTES_MAX {
             self.sets.pop_first();
         }
     }
@@ -209,7 +209,7 @@
 // A damaged part would make a state that no process ever had, or one that
 // lies at another offset than it says. The digest covers the whole text, so
 // such a set is dropped; the parts come again with the next offer.
-fn joined(set: PartSet, text: &str) -> Option<Snapshot> {
+fn joined(set: SnapshotId, text: &str) -> Option<Snapshot> {
     if rapidhash_v3(text.as_bytes()) != set.digest {
         return None;
     }
@@ -220,12 +220,12 @@
 /// Which parts of recent snapshots a reader has seen, without their text.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Tally {
-    sets: BTreeMap<PartSet, BTreeSet<u32>>,
+    sets: BTreeMap<SnapshotId, BTreeSet<u32>>,
 }
 
 impl Tally {
     /// Counts a part and tells whether its snapshot is now whole.
-    pub(super) fn saw(&mut self, part: &Part) -> bool {
+    pub(super) fn saw(&mut self, part: &SnapshotPart) -> bool {
         if !part.is_sound() {
             return false;
         }
@@ -235,7 +235,7 @@
             self.sets.remove(&part.set);
             return true;
         }
-        while self.sets.len() > SETS_MAX {
+        while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX {
             self.sets.pop_first();
         }
         false
--- a/lib/src/journal/entry.rs
+++ b/lib/src/journal/entry.rs
@@ -80,7 +80,7 @@
 impl Attempt {
     /// Returns how long the attempt took, or has taken so far.
     #[must_use]
-    pub fn actual(&self, now: Time) -> Duration {
+    pub fn elapsed(&self, now: Time) -> Duration {
         let until = self.end.as_ref().map_or(now, |(at, _)| *at);
         until.since(self.sent)
     }
@@ -134,7 +134,7 @@
     /// Returns how long the request took, or has taken so far.
     #[must_use]
     pub fn elapsed(&self, now: Time) -> Duration {
-        self.until(now).since(self.at)
+        self.end_or(now).since(self.at)
     }
 
     /// Returns the stage of the latest attempt.
@@ -153,17 +153,17 @@
     ///
     /// An attempt that had no end by then was given up with the request.
     #[must_use]
-    pub fn until(&self, now: Time) -> Time {
+    pub fn end_or(&self, now: Time) -> Time {
         self.finish.map_or(now, |f| f.at)
     }
 
     /// Returns the attempt whose end was the latest beyond its prediction.
     #[must_use]
-    pub fn slowest(&self, now: Time) -> Option<&Attempt> {
-        let now = self.until(now);
+    pub fn most_delayed(&self, now: Time) -> Option<&Attempt> {
+        let now = self.end_or(now);
         let over = |a: &&Attempt| {
             let predicted = a.decision.chosen.predicted;
-            a.actual(now).saturating_sub(predicted)
+            a.elapsed(now).saturating_sub(predicted)
         };
         self.attempts.iter().max_by_key(over)
     }
--- a/lib/src/journal/mod.rs
+++ b/lib/src/journal/mod.rs
@@ -50,7 +50,7 @@
     requests: BTreeMap<RequestId, Request>,
     // Finished requests, the first finished first.
     finished: VecDeque<RequestId>,
-    forgotten: u64,
+    evicted: u64,
     skipped: u64,
 }
 
@@ -63,7 +63,7 @@
             used: 0,
             requests: BTreeMap::new(),
             finished: VecDeque::new(),
-            forgotten: 0,
+            evicted: 0,
             skipped: 0,
         }
     }
@@ -193,8 +193,8 @@
 
     /// Returns how many finished requests were dropped to make room.
     #[must_use]
-    pub const fn forgotten(&self) -> u64 {
-        self.forgotten
+    pub const fn evicted(&self) -> u64 {
+        self.evicted
     }
 
     /// Returns how many requests were never recorded for want of room.
@@ -214,7 +214,7 @@
             };
             let request = self.requests.remove(&oldest);
             self.used -= request.as_ref().map_or(0, request_size);
-            self.forgotten += 1;
+            self.evicted += 1;
         }
         true
     }
--- a/lib/src/journal/route.rs
+++ b/lib/src/journal/route.rs
@@ -14,7 +14,7 @@
 impl Accepted {
     /// Reads what the journal keeps out of an accepted request.
     #[must_use]
-    pub fn of(now: Time, spec: &RequestSpec, predicted: Option<Duration>) -> Self {
+    pub fn from_spec(now: Time, spec: &RequestSpec, predicted: Option<Duration>) -> Self {
         Self {
             id: spec.request,
             account: spec.account.clone(),
@@ -36,7 +36,7 @@
 
 impl Journal {
     /// Records a decision of a request's chain, if it sends an attempt.
-    pub fn on_route(&mut self, now: Time, spec: &RequestSpec, decision: &chain::Decision) {
+    pub fn on_chain_decision(&mut self, now: Time, spec: &RequestSpec, decision: &chain::Decision) {
         let chain::Decision::Chosen {
             request,
             stage,
--- a/lib/src/log/follower.rs
+++ b/lib/src/log/follower.rs
@@ -21,7 +21,7 @@
 
 /// What a read brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Followed {
+pub enum FollowOutcome {
     /// The records, each with its offset.
     Records {
         /// The records, in offset order.
@@ -106,7 +106,7 @@
     }
 
     /// Takes the end of the read under way.
-    pub fn answered(&mut self, now: Time, end: ReadEnd) -> Followed {
+    pub fn on_read_end(&mut self, now: Time, end: ReadEnd) -> FollowOutcome {
         let from = self.flying.take().unwrap_or(self.next);
         match end {
             ReadEnd::Records {
@@ -126,7 +126,7 @@
                 if records.is_empty() {
                     self.resume = now + EMPTY_PAUSE;
                 }
-                Followed::Records {
+                FollowOutcome::Records {
                     records,
                     first,
                     end,
@@ -135,11 +135,11 @@
             ReadEnd::Gone { first } => {
                 self.answer_came(now);
                 self.next = self.next.max(first);
-                Followed::Behind { first }
+                FollowOutcome::Behind { first }
             }
             ReadEnd::Failed => {
                 self.resume = now + self.backoff.failed();
-                Followed::Failed
+                FollowOutcome::Failed
             }
         }
     }
--- a/lib/src/log/mod.rs
+++ b/lib/src/log/mod.rs
@@ -6,14 +6,14 @@
 mod store;
 
 pub use backoff::Backoff;
-pub use follower::Followed;
+pub use follower::FollowOutcome;
 pub use follower::Follower;
 pub use publisher::BATCH_BYTES;
 pub use publisher::BATCH_RECORDS;
 pub use publisher::Publisher;
 pub use store::Append;
 pub use store::AppendEnd;
-pub use store::LogCall;
+pub use store::LogFuture;
 pub use store::LogStore;
 pub use store::Read;
 pub use store::ReadEnd;
--- a/lib/src/log/publisher.rs
+++ b/lib/src/log/publisher.rs
@@ -97,7 +97,7 @@
     }
 
     /// Takes the end of the append under way, and returns where it stands.
-    pub fn answered(&mut self, now: Time, end: &AppendEnd) -> Option<Offset> {
+    pub fn on_append_end(&mut self, now: Time, end: &AppendEnd) -> Option<Offset> {
         let flying = std::mem::take(&mut self.flying);
         match end {
             AppendEnd::Done { offset } => {
@@ -119,7 +119,7 @@
     }
 
     /// Drops a record that was read back, so that it is not repeated.
-    pub fn settled(&mut self, id: RecordId) {
+    pub fn on_read_back(&mut self, id: RecordId) {
         // The batch under way is a prefix of the queue; its length must follow.
         if let Some(index) = self.queue.iter().position(|w| w.id == id) {
             self.queue.remove(index);
--- a/lib/src/log/store.rs
+++ b/lib/src/log/store.rs
@@ -116,7 +116,7 @@
 }
 
 /// A call to the log service that is under way.
-pub type LogCall<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type LogFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// The log service, as the platform gives it.
 ///
@@ -124,8 +124,8 @@
 /// the state machines above it decide when to repeat.
 pub trait LogStore: Debug + Send + Sync {
     /// Appends records to a topic.
-    fn append(&self, append: Append) -> LogCall<'_, AppendEnd>;
+    fn append(&self, append: Append) -> LogFuture<'_, AppendEnd>;
 
     /// Reads records of a topic.
-    fn read(&self, read: Read) -> LogCall<'_, ReadEnd>;
+    fn read(&self, read: Read) -> LogFuture<'_, ReadEnd>;
 }
--- a/lib/src/membership/detector.rs
+++ b/lib/src/membership/detector.rs
@@ -5,7 +5,7 @@
 
 use derive_more::Display;
 
-use super::peer::Beat;
+use super::peer::PeerHeartbeat;
 use crate::ids::Incarnation;
 use crate::time::Time;
 
@@ -95,7 +95,7 @@
 
 /// What a heartbeat or hello turned out to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatVerdict {
     /// News of the known life.
     Fresh,
     /// An old or repeated heartbeat: no evidence.
@@ -198,9 +198,9 @@
     }
 
     /// Takes in a new link on which the peer said hello.
-    pub fn link_up(&mut self, now: Time, incarnation: Incarnation) -> Heard {
+    pub fn link_up(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
         let heard = self.admit(now, incarnation);
-        if heard == Heard::Superseded {
+        if heard == HeartbeatVerdict::Superseded {
             return heard;
         }
         if self.state == PeerState::Left {
@@ -248,13 +248,13 @@
     }
 
     /// Takes in a heartbeat.
-    pub fn heard(&mut self, now: Time, beat: Beat) -> Heard {
+    pub fn heard(&mut self, now: Time, beat: PeerHeartbeat) -> HeartbeatVerdict {
         let heard = self.admit(now, beat.incarnation);
-        if heard == Heard::Superseded {
+        if heard == HeartbeatVerdict::Superseded {
             return heard;
         }
         if beat.seq <= self.seq {
-            return Heard::Repeated;
+            return HeartbeatVerdict::Repeated;
         }
         self.observe(now);
         self.seq = beat.seq;
@@ -317,13 +317,13 @@
         }
     }
 
-    fn admit(&mut self, now: Time, incarnation: Incarnation) -> Heard {
+    fn admit(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
         let Some(known) = self.incarnation else {
             self.incarnation = Some(incarnation);
-            return Heard::Fresh;
+            return HeartbeatVerdict::Fresh;
         };
         if incarnation == known {
-            return Heard::Fresh;
+            return HeartbeatVerdict::Fresh;
         }
         // Two processes may run under one name: an old one, paused, and its
         // replacement. If both were heeded in turn, work would go to a process
@@ -334,10 +334,10 @@
         let over = matches!(self.state, PeerState::Dead | PeerState::Left)
             && now.since(self.since) >= self.gone_after();
         if incarnation < known && !over {
-            return Heard::Superseded;
+            return HeartbeatVerdict::Superseded;
         }
         self.begin(now, incarnation);
-        Heard::Restarted { from: known }
+        HeartbeatVerdict::Restarted { from: known }
     }
 
     fn begin(&mut self, now: Time, incarnation: Incarnation) {
--- a/lib/src/membership/event.rs
+++ b/lib/src/membership/event.rs
@@ -6,8 +6,8 @@
 
 use super::detector::LinkEnd;
 use super::detector::PeerState;
-use super::peer::Beat;
-use super::peer::Listed;
+use super::peer::ListedNode;
+use super::peer::PeerHeartbeat;
 use super::peer::Profile;
 use crate::ids::Incarnation;
 use crate::ids::NodeId;
@@ -24,7 +24,7 @@
     /// The addresses that the settings name.
     Seeds(Vec<SocketAddr>),
     /// The host list as last read.
-    HostList(Vec<Listed>),
+    HostList(Vec<ListedNode>),
     /// A link stands, and the peer said hello on it.
     LinkUp {
         /// The link.
@@ -51,11 +51,11 @@
         end: LinkEnd,
     },
     /// A heartbeat came.
-    Heard {
+    Heartbeat {
         /// The link it came on.
         link: LinkId,
         /// The heartbeat.
-        beat: Beat,
+        heartbeat: PeerHeartbeat,
     },
     /// The peer said goodbye.
     Goodbye {
@@ -113,7 +113,7 @@
         /// The link.
         link: LinkId,
         /// The heartbeat.
-        beat: Beat,
+        heartbeat: PeerHeartbeat,
     },
     /// A peer's state changed.
     StateChanged {
--- a/lib/src/membership/peer.rs
+++ b/lib/src/membership/peer.rs
@@ -53,7 +53,7 @@
 
 /// One node as the host list or the settings name it: a hint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedNode {
     /// What is said about the node; the pool may be missing.
     pub profile: Profile,
     /// Whether its host is said to be leaving.
@@ -62,7 +62,7 @@
 
 /// A heartbeat, as far as membership is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Beat {
+pub struct PeerHeartbeat {
     /// The life of the sender.
     pub incarnation: Incarnation,
     /// Counts the sender's heartbeats on this link, from 1.
--- a/lib/src/membership/view/member.rs
+++ b/lib/src/membership/view/member.rs
@@ -6,7 +6,7 @@
 use crate::ids::Incarnation;
 use crate::membership::Detector;
 use crate::membership::LinkId;
-use crate::membership::Listed;
+use crate::membership::ListedNode;
 use crate::membership::NodeKind;
 use crate::membership::PeerState;
 use crate::membership::Place;
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what the host list says now, which a hello outranks.
-    pub(super) fn hint(&mut self, now: Time, hint: Listed) {
+    pub(super) fn hint(&mut self, now: Time, hint: ListedNode) {
         self.hinted = hint.profile.address;
         if self.link.is_none() {
             // The pool is kept: the list may not know it, and the node said it.
--- a/lib/src/membership/view/mod.rs
+++ b/lib/src/membership/view/mod.rs
@@ -10,7 +10,7 @@
 
 pub use member::Member;
 
-use super::detector::Heard;
+use super::detector::HeartbeatVerdict;
 use super::detector::LinkEnd;
 use super::detector::PeerState;
 use super::detector::Timing;
@@ -20,9 +20,9 @@
 use super::event::LinkId;
 use super::event::Refusal;
 use super::pace::Pace;
-use super::peer::Beat;
-use super::peer::Listed;
+use super::peer::ListedNode;
 use super::peer::NodeKind;
+use super::peer::PeerHeartbeat;
 use super::peer::Profile;
 use super::subset::Subset;
 use crate::ids::Incarnation;
@@ -198,7 +198,9 @@
             }
             Event::LinkDown { link, end } => self.on_link_down(now, link, end, &mut out),
             Event::DialFailed { address, end } => self.on_dial_failed(now, address, end, &mut out),
-            Event::Heard { link, beat } => self.on_beat(now, link, beat, &mut out),
+            Event::Heartbeat { link, heartbeat } => {
+                self.on_heartbeat(now, link, heartbeat, &mut out)
+            }
             Event::Goodbye { link, incarnation } => {
                 self.on_goodbye(now, link, incarnation, &mut out);
             }
@@ -242,7 +244,7 @@
         }
     }
 
-    fn on_list(&mut self, now: Time, listed: Vec<Listed>, out: &mut Vec<Action>) {
+    fn on_list(&mut self, now: Time, listed: Vec<ListedNode>, out: &mut Vec<Action>) {
         let named: BTreeSet<NodeId> = listed.iter().map(|l| l.profile.node.clone()).collect();
         let unnamed: Vec<NodeId> = self
             .members
@@ -269,7 +271,7 @@
         self.changed = true;
     }
 
-    fn on_hint(&mut self, now: Time, hint: Listed, out: &mut Vec<Action>) {
+    fn on_hint(&mut self, now: Time, hint: ListedNode, out: &mut Vec<Action>) {
         let node = hint.profile.node.clone();
         if node == self.me.node {
             return;
@@ -348,9 +350,9 @@
             });
             return false;
         }
-        let mut heard = Heard::Superseded;
+        let mut heard = HeartbeatVerdict::Superseded;
         self.update(&node, out, |m| heard = m.detector.link_up(now, incarnation));
-        if heard == Heard::Superseded {
+        if heard == HeartbeatVerdict::Superseded {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::Superseded,
@@ -385,7 +387,7 @@
         now: Time,
         id: LinkId,
         link: Link,
-        heard: Heard,
+        heard: HeartbeatVerdict,
         out: &mut Vec<Action>,
     ) {
         let node = link.node.clone();
@@ -404,7 +406,7 @@
             return;
         };
         self.links.remove(&old);
-        let restarted = matches!(heard, Heard::Restarted { .. });
+        let restarted = matches!(heard, HeartbeatVerdict::Restarted { .. });
         let reason = if restarted {
             Refusal::Superseded
         } else {
@@ -447,23 +449,29 @@
         }
     }
 
-    fn on_beat(&mut self, now: Time, id: LinkId, beat: Beat, out: &mut Vec<Action>) {
+    fn on_heartbeat(
+        &mut self,
+        now: Time,
+        id: LinkId,
+        heartbeat: PeerHeartbeat,
+        out: &mut Vec<Action>,
+    ) {
         let Some(node) = self.links.get(&id).map(|l| l.node.clone()) else {
             return;
         };
-        let mut heard = Heard::Repeated;
+        let mut heard = HeartbeatVerdict::Repeated;
         let mut drained = false;
         let longest = self.settings.pace.longest;
         self.update(&node, out, |m| {
-            heard = m.detector.heard(now, beat);
-            if heard == Heard::Fresh {
-                drained = m.draining != beat.draining;
-                m.draining = beat.draining;
-                m.pace = beat.pace.min(longest);
+            heard = m.detector.heard(now, heartbeat);
+            if heard == HeartbeatVerdict::Fresh {
+                drained = m.draining != heartbeat.draining;
+                m.draining = heartbeat.draining;
+                m.pace = heartbeat.pace.min(longest);
             }
         });
         self.changed |= drained;
-        if heard == Heard::Superseded {
+        if heard == HeartbeatVerdict::Superseded {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::Superseded,
--- a/lib/src/membership/view/plan.rs
+++ b/lib/src/membership/view/plan.rs
@@ -9,12 +9,12 @@
 use super::View;
 use crate::ids::NodeId;
 use crate::membership::Action;
-use crate::membership::Beat;
 use crate::membership::Candidate;
 use crate::membership::Change;
 use crate::membership::LinkId;
 use crate::membership::Member;
 use crate::membership::NodeKind;
+use crate::membership::PeerHeartbeat;
 use crate::membership::PeerState;
 use crate::membership::Place;
 use crate::membership::Refusal;
@@ -81,14 +81,17 @@
             if self.draining {
                 member.told.get_or_insert(member.seq);
             }
-            let beat = Beat {
+            let heartbeat = PeerHeartbeat {
                 incarnation: self.incarnation,
                 seq: member.seq,
                 seen: member.detector.seen(),
                 draining: self.draining,
                 pace: own,
             };
-            out.push(Action::SendHeartbeat { link: *id, beat });
+            out.push(Action::SendHeartbeat {
+                link: *id,
+                heartbeat,
+            });
         }
         self.due.beat = next;
     }
--- a/lib/src/query/explain.rs
+++ b/lib/src/query/explain.rs
@@ -107,7 +107,7 @@
         "stage {} attempt {} {how} after {}, predicted {}",
         decision.stage,
         decision.attempt,
-        span(attempt.actual(*at)),
+        span(attempt.elapsed(*at)),
         span(decision.chosen.predicted),
     );
     Some((at.since(request.at), "ended", detail))
@@ -141,11 +141,11 @@
 }
 
 fn cause(request: &Request, now: Time) -> String {
-    let Some(slowest) = request.slowest(now) else {
+    let Some(slowest) = request.most_delayed(now) else {
         return "; no stage was reached".to_owned();
     };
     let predicted = slowest.decision.chosen.predicted;
-    let actual = slowest.actual(request.until(now));
+    let actual = slowest.elapsed(request.end_or(now));
     let over = actual.saturating_sub(predicted);
     if over < NOTABLE {
         return "; every attempt kept its prediction: the time went between them".to_owned();
--- a/lib/src/record.rs
+++ b/lib/src/record.rs
@@ -9,8 +9,8 @@
 use uuid::Uuid;
 
 use crate::config::Change;
-use crate::config::Part;
 use crate::config::Snapshot;
+use crate::config::SnapshotPart;
 use crate::ids::IdError;
 use crate::ids::NodeId;
 use crate::ids::Operator;
@@ -68,7 +68,7 @@
     /// The whole configuration, for readers that fell behind retention.
     Snapshot(Snapshot),
     /// A part of a configuration that is too large for one record.
-    SnapshotPart(Part),
+    SnapshotPart(SnapshotPart),
     /// A step in the life of a lease.
     Lease(LeaseRecord),
 }
--- a/lib/tests/test_config_fold.rs
+++ b/lib/tests/test_config_fold.rs
@@ -18,7 +18,7 @@
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::ids::Revision;
 use snipeyoke_lib::log::AppendEnd;
-use snipeyoke_lib::log::Followed;
+use snipeyoke_lib::log::FollowOutcome;
 use snipeyoke_lib::log::Follower;
 use snipeyoke_lib::log::Publisher;
 use snipeyoke_lib::log::ReadEnd;
@@ -229,7 +229,7 @@
             (true, false) => AppendEnd::NotDone { retry_after: None },
             (false, _) => AppendEnd::Unanswered,
         };
-        self.readers[reader].publisher.answered(now, &end);
+        self.readers[reader].publisher.on_append_end(now, &end);
         Ok(())
     }
 
@@ -253,7 +253,7 @@
                 records: log.iter().skip(from).take(most).cloned().collect(),
             }
         };
-        let Followed::Records { records, .. } = reader.follower.answered(now, end) else {
+        let FollowOutcome::Records { records, .. } = reader.follower.on_read_end(now, end) else {
             return;
         };
         for (offset, bytes) in records {
@@ -262,7 +262,7 @@
                 break;
             }
             if let Ok(record) = Record::try_from(bytes.as_slice()) {
-                reader.publisher.settled(record.id);
+                reader.publisher.on_read_back(record.id);
             }
         }
     }
--- a/lib/tests/test_config_parts.rs
+++ b/lib/tests/test_config_parts.rs
@@ -12,13 +12,13 @@
 use proptest::test_runner::TestRunner;
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::config::Fold;
-use snipeyoke_lib::config::HELD_MAX;
-use snipeyoke_lib::config::PART_MAX;
-use snipeyoke_lib::config::Part;
-use snipeyoke_lib::config::PartSet;
+use snipeyoke_lib::config::INCOMPLETE_BYTES_MAX;
+use snipeyoke_lib::config::INCOMPLETE_SNAPSHOTS_MAX;
+use snipeyoke_lib::config::PART_BYTES_MAX;
 use snipeyoke_lib::config::Pool;
-use snipeyoke_lib::config::SETS_MAX;
 use snipeyoke_lib::config::Snapshot;
+use snipeyoke_lib::config::SnapshotId;
+use snipeyoke_lib::config::SnapshotPart;
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::ids::Revision;
@@ -87,7 +87,7 @@
     (1..=OFFSETS).flat_map(both).collect()
 }
 
-fn record(part: Part) -> Record {
+fn record(part: SnapshotPart) -> Record {
     let node: NodeId = "router-1".parse().expect("a name");
     Record {
         id: RecordId::default(),
@@ -99,9 +99,9 @@
 /// A reader, and what has arrived at it whole and undamaged.
 struct Bench {
     states: Vec<Snapshot>,
-    parts: Vec<Vec<Part>>,
+    parts: Vec<Vec<SnapshotPart>>,
     fold: Fold,
-    arrived: BTreeMap<PartSet, BTreeSet<u32>>,
+    arrived: BTreeMap<SnapshotId, BTreeSet<u32>>,
     log: u64,
 }
 
@@ -144,9 +144,9 @@
         if next < before {
             return Err(format!("the reader went back from {before} to {next}"));
         }
-        let most = SETS_MAX * 64 * SMALL;
-        if self.fold.held() > most {
-            return Err(format!("{} bytes are held", self.fold.held()));
+        let most = INCOMPLETE_SNAPSHOTS_MAX * 64 * SMALL;
+        if self.fold.incomplete_bytes() > most {
+            return Err(format!("{} bytes are held", self.fold.incomplete_bytes()));
         }
         if next == before {
             return Ok(());
@@ -187,7 +187,7 @@
         if self.fold.next() != Offset(OFFSETS) {
             return Err("the highest state was not taken".to_owned());
         }
-        if self.fold.held() > 0 {
+        if self.fold.incomplete_bytes() > 0 {
             return Err("parts are held that nobody needs".to_owned());
         }
         Ok(())
@@ -223,17 +223,21 @@
     // and each leaves a large part that nothing ever completes.
     let mut fold = Fold::new();
     for n in 1..1_000 {
-        let set = PartSet {
+        let set = SnapshotId {
             next: Offset(n),
             count: 100,
             digest: n,
         };
-        let text = "x".repeat(PART_MAX);
+        let text = "x".repeat(PART_BYTES_MAX);
         for index in 0..30 {
             let text = text.clone();
-            fold.adopt_part(&Part { set, index, text });
+            fold.adopt_part(&SnapshotPart { set, index, text });
         }
-        assert!(fold.held() <= HELD_MAX, "{} bytes are held", fold.held());
+        assert!(
+            fold.incomplete_bytes() <= INCOMPLETE_BYTES_MAX,
+            "{} bytes are held",
+            fold.incomplete_bytes()
+        );
     }
     let state = Snapshot {
         next: Offset(2_000),
@@ -245,7 +249,7 @@
         assert!(!fold.adopt_part(part));
     }
     assert!(fold.adopt_part(last), "a later state is taken");
-    assert_eq!(fold.held(), 0);
+    assert_eq!(fold.incomplete_bytes(), 0);
 }
 
 #[test]
@@ -269,7 +273,7 @@
     let mut fold = Fold::new();
     for record in records.iter().rev() {
         let bytes = record.encode();
-        assert!(bytes.len() <= PART_MAX, "{} bytes", bytes.len());
+        assert!(bytes.len() <= PART_BYTES_MAX, "{} bytes", bytes.len());
         fold.apply_bytes(Offset(LOG), &bytes);
     }
     assert_eq!(fold.config(), snapshot.config);
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -15,9 +15,9 @@
 use proptest::test_runner::TestRunner;
 use snipeyoke_lib::ids::Incarnation;
 use snipeyoke_lib::ids::NodeId;
-use snipeyoke_lib::membership::Beat;
 use snipeyoke_lib::membership::Candidate;
 use snipeyoke_lib::membership::Detector;
+use snipeyoke_lib::membership::PeerHeartbeat;
 use snipeyoke_lib::membership::PeerState;
 use snipeyoke_lib::membership::Place;
 use snipeyoke_lib::membership::Profile;
@@ -442,7 +442,7 @@
     // echo does.
     let mut detector = Detector::new(Timing::default());
     let life = Incarnation(1);
-    let beat = |seq, seen| Beat {
+    let beat = |seq, seen| PeerHeartbeat {
         incarnation: life,
         seq,
         seen,
--- a/lib/testutils/src/mesh.rs
+++ b/lib/testutils/src/mesh.rs
@@ -16,7 +16,7 @@
 use snipeyoke_lib::membership::Event;
 use snipeyoke_lib::membership::LinkEnd;
 use snipeyoke_lib::membership::LinkId;
-use snipeyoke_lib::membership::Listed;
+use snipeyoke_lib::membership::ListedNode;
 use snipeyoke_lib::membership::Member;
 use snipeyoke_lib::membership::NodeKind;
 use snipeyoke_lib::membership::PeerState;
@@ -188,7 +188,7 @@
     }
 
     /// Gives all processes a host list that names those given.
-    pub fn list(&mut self, listed: &[Listed]) {
+    pub fn list(&mut self, listed: &[ListedNode]) {
         let addresses: Vec<SocketAddr> = self.processes.keys().copied().collect();
         for address in addresses {
             self.give(address, Event::HostList(listed.to_vec()));
@@ -259,9 +259,9 @@
                 self.post(delay, by, Item::Dial { to: address });
             }
             Action::Disconnect { link, reason } => self.disconnect(by, link, reason),
-            Action::SendHeartbeat { link, beat } => {
+            Action::SendHeartbeat { link, heartbeat } => {
                 *self.sent.entry(by).or_default() += 1;
-                self.carry(by, link, Event::Heard { link, beat });
+                self.carry(by, link, Event::Heartbeat { link, heartbeat });
             }
             Action::StateChanged { node, from, to } => {
                 self.seen.push(Seen {
@@ -449,8 +449,8 @@
 
 /// Returns a host list that names the profiles as live.
 #[must_use]
-pub fn listed(profiles: &[Profile]) -> Vec<Listed> {
-    let live = |p: &Profile| Listed {
+pub fn listed(profiles: &[Profile]) -> Vec<ListedNode> {
+    let live = |p: &Profile| ListedNode {
         profile: p.clone(),
         leaving: false,
     };
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -23,9 +23,9 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::ids::Region;
 use snipeyoke_lib::membership;
-use snipeyoke_lib::membership::Beat;
 use snipeyoke_lib::membership::Event;
 use snipeyoke_lib::membership::LinkEnd;
+use snipeyoke_lib::membership::PeerHeartbeat;
 use snipeyoke_lib::membership::Profile;
 use snipeyoke_lib::once::KeySlot;
 use snipeyoke_lib::routing::CacheUpdate;
@@ -326,9 +326,9 @@
         match reader.next().await? {
             Some(Body::Heartbeat(heartbeat)) => {
                 let beat = beat(&heartbeat);
-                node.members.tell(Event::Heard {
+                node.members.tell(Event::Heartbeat {
                     link: entry.link,
-                    beat,
+                    heartbeat: beat,
                 });
                 if let Some(peer) = peer {
                     report(node, peer, link, &heartbeat);
@@ -359,8 +359,8 @@
     }
 }
 
-fn beat(heartbeat: &Heartbeat) -> Beat {
-    Beat {
+fn beat(heartbeat: &Heartbeat) -> PeerHeartbeat {
+    PeerHeartbeat {
         incarnation: Incarnation(heartbeat.incarnation),
         seq: heartbeat.seq,
         seen: heartbeat.seen_seq,
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -115,7 +115,7 @@
             AppendEnd::NotDone { .. } => before,
             AppendEnd::Unanswered => Append::Unanswered,
         };
-        publisher.answered(node.clock.now(), &end);
+        publisher.on_append_end(node.clock.now(), &end);
     }
     waiter.applied().await
 }
@@ -127,7 +127,8 @@
             base,
         },
         Applied::Lost { revision, winner } => {
-            let by = |w: &snipeyoke_lib::config::Winner| format!("{} ({})", w.change, w.author);
+            let by =
+                |w: &snipeyoke_lib::config::AcceptedChange| format!("{} ({})", w.change, w.author);
             ChangeAnswer::Lost {
                 base,
                 revision: *revision,
--- a/router/src/control/mod.rs
+++ b/router/src/control/mod.rs
@@ -45,7 +45,7 @@
         let mut history = self.history();
         match applied {
             Applied::Accepted { .. } => {
-                if let Some(winner) = fold.winners().last() {
+                if let Some(winner) = fold.accepted_changes().last() {
                     history.on_change(winner.clone());
                 }
             }
--- a/router/src/control/peers.rs
+++ b/router/src/control/peers.rs
@@ -9,7 +9,7 @@
 use snipeyoke_lib::config::DrainTarget;
 use snipeyoke_lib::ids::HostId;
 use snipeyoke_lib::ids::NodeId;
-use snipeyoke_lib::membership::Listed;
+use snipeyoke_lib::membership::ListedNode;
 use snipeyoke_lib::membership::NodeKind;
 use snipeyoke_lib::membership::PeerState;
 use snipeyoke_lib::membership::Profile;
@@ -32,8 +32,8 @@
 
 impl Peers {
     /// Notes the host list.
-    pub(crate) fn listed(&self, list: &[Listed]) {
-        let fact = |listed: &Listed| {
+    pub(crate) fn listed(&self, list: &[ListedNode]) {
+        let fact = |listed: &ListedNode| {
             let profile = &listed.profile;
             let state = if listed.leaving { "leaving" } else { "live" };
             let fact = HostFact {
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -51,7 +51,7 @@
 impl Records {
     /// Notes a request that is about to be driven; `stop` ends it.
     pub(crate) fn begin(&self, now: Time, spec: &RequestSpec, stop: Flag) {
-        let accepted = Accepted::of(now, spec, None);
+        let accepted = Accepted::from_spec(now, spec, None);
         self.journal().on_accept(now, accepted);
         let running = Running {
             account: spec.account.clone(),
@@ -62,7 +62,7 @@
 
     /// Notes a decision of a request's chain.
     pub(crate) fn route(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
-        self.journal().on_route(now, spec, decision);
+        self.journal().on_chain_decision(now, spec, decision);
     }
 
     /// Notes the end of an attempt.
@@ -90,7 +90,7 @@
         let mut journal = self.journal();
         journal.on_finish(now, id, outcome, reason);
         metrics::gauge!("snipeyoke_journal_bytes").set(journal.used().0 as f64);
-        metrics::counter!("snipeyoke_journal_forgotten_total").absolute(journal.forgotten());
+        metrics::counter!("snipeyoke_journal_forgotten_total").absolute(journal.evicted());
         metrics::counter!("snipeyoke_journal_skipped_total").absolute(journal.skipped());
         let Some(request) = journal.get(id) else {
             return;
@@ -160,7 +160,7 @@
     let found = found.next()?;
     let stage = found.decision.stage.to_string();
     let pipeline = request.accepted.pipeline.to_string();
-    Some((stage, pipeline, found.actual(now).as_secs_f64()))
+    Some((stage, pipeline, found.elapsed(now).as_secs_f64()))
 }
 
 const fn ending(end: &AttemptEnd) -> &'static str {
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -10,7 +10,7 @@
 use snipeyoke_lib::config::Applied;
 use snipeyoke_lib::config::Fold;
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::log::Followed;
+use snipeyoke_lib::log::FollowOutcome;
 use snipeyoke_lib::log::Follower;
 use snipeyoke_lib::log::LogStore;
 use snipeyoke_lib::log::Topic;
@@ -57,8 +57,8 @@
         let Some(end) = answered.or(stopped).await else {
             return;
         };
-        let news = follower.answered(node.clock.now(), end);
-        let read = !matches!(news, Followed::Failed);
+        let news = follower.on_read_end(node.clock.now(), end);
+        let read = !matches!(news, FollowOutcome::Failed);
         take(&node, &mut follower, news);
         if read && !holds {
             let share: f64 = node.shared().rng.random_range(0.5..1.5);
@@ -85,18 +85,18 @@
     pause.or(node.board.stop.wait()).await;
 }
 
-fn take(node: &Node, follower: &mut Follower, news: Followed) {
+fn take(node: &Node, follower: &mut Follower, news: FollowOutcome) {
     let records = match news {
-        Followed::Records { records, end, .. } => {
+        FollowOutcome::Records { records, end, .. } => {
             let seen = *node.log_seen.get();
             node.log_seen.set(Seen { end, ..seen });
             records
         }
-        Followed::Behind { first } => {
+        FollowOutcome::Behind { first } => {
             log::warn!(event = "config-behind", first = first.0, remedy = "wait for a snapshot"; "");
             return;
         }
-        Followed::Failed => {
+        FollowOutcome::Failed => {
             log::info!(event = "config-read-failed", remedy = "look after the log service"; "");
             return;
         }
--- a/router/src/members.rs
+++ b/router/src/members.rs
@@ -15,10 +15,10 @@
 use futures_lite::FutureExt;
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::membership::Action;
-use snipeyoke_lib::membership::Beat;
 use snipeyoke_lib::membership::Event;
 use snipeyoke_lib::membership::LinkId;
 use snipeyoke_lib::membership::NodeKind;
+use snipeyoke_lib::membership::PeerHeartbeat;
 use snipeyoke_lib::membership::PeerState;
 use snipeyoke_lib::membership::Profile;
 use snipeyoke_lib::membership::View;
@@ -209,7 +209,7 @@
                     entry.retired.set();
                 }
             }
-            Action::SendHeartbeat { link, beat } => send(node, link, beat),
+            Action::SendHeartbeat { link, heartbeat } => send(node, link, heartbeat),
             Action::StateChanged {
                 node: peer,
                 from,
@@ -227,7 +227,7 @@
     wake
 }
 
-fn send(node: &Node, link: LinkId, beat: Beat) {
+fn send(node: &Node, link: LinkId, beat: PeerHeartbeat) {
     let config = node.board.config.get();
     let heartbeat = Heartbeat {
         incarnation: beat.incarnation.0,
--- a/router/src/snapshots.rs
+++ b/router/src/snapshots.rs
@@ -6,8 +6,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use rand::RngExt;
-use snipeyoke_lib::config::HELD_MAX;
-use snipeyoke_lib::config::PARTS_MAX;
+use snipeyoke_lib::config::INCOMPLETE_BYTES_MAX;
+use snipeyoke_lib::config::PART_COUNT_MAX;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Append;
 use snipeyoke_lib::log::AppendEnd;
@@ -100,8 +100,8 @@
     let parts = records.len();
     let records: Vec<_> = records.iter().map(Record::encode).collect();
     let bytes: usize = records.iter().map(Vec::len).sum();
-    if bytes > HELD_MAX || parts > PARTS_MAX as usize {
-        log::warn!(event = "config-too-large", bytes, limit = HELD_MAX, remedy = "remove client accounts"; "");
+    if bytes > INCOMPLETE_BYTES_MAX || parts > PART_COUNT_MAX as usize {
+        log::warn!(event = "config-too-large", bytes, limit = INCOMPLETE_BYTES_MAX, remedy = "remove client accounts"; "");
     }
     let mut done = true;
     for record in records {
--- a/runtime/src/book.rs
+++ b/runtime/src/book.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use snipeyoke_lib::config::Applied;
 use snipeyoke_lib::config::Fold;
-use snipeyoke_lib::config::PART_MAX;
+use snipeyoke_lib::config::PART_BYTES_MAX;
 use snipeyoke_lib::config::Snapshot;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::record::Author;
@@ -101,7 +101,7 @@
         if have >= next {
             return Vec::new();
         }
-        let records = fold.since(have).unwrap_or_default();
+        let records = fold.records_since(have).unwrap_or_default();
         let bytes: usize = records.iter().map(Vec::len).sum();
         if records.is_empty() || bytes > PUSH_MAX {
             return vec![ConfigOffer {
@@ -127,7 +127,7 @@
         if have >= fold.next() {
             return Vec::new();
         }
-        if let Some(records) = fold.since(have) {
+        if let Some(records) = fold.records_since(have) {
             return offer_records(have, records);
         }
         let snapshot = fold.snapshot();
@@ -193,7 +193,7 @@
     }
 }
 
-/// Packs records into offers of at most [`PART_MAX`] bytes, or one record.
+/// Packs records into offers of at most [`PART_BYTES_MAX`] bytes, or one record.
 fn offer_records(have: Offset, records: Vec<Vec<u8>>) -> Vec<ConfigOffer> {
     let mut offers: Vec<ConfigOffer> = Vec::new();
     let mut room = 0;
@@ -207,7 +207,7 @@
                 last.records.push(record);
             }
             _ => {
-                room = PART_MAX.saturating_sub(record.len());
+                room = PART_BYTES_MAX.saturating_sub(record.len());
                 let records = vec![record];
                 offers.push(ConfigOffer { next, records });
             }
--- a/runtime/src/platform/hosts.rs
+++ b/runtime/src/platform/hosts.rs
@@ -16,7 +16,7 @@
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::ids::Region;
-use snipeyoke_lib::membership::Listed;
+use snipeyoke_lib::membership::ListedNode;
 use snipeyoke_lib::membership::NodeKind;
 use snipeyoke_lib::membership::Profile;
 
@@ -80,7 +80,7 @@
     ///
     /// Callers then keep to the last one: an outage of the platform must not
     /// look like the loss of every host.
-    pub async fn list(&self) -> Option<Vec<Listed>> {
+    pub async fn list(&self) -> Option<Vec<ListedNode>> {
         let timeout = async {
             Timer::after(READ_LIMIT).await;
             None
@@ -107,9 +107,9 @@
     }
 }
 
-fn listed(entry: HostEntry) -> Vec<Listed> {
+fn listed(entry: HostEntry) -> Vec<ListedNode> {
     let leaving = entry.state == State::Leaving;
-    let listed = |node: NodeEntry| Listed {
+    let listed = |node: NodeEntry| ListedNode {
         profile: Profile {
             node: node.node,
             kind: node.kind,
--- a/runtime/src/platform/log.rs
+++ b/runtime/src/platform/log.rs
@@ -17,7 +17,7 @@
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::log::Append;
 use snipeyoke_lib::log::AppendEnd;
-use snipeyoke_lib::log::LogCall;
+use snipeyoke_lib::log::LogFuture;
 use snipeyoke_lib::log::LogStore;
 use snipeyoke_lib::log::Read;
 use snipeyoke_lib::log::ReadEnd;
@@ -140,7 +140,7 @@
 }
 
 impl LogStore for HttpLog {
-    fn append(&self, append: Append) -> LogCall<'_, AppendEnd> {
+    fn append(&self, append: Append) -> LogFuture<'_, AppendEnd> {
         let timeout = async {
             Timer::after(APPEND_LIMIT).await;
             AppendEnd::Unanswered
@@ -148,7 +148,7 @@
         Box::pin(self.try_append(append).or(timeout))
     }
 
-    fn read(&self, read: Read) -> LogCall<'_, ReadEnd> {
+    fn read(&self, read: Read) -> LogFuture<'_, ReadEnd> {
         let limit = read.wait + READ_SLACK;
         let timeout = async move {
             Timer::after(limit).await;
