--- a/lib/src/config/fold.rs
+++ b/lib/src/config/fold.rs
@@ -11,8 +11,8 @@
 use crate::config::Snapshot;
 use crate::config::SnapshotId;
 use crate::config::SnapshotPart;
-use crate::config::parts::Assembly;
-use crate::config::parts::Tally;
+use crate::config::parts::SeenParts;
+use crate::config::parts::SnapshotAssembly;
 use crate::ids::Offset;
 use crate::ids::Revision;
 use crate::record::Author;
@@ -126,11 +126,11 @@
     config: Arc<Config>,
     revision: Revision,
     next: Offset,
-    winners: BTreeMap<Revision, AcceptedChange>,
+    accepted: BTreeMap<Revision, AcceptedChange>,
     recent: VecDeque<Accepted>,
     tail: VecDeque<(Offset, Vec<u8>)>,
-    assembly: Assembly,
-    tally: Tally,
+    assembly: SnapshotAssembly,
+    seen_parts: SeenParts,
 }
 
 impl Default for Fold {
@@ -154,11 +154,11 @@
             config: Arc::default(),
             revision: Revision(0),
             next: Offset(0),
-            winners: BTreeMap::new(),
+            accepted: BTreeMap::new(),
             recent: VecDeque::new(),
             tail: VecDeque::new(),
-            assembly: Assembly::default(),
-            tally: Tally::default(),
+            assembly: SnapshotAssembly::default(),
+            seen_parts: SeenParts::default(),
         }
     }
 
@@ -182,7 +182,7 @@
 
     /// Returns the accepted changes still remembered, oldest first.
     pub fn accepted_changes(&self) -> impl Iterator<Item = &AcceptedChange> {
-        self.winners.values()
+        self.accepted.values()
     }
 
     /// Applies the bytes read at an offset.
@@ -190,8 +190,8 @@
         match Record::try_from(bytes) {
             Ok(record) => self.apply(offset, &record),
             Err(error) => {
-                if let Some(early) = self.position(offset) {
-                    return early;
+                if let Some(applied) = self.check_position(offset) {
+                    return applied;
                 }
                 self.advance(offset, bytes.to_vec());
                 Applied::Foreign(Some(error))
@@ -201,24 +201,24 @@
 
     /// Applies the record read at an offset.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Applied {
-        match self.position(offset) {
+        match self.check_position(offset) {
             Some(Applied::Gap { .. }) => return self.recover(&record.body),
-            Some(early) => return early,
+            Some(applied) => return applied,
             None => {}
         }
         let applied = match &record.body {
             Body::ConfigChange { base, change } => self.change(record, *base, change),
             Body::Snapshot(_) => Applied::Covered,
-            Body::SnapshotPart(part) if self.tally.saw(part) => Applied::Covered,
+            Body::SnapshotPart(part) if self.seen_parts.add(part) => Applied::Covered,
             Body::SnapshotPart(_) => Applied::Part,
             Body::Lease(_) => Applied::Foreign(None),
         };
-        self.advance(offset, passed_on(record));
+        self.advance(offset, relayed_bytes(record));
         applied
     }
 
     /// Judges the position of a record, unless it is the next one.
-    fn position(&self, offset: Offset) -> Option<Applied> {
+    fn check_position(&self, offset: Offset) -> Option<Applied> {
         if offset < self.next {
             return Some(Applied::Old);
         }
@@ -227,7 +227,7 @@
 
     fn advance(&mut self, offset: Offset, bytes: Vec<u8>) {
         self.next = offset.next();
-        self.assembly.forget(self.next);
+        self.assembly.discard_up_to(self.next);
         self.tail.push_back((offset, bytes));
         while self.tail.len() > TAIL_RECORDS_MAX || self.tail_bytes() > TAIL_BYTES_MAX {
             self.tail.pop_front();
@@ -254,7 +254,7 @@
         if base != self.revision && self.guards.base {
             return Applied::Lost {
                 revision: self.revision,
-                winner: self.winners.get(&base.next()).cloned().map(Box::new),
+                winner: self.accepted.get(&base.next()).cloned().map(Box::new),
             };
         }
         match change.apply(&self.config) {
@@ -273,9 +273,9 @@
             change: change.clone(),
             revision,
         };
-        self.winners.insert(revision, winner);
-        if self.winners.len() > RECENT_MAX {
-            self.winners.pop_first();
+        self.accepted.insert(revision, winner);
+        if self.accepted.len() > RECENT_MAX {
+            self.accepted.pop_first();
         }
         self.recent.push_back(Accepted {
             id: record.id,
@@ -312,9 +312,9 @@
         self.revision = snapshot.revision;
         self.next = snapshot.next;
         self.recent = snapshot.recent.iter().copied().collect();
-        self.winners.clear();
+        self.accepted.clear();
         self.tail.clear();
-        self.assembly.forget(self.next);
+        self.assembly.discard_up_to(self.next);
         true
     }
 
@@ -329,14 +329,14 @@
         if part.set.next <= self.next && self.guards.order {
             return false;
         }
-        let whole = self.assembly.add(part);
-        whole.is_some_and(|snapshot| self.adopt(&snapshot))
+        let completed = self.assembly.add(part);
+        completed.is_some_and(|snapshot| self.adopt(&snapshot))
     }
 
     /// Returns the bytes held of incomplete snapshots.
     #[must_use]
     pub fn incomplete_bytes(&self) -> usize {
-        self.assembly.held()
+        self.assembly.bytes()
     }
 
     fn recover(&mut self, body: &Body) -> Applied {
@@ -368,8 +368,8 @@
 
 // A peer that has all records before a snapshot needs nothing of it but its
 // place; with the text, each snapshot would cost each link a megabyte.
-fn passed_on(record: &Record) -> Vec<u8> {
-    let bare = match &record.body {
+fn relayed_bytes(record: &Record) -> Vec<u8> {
+    let marker = match &record.body {
         Body::Snapshot(snapshot) => SnapshotPart {
             set: SnapshotId {
                 next: snapshot.next,
@@ -379,13 +379,13 @@
             index: 0,
             text: String::new(),
         },
-        Body::SnapshotPart(part) => part.bare(),
+        Body::SnapshotPart(part) => part.without_text(),
         Body::ConfigChange { .. } | Body::Lease(_) => return record.encode(),
     };
     let record = Record {
         id: record.id,
         author: record.author.clone(),
-        body: Body::SnapshotPart(bare),
+        body: Body::SnapshotPart(marker),
     };
     record.encode()
 }
--- a/lib/src/config/model.rs
+++ b/lib/src/config/model.rs
@@ -315,10 +315,10 @@
     }
 
     fn check_accounts(&self) -> Result<(), ConfigError> {
-        let mut owners = BTreeMap::new();
+        let mut key_owners = BTreeMap::new();
         for (name, account) in &self.accounts {
             for key in &account.keys {
-                if let Some(first) = owners.insert(key, name) {
+                if let Some(first) = key_owners.insert(key, name) {
                     return Err(ConfigError::KeyTwice {
                         first: first.clone(),
                         second: name.clone(),
@@ -369,10 +369,10 @@
             }
         }
         for (index, stage) in pipeline.stages.iter().enumerate() {
-            let twice = pipeline.stages[..index]
+            let is_duplicate = pipeline.stages[..index]
                 .iter()
                 .any(|s| s.name == stage.name);
-            if twice {
+            if is_duplicate {
                 return Err(ConfigError::StageTwice {
                     pipeline: name.clone(),
                     stage: stage.name.clone(),
--- a/lib/src/config/parts.rs
+++ b/lib/src/config/parts.rs
@@ -22,7 +22,7 @@
 pub const PART_BYTES_MAX: usize = 192 * 1024;
 
 /// Bytes of a record around a part's text; names have 64 at most.
-const PART_SLACK: usize = 1024;
+const RECORD_OVERHEAD: usize = 1024;
 
 /// The most parts of one snapshot; more than [`INCOMPLETE_BYTES_MAX`] has room for.
 pub const PART_COUNT_MAX: u32 = 128;
@@ -68,7 +68,7 @@
 impl SnapshotPart {
     /// Returns the part without its text.
     #[must_use]
-    pub const fn bare(&self) -> Self {
+    pub const fn without_text(&self) -> Self {
         Self {
             set: self.set,
             index: self.index,
@@ -76,7 +76,7 @@
         }
     }
 
-    const fn is_sound(&self) -> bool {
+    const fn is_valid(&self) -> bool {
         self.index < self.set.count && self.set.count <= PART_COUNT_MAX
     }
 }
@@ -88,8 +88,8 @@
     ///
     /// Panics if the snapshot has no JSON form, as [`Record::encode`] does.
     #[must_use]
-    pub fn parts(&self, most: usize) -> Vec<SnapshotPart> {
-        self.split(&self.text(), most)
+    pub fn parts(&self, max_bytes: usize) -> Vec<SnapshotPart> {
+        self.split(&self.to_json(), max_bytes)
     }
 
     /// Returns the records that hold the snapshot, whole if it is small.
@@ -98,12 +98,12 @@
     ///
     /// Panics if the snapshot has no JSON form, as [`Record::encode`] does.
     pub fn records(&self, author: &Author, mut id: impl FnMut() -> RecordId) -> Vec<Record> {
-        let most = PART_BYTES_MAX - PART_SLACK;
-        let text = self.text();
-        let bodies = if text.len() <= most {
+        let max_bytes = PART_BYTES_MAX - RECORD_OVERHEAD;
+        let text = self.to_json();
+        let bodies = if text.len() <= max_bytes {
             vec![Body::Snapshot(self.clone())]
         } else {
-            let parts = self.split(&text, most);
+            let parts = self.split(&text, max_bytes);
             parts.into_iter().map(Body::SnapshotPart).collect()
         };
         let record = |body| Record {
@@ -114,12 +114,12 @@
         bodies.into_iter().map(record).collect()
     }
 
-    fn text(&self) -> String {
+    fn to_json(&self) -> String {
         serde_json::to_string(self).expect("snapshots have a JSON form")
     }
 
-    fn split(&self, text: &str, most: usize) -> Vec<SnapshotPart> {
-        let texts = pieces(text, most);
+    fn split(&self, text: &str, max_bytes: usize) -> Vec<SnapshotPart> {
+        let texts = split_text(text, max_bytes);
         let set = SnapshotId {
             next: self.next,
             count: u32::try_from(texts.len()).unwrap_or(u32::MAX),
@@ -135,23 +135,23 @@
 }
 
 /// Cuts text into pieces whose JSON strings have at most so many bytes.
-fn pieces(text: &str, most: usize) -> Vec<&str> {
-    let mut pieces = Vec::new();
-    let (mut start, mut cost) = (0, 0);
+fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
+    let mut chunks = Vec::new();
+    let (mut start, mut bytes) = (0, 0);
     for (at, c) in text.char_indices() {
-        let more = escaped(c);
-        if cost + more > most && at > start {
-            pieces.push(&text[start..at]);
-            (start, cost) = (at, 0);
+        let added = escaped_len(c);
+        if bytes + added > max_bytes && at > start {
+            chunks.push(&text[start..at]);
+            (start, bytes) = (at, 0);
         }
-        cost += more;
+        bytes += added;
     }
-    pieces.push(&text[start..]);
-    pieces
+    chunks.push(&text[start..]);
+    chunks
 }
 
 /// Returns the bytes that a character takes in a JSON string.
-const fn escaped(c: char) -> usize {
+const fn escaped_len(c: char) -> usize {
     match c {
         '"' | '\\' => 2,
         '\0'..='\u{1f}' => 6,
@@ -161,46 +161,46 @@
 
 /// Incomplete snapshots, within bounds.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Assembly {
+pub(super) struct SnapshotAssembly {
     sets: BTreeMap<SnapshotId, BTreeMap<u32, String>>,
 }
 
-impl Assembly {
+impl SnapshotAssembly {
     /// Adds a part and returns its snapshot if it was the last one missing.
     pub(super) fn add(&mut self, part: &SnapshotPart) -> Option<Snapshot> {
-        if !part.is_sound() || part.text.is_empty() {
+        if !part.is_valid() || part.text.is_empty() {
             return None;
         }
-        let pieces = self.sets.entry(part.set).or_default();
-        pieces
+        let chunks = self.sets.entry(part.set).or_default();
+        chunks
             .entry(part.index)
             .or_insert_with(|| part.text.clone());
-        if pieces.len() < part.set.count as usize {
-            self.bound();
+        if chunks.len() < part.set.count as usize {
+            self.enforce_bounds();
             return None;
         }
-        let pieces = self.sets.remove(&part.set)?;
-        joined(part.set, &pieces.into_values().collect::<String>())
+        let chunks = self.sets.remove(&part.set)?;
+        join(part.set, &chunks.into_values().collect::<String>())
     }
 
     /// Forgets the snapshots that would bring a state at an offset no further.
-    pub(super) fn forget(&mut self, next: Offset) {
+    pub(super) fn discard_up_to(&mut self, next: Offset) {
         while self.sets.keys().next().is_some_and(|set| set.next <= next) {
             self.sets.pop_first();
         }
     }
 
     /// Returns the bytes held.
-    pub(super) fn held(&self) -> usize {
-        let pieces = self.sets.values().flat_map(BTreeMap::values);
-        pieces.map(String::len).sum()
+    pub(super) fn bytes(&self) -> usize {
+        let chunks = self.sets.values().flat_map(BTreeMap::values);
+        chunks.map(String::len).sum()
     }
 
     // Publishers that stop half-way would leave parts for good, and readers
     // behind retention would run out of memory. The lowest go first: any
     // snapshot that still comes lies higher than those given up.
-    fn bound(&mut self) {
-        while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX || self.held() > INCOMPLETE_BYTES_MAX {
+    fn enforce_bounds(&mut self) {
+        while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX || self.bytes() > INCOMPLETE_BYTES_MAX {
             self.sets.pop_first();
         }
     }
@@ -209,7 +209,7 @@
 // A damaged part would make a state that no process ever had, or one that
 // lies at another offset than it says. The digest covers the whole text, so
 // such a set is dropped; the parts come again with the next offer.
-fn joined(set: SnapshotId, text: &str) -> Option<Snapshot> {
+fn join(set: SnapshotId, text: &str) -> Option<Snapshot> {
     if rapidhash_v3(text.as_bytes()) != set.digest {
         return None;
     }
@@ -219,14 +219,14 @@
 
 /// Which parts of recent snapshots a reader has seen, without their text.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Tally {
+pub(super) struct SeenParts {
     sets: BTreeMap<SnapshotId, BTreeSet<u32>>,
 }
 
-impl Tally {
+impl SeenParts {
     /// Counts a part and tells whether its snapshot is now whole.
-    pub(super) fn saw(&mut self, part: &SnapshotPart) -> bool {
-        if !part.is_sound() {
+    pub(super) fn add(&mut self, part: &SnapshotPart) -> bool {
+        if !part.is_valid() {
             return false;
         }
         let seen = self.sets.entry(part.set).or_default();
--- a/lib/src/journal/entry.rs
+++ b/lib/src/journal/entry.rs
@@ -161,10 +161,10 @@
     #[must_use]
     pub fn most_delayed(&self, now: Time) -> Option<&Attempt> {
         let now = self.end_or(now);
-        let over = |a: &&Attempt| {
+        let delay = |a: &&Attempt| {
             let predicted = a.decision.chosen.predicted;
             a.elapsed(now).saturating_sub(predicted)
         };
-        self.attempts.iter().max_by_key(over)
+        self.attempts.iter().max_by_key(delay)
     }
 }
--- a/lib/src/journal/mod.rs
+++ b/lib/src/journal/mod.rs
@@ -28,19 +28,19 @@
 use crate::units::Bytes;
 
 /// The alternatives kept with a decision.
-const OTHERS_MAX: usize = 2;
+const ALTERNATIVES_MAX: usize = 2;
 
 /// The bytes kept of the ground for a choice.
-const WHY_MAX: usize = 64;
+const WHY_BYTES_MAX: usize = 64;
 
 /// What an entry costs in the tree and the queue, beside its own fields.
 ///
 /// A tree node is at least five of eleven slots full, so a slot costs at most
 /// 2.2 times its content; the queue doubles when it grows.
-const SLOT: usize = 2 * size_of::<Request>() + 4 * size_of::<RequestId>();
+const ENTRY_OVERHEAD: usize = 2 * size_of::<Request>() + 4 * size_of::<RequestId>();
 
 /// What an allocation costs beside its content.
-const ALLOCATION: usize = 16;
+const ALLOCATION_OVERHEAD: usize = 16;
 
 /// A bounded record of requests.
 #[derive(Debug, Clone)]
@@ -94,15 +94,15 @@
 
     /// Records where an attempt was sent.
     pub fn on_decision(&mut self, now: Time, id: RequestId, mut decision: Decision) {
-        decision.others.truncate(OTHERS_MAX);
+        decision.others.truncate(ALTERNATIVES_MAX);
         decision.others.shrink_to_fit();
-        shorten(&mut decision.why);
+        truncate_why(&mut decision.why);
         let size = decision_size(&decision);
-        let room = self.make_room(size);
+        let has_room = self.make_room(size);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !room || request.attempts.len() >= ATTEMPTS_MAX {
+        if !has_room || request.attempts.len() >= ATTEMPTS_MAX {
             request.unrecorded += 1;
             return;
         }
@@ -220,16 +220,16 @@
     }
 }
 
-fn shorten(text: &mut String) {
-    if text.len() > WHY_MAX {
-        let cut = text.floor_char_boundary(WHY_MAX);
+fn truncate_why(text: &mut String) {
+    if text.len() > WHY_BYTES_MAX {
+        let cut = text.floor_char_boundary(WHY_BYTES_MAX);
         text.truncate(cut);
     }
     text.shrink_to_fit();
 }
 
 fn text_size(len: usize) -> usize {
-    len + ALLOCATION
+    len + ALLOCATION_OVERHEAD
 }
 
 fn base_size(accepted: &Accepted) -> usize {
@@ -238,7 +238,7 @@
         accepted.kind.as_str(),
         accepted.pipeline.as_str(),
     ];
-    SLOT + texts.iter().map(|t| text_size(t.len())).sum::<usize>()
+    ENTRY_OVERHEAD + texts.iter().map(|t| text_size(t.len())).sum::<usize>()
 }
 
 fn decision_size(decision: &Decision) -> usize {
@@ -253,7 +253,7 @@
         + text_size(decision.chosen.endpoint.as_str().len())
         + text_size(decision.why.len())
         + others
-        + ALLOCATION
+        + ALLOCATION_OVERHEAD
 }
 
 fn request_size(request: &Request) -> usize {
--- a/lib/src/journal/route.rs
+++ b/lib/src/journal/route.rs
@@ -54,8 +54,8 @@
         };
         let others = others.iter().flatten();
         let running = self.get(*request).is_some_and(|r| {
-            let same = |a: &super::Attempt| a.decision.stage == stage.name && a.end.is_none();
-            r.attempts.iter().any(same)
+            let same_stage = |a: &super::Attempt| a.decision.stage == stage.name && a.end.is_none();
+            r.attempts.iter().any(same_stage)
         });
         let decision = Decision {
             stage: stage.name.clone(),
--- a/lib/src/log/backoff.rs
+++ b/lib/src/log/backoff.rs
@@ -6,13 +6,13 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The first pause.
-const FLOOR: Duration = Duration::from_millis(100);
+const PAUSE_MIN: Duration = Duration::from_millis(100);
 
 /// The longest pause.
 ///
 /// A change has 4 s to be in force everywhere, so after an outage every
 /// process has to try again well within that.
-const CEILING: Duration = Duration::from_secs(2);
+const PAUSE_MAX: Duration = Duration::from_secs(2);
 
 /// Pauses that double with each failure, with jitter.
 #[derive(Debug, Clone)]
@@ -42,9 +42,9 @@
     /// the same moment, again and again. Half of each pause is random, which
     /// spreads them over it.
     pub fn failed(&mut self) -> Duration {
-        let doubled = FLOOR.saturating_mul(1 << self.failures.min(8));
+        let doubled = PAUSE_MIN.saturating_mul(1 << self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
-        let longest = doubled.min(CEILING);
+        let longest = doubled.min(PAUSE_MAX);
         longest.mul_f64(self.rng.random_range(0.5..1.0))
     }
 }
--- a/lib/src/log/follower.rs
+++ b/lib/src/log/follower.rs
@@ -11,13 +11,13 @@
 use crate::units::Bytes;
 
 /// How long the service may hold a read that finds nothing.
-const WAIT: Duration = Duration::from_secs(20);
+const READ_WAIT: Duration = Duration::from_secs(20);
 
 /// The pause after a read that found nothing.
 const EMPTY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The most bytes of one read.
-const LIMIT: Bytes = Bytes(1024 * 1024);
+const READ_BYTES_MAX: Bytes = Bytes(1024 * 1024);
 
 /// What a read brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -45,10 +45,10 @@
 pub struct Follower {
     topic: Topic,
     next: Offset,
-    flying: Option<Offset>,
-    resume: Time,
+    in_flight: Option<Offset>,
+    next_attempt: Time,
     backoff: Backoff,
-    heard: Option<Time>,
+    last_response: Option<Time>,
 }
 
 impl Follower {
@@ -58,10 +58,10 @@
         Self {
             topic,
             next,
-            flying: None,
-            resume: Time::ZERO,
+            in_flight: None,
+            next_attempt: Time::ZERO,
             backoff: Backoff::new(seed),
-            heard: None,
+            last_response: None,
         }
     }
 
@@ -73,8 +73,8 @@
 
     /// Returns when the service last answered a read, if ever.
     #[must_use]
-    pub const fn heard(&self) -> Option<Time> {
-        self.heard
+    pub const fn last_response(&self) -> Option<Time> {
+        self.last_response
     }
 
     /// Reads on from an offset, after a snapshot or a peer brought the state there.
@@ -85,10 +85,10 @@
     /// Returns when [`Self::poll`] may next have a read.
     #[must_use]
     pub const fn wake(&self) -> Time {
-        if self.flying.is_some() {
+        if self.in_flight.is_some() {
             return Time::NEVER;
         }
-        self.resume
+        self.next_attempt
     }
 
     /// Returns the next read, if one is due.
@@ -96,25 +96,25 @@
         if self.wake() > now {
             return None;
         }
-        self.flying = Some(self.next);
+        self.in_flight = Some(self.next);
         Some(Read {
             topic: self.topic.clone(),
             from: self.next,
-            wait: WAIT,
-            limit: LIMIT,
+            wait: READ_WAIT,
+            limit: READ_BYTES_MAX,
         })
     }
 
     /// Takes the end of the read under way.
     pub fn on_read_end(&mut self, now: Time, end: ReadEnd) -> FollowOutcome {
-        let from = self.flying.take().unwrap_or(self.next);
+        let from = self.in_flight.take().unwrap_or(self.next);
         match end {
             ReadEnd::Records {
                 first,
                 end,
                 records,
             } => {
-                self.answer_came(now);
+                self.on_response(now);
                 let offsets = (from.0..).map(Offset);
                 let records: Vec<_> = offsets.zip(records).collect();
                 // After a seek while the read was under way, the seek stands:
@@ -124,7 +124,7 @@
                 }
                 // A service that doesn't hold reads would be asked without end.
                 if records.is_empty() {
-                    self.resume = now + EMPTY_PAUSE;
+                    self.next_attempt = now + EMPTY_PAUSE;
                 }
                 FollowOutcome::Records {
                     records,
@@ -133,20 +133,20 @@
                 }
             }
             ReadEnd::Gone { first } => {
-                self.answer_came(now);
+                self.on_response(now);
                 self.next = self.next.max(first);
                 FollowOutcome::Behind { first }
             }
             ReadEnd::Failed => {
-                self.resume = now + self.backoff.failed();
+                self.next_attempt = now + self.backoff.failed();
                 FollowOutcome::Failed
             }
         }
     }
 
-    const fn answer_came(&mut self, now: Time) {
+    const fn on_response(&mut self, now: Time) {
         self.backoff.succeeded();
-        self.resume = now;
-        self.heard = Some(now);
+        self.next_attempt = now;
+        self.last_response = Some(now);
     }
 }
--- a/lib/src/log/publisher.rs
+++ b/lib/src/log/publisher.rs
@@ -18,7 +18,7 @@
 pub const BATCH_BYTES: usize = 256 * 1024;
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct QueuedRecord {
     id: RecordId,
     bytes: Vec<u8>,
 }
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone)]
 pub struct Publisher {
     topic: Topic,
-    queue: VecDeque<Waiting>,
-    flying: usize,
-    resume: Time,
+    queue: VecDeque<QueuedRecord>,
+    in_flight: usize,
+    next_attempt: Time,
     backoff: Backoff,
 }
 
@@ -45,15 +45,15 @@
         Self {
             topic,
             queue: VecDeque::new(),
-            flying: 0,
-            resume: Time::ZERO,
+            in_flight: 0,
+            next_attempt: Time::ZERO,
             backoff: Backoff::new(seed),
         }
     }
 
     /// Queues a record.
     pub fn submit(&mut self, record: &Record) {
-        self.queue.push_back(Waiting {
+        self.queue.push_back(QueuedRecord {
             id: record.id,
             bytes: record.encode(),
         });
@@ -68,10 +68,10 @@
     /// Returns when [`Self::poll`] may next have an append.
     #[must_use]
     pub fn wake(&self) -> Time {
-        if self.queue.is_empty() || self.flying > 0 {
+        if self.queue.is_empty() || self.in_flight > 0 {
             return Time::NEVER;
         }
-        self.resume
+        self.next_attempt
     }
 
     /// Returns the next append, if one is due.
@@ -79,8 +79,8 @@
         if self.wake() > now {
             return None;
         }
-        self.flying = self.batch_len();
-        let batch = self.queue.iter().take(self.flying);
+        self.in_flight = self.batch_len();
+        let batch = self.queue.iter().take(self.in_flight);
         Some(Append {
             topic: self.topic.clone(),
             records: batch.map(|w| w.bytes.clone()).collect(),
@@ -98,21 +98,22 @@
 
     /// Takes the end of the append under way, and returns where it stands.
     pub fn on_append_end(&mut self, now: Time, end: &AppendEnd) -> Option<Offset> {
-        let flying = std::mem::take(&mut self.flying);
+        let in_flight = std::mem::take(&mut self.in_flight);
         match end {
             AppendEnd::Done { offset } => {
-                self.queue.drain(..flying.min(self.queue.len()));
+                self.queue.drain(..in_flight.min(self.queue.len()));
                 self.backoff.succeeded();
-                self.resume = now;
+                self.next_attempt = now;
                 Some(*offset)
             }
             AppendEnd::NotDone { retry_after } => {
                 let pause = self.backoff.failed();
-                self.resume = now + retry_after.map_or(pause, |asked| asked.max(pause));
+                self.next_attempt =
+                    now + retry_after.map_or(pause, |requested| requested.max(pause));
                 None
             }
             AppendEnd::Unanswered => {
-                self.resume = now + self.backoff.failed();
+                self.next_attempt = now + self.backoff.failed();
                 None
             }
         }
@@ -123,8 +124,8 @@
         // The batch under way is a prefix of the queue; its length must follow.
         if let Some(index) = self.queue.iter().position(|w| w.id == id) {
             self.queue.remove(index);
-            if index < self.flying {
-                self.flying -= 1;
+            if index < self.in_flight {
+                self.in_flight -= 1;
             }
         }
     }
--- a/lib/src/membership/detector.rs
+++ b/lib/src/membership/detector.rs
@@ -10,7 +10,7 @@
 use crate::time::Time;
 
 /// Heartbeats sent whose echo is awaited; more add no evidence.
-const AWAITED_MAX: usize = 8;
+const PENDING_ECHOES_MAX: usize = 8;
 
 /// The weight of a new gap in the mean: one in eight, as TCP does for round trips.
 const MEAN_GAIN: f64 = 0.125;
@@ -19,10 +19,10 @@
 const DEVIATION_GAIN: f64 = 0.25;
 
 /// Deviations above the mean until a peer counts as slow.
-const DEVIATIONS: f64 = 4.0;
+const SLOW_DEVIATIONS: f64 = 4.0;
 
 /// Timeouts of "slow" that make a silent peer cut off.
-const GONE_FACTOR: u32 = 3;
+const UNREACHABLE_FACTOR: u32 = 3;
 
 /// The most extra heartbeats that a flapping peer must show before it is alive.
 const PENALTY_MAX: u32 = 8;
@@ -32,7 +32,7 @@
 
 /// The bounds within which timeouts adapt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timing {
+pub struct TimeoutBounds {
     /// The interval expected before any heartbeat was seen.
     pub interval: Duration,
     /// The shortest silence that makes a peer slow.
@@ -40,16 +40,16 @@
     /// The longest silence that a peer survives as alive.
     pub slow_max: Duration,
     /// The longest silence before a peer is cut off.
-    pub gone_max: Duration,
+    pub unreachable_max: Duration,
 }
 
-impl Default for Timing {
+impl Default for TimeoutBounds {
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(500),
             slow_min: Duration::from_millis(1_250),
             slow_max: Duration::from_secs(6),
-            gone_max: Duration::from_secs(15),
+            unreachable_max: Duration::from_secs(15),
         }
     }
 }
@@ -110,8 +110,8 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Watch {
-    Off,
+enum LinkState {
+    Unwatched,
     Unlinked,
     Linked,
 }
@@ -119,44 +119,44 @@
 /// Judges one peer by its heartbeats, its echoes and its links.
 #[derive(Debug, Clone)]
 pub struct Detector {
-    timing: Timing,
+    timing: TimeoutBounds,
     state: PeerState,
-    since: Time,
+    state_since: Time,
     incarnation: Option<Incarnation>,
-    seq: u64,
-    heard: Time,
-    mean: f64,
-    deviation: f64,
-    awaited: VecDeque<(u64, Time)>,
-    echoed: u64,
-    watch: Watch,
+    seen_seq: u64,
+    last_heard: Time,
+    mean_gap: f64,
+    gap_deviation: f64,
+    pending_echoes: VecDeque<(u64, Time)>,
+    echoed_seq: u64,
+    link: LinkState,
     refused: bool,
     unlisted: bool,
-    owed: u32,
-    penalty: u32,
+    probation: u32,
+    flap_penalty: u32,
 }
 
 impl Detector {
     /// Starts with a peer that was never heard.
     #[must_use]
-    pub fn new(timing: Timing) -> Self {
+    pub fn new(timing: TimeoutBounds) -> Self {
         let interval = timing.interval.as_secs_f64();
         Self {
             timing,
             state: PeerState::Unheard,
-            since: Time::ZERO,
+            state_since: Time::ZERO,
             incarnation: None,
-            seq: 0,
-            heard: Time::ZERO,
-            mean: interval,
-            deviation: interval / 4.0,
-            awaited: VecDeque::new(),
-            echoed: 0,
-            watch: Watch::Off,
+            seen_seq: 0,
+            last_heard: Time::ZERO,
+            mean_gap: interval,
+            gap_deviation: interval / 4.0,
+            pending_echoes: VecDeque::new(),
+            echoed_seq: 0,
+            link: LinkState::Unwatched,
             refused: false,
             unlisted: false,
-            owed: 0,
-            penalty: 0,
+            probation: 0,
+            flap_penalty: 0,
         }
     }
 
@@ -174,63 +174,63 @@
 
     /// Returns the highest heartbeat seen on the current link.
     #[must_use]
-    pub const fn seen(&self) -> u64 {
-        self.seq
+    pub const fn seen_seq(&self) -> u64 {
+        self.seen_seq
     }
 
     /// Returns the highest of our heartbeats that the peer has seen on this link.
     #[must_use]
-    pub const fn echoed(&self) -> u64 {
-        self.echoed
+    pub const fn echoed_seq(&self) -> u64 {
+        self.echoed_seq
     }
 
     /// Returns the silence after which the peer is slow.
     #[must_use]
     pub fn slow_after(&self) -> Duration {
-        let adapted = Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation);
+        let adapted = Duration::from_secs_f64(self.mean_gap + SLOW_DEVIATIONS * self.gap_deviation);
         adapted.clamp(self.timing.slow_min, self.timing.slow_max)
     }
 
     /// Returns the silence after which the peer is cut off.
     #[must_use]
-    pub fn gone_after(&self) -> Duration {
-        (self.slow_after() * GONE_FACTOR).min(self.timing.gone_max)
+    pub fn unreachable_after(&self) -> Duration {
+        (self.slow_after() * UNREACHABLE_FACTOR).min(self.timing.unreachable_max)
     }
 
     /// Takes in a new link on which the peer said hello.
-    pub fn link_up(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
-        let heard = self.admit(now, incarnation);
-        if heard == HeartbeatVerdict::Superseded {
-            return heard;
+    pub fn on_link_up(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
+        let verdict = self.check_incarnation(now, incarnation);
+        if verdict == HeartbeatVerdict::Superseded {
+            return verdict;
         }
         if self.state == PeerState::Left {
-            self.set(now, PeerState::Slow);
+            self.set_state(now, PeerState::Slow);
         }
         // Sequence numbers count from 1 on each link.
-        self.seq = 0;
-        self.awaited.clear();
-        self.echoed = 0;
-        self.watch = Watch::Linked;
+        self.seen_seq = 0;
+        self.pending_echoes.clear();
+        self.echoed_seq = 0;
+        self.link = LinkState::Linked;
         self.refused = false;
-        self.heard = now;
-        self.judge(now);
-        heard
+        self.last_heard = now;
+        self.update_state(now);
+        verdict
     }
 
     /// Takes in the end of the link, or of an attempt to dial.
-    pub fn link_down(&mut self, now: Time, end: LinkEnd) {
+    pub fn on_link_down(&mut self, now: Time, end: LinkEnd) {
         // A node that never answers a dial must not stay a candidate: its
         // silence counts from the first failure.
-        if self.watch == Watch::Off {
-            self.heard = now;
+        if self.link == LinkState::Unwatched {
+            self.last_heard = now;
         }
-        self.watch = Watch::Unlinked;
-        self.awaited.clear();
+        self.link = LinkState::Unlinked;
+        self.pending_echoes.clear();
         // Only the host itself can refuse: the process is gone while its host
         // answers. A reset or a timeout may be the network's doing, and taking
         // it as death would make every partition look like a mass failure.
         self.refused |= end == LinkEnd::Refused;
-        self.judge(now);
+        self.update_state(now);
     }
 
     /// Stops watching the peer, for a link given up by choice.
@@ -238,68 +238,72 @@
         let fresh = Self::new(self.timing);
         *self = Self {
             state: self.state,
-            since: self.since,
+            state_since: self.state_since,
             incarnation: self.incarnation,
             unlisted: self.unlisted,
-            penalty: self.penalty,
+            flap_penalty: self.flap_penalty,
             ..fresh
         };
-        self.set(now, PeerState::Unheard);
+        self.set_state(now, PeerState::Unheard);
     }
 
     /// Takes in a heartbeat.
-    pub fn heard(&mut self, now: Time, beat: PeerHeartbeat) -> HeartbeatVerdict {
-        let heard = self.admit(now, beat.incarnation);
-        if heard == HeartbeatVerdict::Superseded {
-            return heard;
+    pub fn on_heartbeat(&mut self, now: Time, heartbeat: PeerHeartbeat) -> HeartbeatVerdict {
+        let verdict = self.check_incarnation(now, heartbeat.incarnation);
+        if verdict == HeartbeatVerdict::Superseded {
+            return verdict;
         }
-        if beat.seq <= self.seq {
+        if heartbeat.seq <= self.seen_seq {
             return HeartbeatVerdict::Repeated;
         }
-        self.observe(now);
-        self.seq = beat.seq;
-        self.heard = now;
+        self.observe_gap(now);
+        self.seen_seq = heartbeat.seq;
+        self.last_heard = now;
         self.refused = false;
-        self.watch = Watch::Linked;
-        self.echoed = self.echoed.max(beat.seen);
-        while self.awaited.front().is_some_and(|a| a.0 <= beat.seen) {
-            self.awaited.pop_front();
+        self.link = LinkState::Linked;
+        self.echoed_seq = self.echoed_seq.max(heartbeat.seen);
+        while self
+            .pending_echoes
+            .front()
+            .is_some_and(|a| a.0 <= heartbeat.seen)
+        {
+            self.pending_echoes.pop_front();
         }
-        self.owed = self.owed.saturating_sub(1);
-        self.judge(now);
-        heard
+        self.probation = self.probation.saturating_sub(1);
+        self.update_state(now);
+        verdict
     }
 
     /// Notes a heartbeat sent to the peer, whose echo is then awaited.
-    pub fn sent(&mut self, now: Time, seq: u64) {
-        if self.awaited.len() < AWAITED_MAX {
-            self.awaited.push_back((seq, now));
+    pub fn on_heartbeat_sent(&mut self, now: Time, seq: u64) {
+        if self.pending_echoes.len() < PENDING_ECHOES_MAX {
+            self.pending_echoes.push_back((seq, now));
         }
     }
 
     /// Takes in a goodbye of one life of the peer.
-    pub fn goodbye(&mut self, now: Time, incarnation: Incarnation) {
+    pub fn on_goodbye(&mut self, now: Time, incarnation: Incarnation) {
         // A goodbye of an earlier life, arriving late, must not end this one.
         if self.incarnation.is_some_and(|i| i > incarnation) {
             return;
         }
         self.incarnation = Some(incarnation);
-        self.watch = Watch::Unlinked;
-        self.set(now, PeerState::Left);
+        self.link = LinkState::Unlinked;
+        self.set_state(now, PeerState::Left);
     }
 
     /// Notes whether the host list or the settings still name the peer.
-    pub fn listed(&mut self, now: Time, listed: bool) {
+    pub fn set_listed(&mut self, now: Time, listed: bool) {
         self.unlisted = !listed;
-        self.judge(now);
+        self.update_state(now);
     }
 
     /// Moves the state on with time and returns it.
     pub fn tick(&mut self, now: Time) -> PeerState {
-        self.judge(now);
-        if self.state == PeerState::Alive && now.since(self.since) >= PENALTY_DECAY {
-            self.penalty = self.penalty.saturating_sub(1);
-            self.since = now;
+        self.update_state(now);
+        if self.state == PeerState::Alive && now.since(self.state_since) >= PENALTY_DECAY {
+            self.flap_penalty = self.flap_penalty.saturating_sub(1);
+            self.state_since = now;
         }
         self.state
     }
@@ -307,17 +311,17 @@
     /// Returns when silence next changes the state.
     #[must_use]
     pub fn next_check(&self) -> Time {
-        let slow = self.heard + self.slow_after();
-        let gone = self.heard + self.gone_after();
+        let slow = self.last_heard + self.slow_after();
+        let gone = self.last_heard + self.unreachable_after();
         let step = Duration::from_micros(1);
         match self.state {
-            PeerState::Alive => slow.min(self.echo_due()) + step,
-            PeerState::Slow => gone.min(self.echo_due()) + step,
+            PeerState::Alive => slow.min(self.echo_deadline()) + step,
+            PeerState::Slow => gone.min(self.echo_deadline()) + step,
             _ => Time::NEVER,
         }
     }
 
-    fn admit(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
+    fn check_incarnation(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
         let Some(known) = self.incarnation else {
             self.incarnation = Some(incarnation);
             return HeartbeatVerdict::Fresh;
@@ -332,70 +336,70 @@
         // between two starts gives one, and refusing it would keep a live node
         // out for good.
         let over = matches!(self.state, PeerState::Dead | PeerState::Left)
-            && now.since(self.since) >= self.gone_after();
+            && now.since(self.state_since) >= self.unreachable_after();
         if incarnation < known && !over {
             return HeartbeatVerdict::Superseded;
         }
-        self.begin(now, incarnation);
+        self.restart(now, incarnation);
         HeartbeatVerdict::Restarted { from: known }
     }
 
-    fn begin(&mut self, now: Time, incarnation: Incarnation) {
+    fn restart(&mut self, now: Time, incarnation: Incarnation) {
         let fresh = Self::new(self.timing);
         // A restart after a goodbye was planned and tells nothing of the network.
         let planned = self.state == PeerState::Left;
-        let penalty = (self.penalty + u32::from(!planned)).min(PENALTY_MAX);
-        let owed = if planned { 0 } else { penalty };
+        let penalty = (self.flap_penalty + u32::from(!planned)).min(PENALTY_MAX);
+        let probation = if planned { 0 } else { penalty };
         *self = Self {
             state: self.state,
-            since: self.since,
+            state_since: self.state_since,
             incarnation: Some(incarnation),
-            heard: now,
-            watch: Watch::Linked,
+            last_heard: now,
+            link: LinkState::Linked,
             unlisted: self.unlisted,
-            owed,
-            penalty,
+            probation,
+            flap_penalty: penalty,
             ..fresh
         };
         if self.state == PeerState::Left {
-            self.set(now, PeerState::Slow);
+            self.set_state(now, PeerState::Slow);
         }
     }
 
-    fn observe(&mut self, now: Time) {
-        if self.seq == 0 {
+    fn observe_gap(&mut self, now: Time) {
+        if self.seen_seq == 0 {
             return;
         }
         // A pause of an hour would otherwise make every later death take
         // minutes to see.
-        let gap = now.since(self.heard).min(self.timing.slow_max);
-        let error = gap.as_secs_f64() - self.mean;
-        self.mean += MEAN_GAIN * error;
-        self.deviation += DEVIATION_GAIN * (error.abs() - self.deviation);
+        let gap = now.since(self.last_heard).min(self.timing.slow_max);
+        let error = gap.as_secs_f64() - self.mean_gap;
+        self.mean_gap += MEAN_GAIN * error;
+        self.gap_deviation += DEVIATION_GAIN * (error.abs() - self.gap_deviation);
     }
 
-    fn echo_due(&self) -> Time {
-        let oldest = self.awaited.front();
-        oldest.map_or(Time::NEVER, |a| a.1 + self.gone_after())
+    fn echo_deadline(&self) -> Time {
+        let oldest = self.pending_echoes.front();
+        oldest.map_or(Time::NEVER, |a| a.1 + self.unreachable_after())
     }
 
-    fn judge(&mut self, now: Time) {
-        let next = self.verdict(now);
-        self.set(now, next);
+    fn update_state(&mut self, now: Time) {
+        let next = self.evaluate(now);
+        self.set_state(now, next);
     }
 
-    fn verdict(&self, now: Time) -> PeerState {
+    fn evaluate(&self, now: Time) -> PeerState {
         if self.state == PeerState::Left {
             return PeerState::Left;
         }
         if self.refused {
             return PeerState::Dead;
         }
-        if self.watch == Watch::Off {
+        if self.link == LinkState::Unwatched {
             return PeerState::Unheard;
         }
-        let silence = now.since(self.heard);
-        if silence > self.gone_after() {
+        let silence = now.since(self.last_heard);
+        if silence > self.unreachable_after() {
             let ended = self.unlisted || self.state == PeerState::Dead;
             return if ended {
                 PeerState::Dead
@@ -405,26 +409,26 @@
         }
         // Its heartbeats come but ours don't reach it: calls would be lost on
         // the way, so it must not look alive.
-        if now > self.echo_due() {
+        if now > self.echo_deadline() {
             return PeerState::CutOff;
         }
-        if silence > self.slow_after() || self.watch == Watch::Unlinked || self.owed > 0 {
+        if silence > self.slow_after() || self.link == LinkState::Unlinked || self.probation > 0 {
             return PeerState::Slow;
         }
         PeerState::Alive
     }
 
-    fn set(&mut self, now: Time, next: PeerState) {
+    fn set_state(&mut self, now: Time, next: PeerState) {
         if next == self.state {
             return;
         }
         if self.state == PeerState::Alive && next != PeerState::Left {
             // Each loss of "alive" makes the next return dearer, which bounds
             // how often a peer on a bad network can flap.
-            self.penalty = (self.penalty + 1).min(PENALTY_MAX);
-            self.owed = self.penalty;
+            self.flap_penalty = (self.flap_penalty + 1).min(PENALTY_MAX);
+            self.probation = self.flap_penalty;
         }
         self.state = next;
-        self.since = now;
+        self.state_since = now;
     }
 }
--- a/lib/src/membership/subset.rs
+++ b/lib/src/membership/subset.rs
@@ -23,7 +23,7 @@
 
 /// Where a node stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct NodeLocation {
     /// The node.
     pub node: NodeId,
     /// Its failure domain.
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
     /// Where it stands.
-    pub place: Place,
+    pub location: NodeLocation,
     /// Whether it may get a new link now.
     pub usable: bool,
 }
@@ -59,32 +59,36 @@
 /// candidates. A node that comes or goes changes only the sets in which it
 /// ranks.
 #[must_use]
-pub fn choose(me: &Place, candidates: &[Candidate], degree: usize) -> BTreeSet<NodeId> {
-    let mut ranked: Vec<&Place> = usable(candidates).collect();
+pub fn choose_peers(
+    me: &NodeLocation,
+    candidates: &[Candidate],
+    degree: usize,
+) -> BTreeSet<NodeId> {
+    let mut ranked: Vec<&NodeLocation> = usable(candidates).collect();
     ranked.sort_by_cached_key(|p| (p.region != me.region, rank(&me.node, &p.node)));
-    let share = degree.div_ceil(2);
-    let mut taken: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
+    let domain_max = degree.div_ceil(2);
+    let mut per_domain: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
     let mut chosen = BTreeSet::new();
-    let mut passed = Vec::new();
-    for place in ranked {
+    let mut skipped = Vec::new();
+    for location in ranked {
         if chosen.len() == degree {
             return chosen;
         }
-        let count = taken.entry(&place.domain).or_default();
-        if *count == share {
-            passed.push(place);
+        let count = per_domain.entry(&location.domain).or_default();
+        if *count == domain_max {
+            skipped.push(location);
             continue;
         }
         *count += 1;
-        chosen.insert(place.node.clone());
+        chosen.insert(location.node.clone());
     }
     let missing = degree - chosen.len().min(degree);
-    chosen.extend(passed.iter().take(missing).map(|p| p.node.clone()));
+    chosen.extend(skipped.iter().take(missing).map(|p| p.node.clone()));
     chosen
 }
 
-fn usable(candidates: &[Candidate]) -> impl Iterator<Item = &Place> {
-    candidates.iter().filter(|c| c.usable).map(|c| &c.place)
+fn usable(candidates: &[Candidate]) -> impl Iterator<Item = &NodeLocation> {
+    candidates.iter().filter(|c| c.usable).map(|c| &c.location)
 }
 
 fn rank(from: &NodeId, to: &NodeId) -> u64 {
@@ -94,7 +98,7 @@
 
 /// One step towards the chosen set.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum SubsetChange {
     /// Link to the node.
     Add(NodeId),
     /// Drop the link, once its calls are done.
@@ -105,7 +109,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Subset {
     links: BTreeSet<NodeId>,
-    moved: Time,
+    last_shift: Time,
 }
 
 impl Subset {
@@ -124,12 +128,12 @@
     pub fn plan(
         &mut self,
         now: Time,
-        me: &Place,
+        me: &NodeLocation,
         candidates: &[Candidate],
         degree: usize,
         period: Duration,
-    ) -> Vec<Change> {
-        let target = choose(me, candidates, degree);
+    ) -> Vec<SubsetChange> {
+        let target = choose_peers(me, candidates, degree);
         let usable: BTreeSet<&NodeId> = usable(candidates).map(|p| &p.node).collect();
         let lost: Vec<NodeId> = self
             .links
@@ -140,18 +144,18 @@
         let mut changes = Vec::new();
         for node in lost {
             self.links.remove(&node);
-            changes.push(Change::Drop(node));
+            changes.push(SubsetChange::Drop(node));
         }
         let missing: Vec<NodeId> = target.difference(&self.links).cloned().collect();
         let room = target.len().saturating_sub(self.links.len());
         for node in missing.iter().take(room) {
             self.links.insert(node.clone());
-            changes.push(Change::Add(node.clone()));
+            changes.push(SubsetChange::Add(node.clone()));
         }
-        if now.since(self.moved) >= period
+        if now.since(self.last_shift) >= period
             && self.shift(&missing[room.min(missing.len())..], &target, &mut changes)
         {
-            self.moved = now;
+            self.last_shift = now;
         }
         changes
     }
@@ -160,7 +164,7 @@
         &mut self,
         missing: &[NodeId],
         target: &BTreeSet<NodeId>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<SubsetChange>,
     ) -> bool {
         let surplus = self.links.difference(target).next().cloned();
         let Some(old) = surplus else {
@@ -168,10 +172,10 @@
         };
         if let Some(new) = missing.first() {
             self.links.insert(new.clone());
-            changes.push(Change::Add(new.clone()));
+            changes.push(SubsetChange::Add(new.clone()));
         }
         self.links.remove(&old);
-        changes.push(Change::Drop(old));
+        changes.push(SubsetChange::Drop(old));
         true
     }
 }
--- a/lib/src/membership/view/member.rs
+++ b/lib/src/membership/view/member.rs
@@ -8,17 +8,17 @@
 use crate::membership::LinkId;
 use crate::membership::ListedNode;
 use crate::membership::NodeKind;
+use crate::membership::NodeLocation;
 use crate::membership::PeerState;
-use crate::membership::Place;
 use crate::membership::Profile;
-use crate::membership::Timing;
+use crate::membership::TimeoutBounds;
 use crate::time::Time;
 
 /// The time between two probes of a node that is gone or of unknown pool.
-const PROBE_GAP: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The time between two probes of an address that another link contradicts.
-const DOUBT_GAP: Duration = Duration::from_secs(5);
+const CONFLICT_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// One node as the view knows it.
 #[derive(Debug, Clone)]
@@ -31,33 +31,33 @@
     pub draining: bool,
     pub(super) detector: Detector,
     pub(super) link: Option<LinkId>,
-    pub(super) seq: u64,
-    pub(super) told: Option<u64>,
+    pub(super) sent_seq: u64,
+    pub(super) drain_seq: Option<u64>,
     /// The interval that the peer asks for, so that its own bytes stay bounded.
-    pub(super) pace: Duration,
-    pub(super) due: Time,
+    pub(super) peer_interval: Duration,
+    pub(super) next_heartbeat: Time,
     pub(super) listed: bool,
     /// The address that the host list gives, which may differ from the own one.
-    pub(super) hinted: SocketAddr,
-    pub(super) probed: Time,
+    pub(super) listed_address: SocketAddr,
+    pub(super) last_probe: Time,
     pub(super) full_until: Time,
 }
 
 impl Member {
-    pub(super) fn new(profile: Profile, timing: Timing) -> Self {
+    pub(super) fn new(profile: Profile, timing: TimeoutBounds) -> Self {
         Self {
-            hinted: profile.address,
+            listed_address: profile.address,
             profile,
             leaving: false,
             draining: false,
             detector: Detector::new(timing),
             link: None,
-            seq: 0,
-            told: None,
-            pace: Duration::ZERO,
-            due: Time::ZERO,
+            sent_seq: 0,
+            drain_seq: None,
+            peer_interval: Duration::ZERO,
+            next_heartbeat: Time::ZERO,
             listed: false,
-            probed: Time::ZERO,
+            last_probe: Time::ZERO,
             full_until: Time::ZERO,
         }
     }
@@ -82,7 +82,7 @@
 
     /// Tells whether new work may go to the peer.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.state() == PeerState::Alive && !self.draining && !self.leaving
     }
 
@@ -98,45 +98,47 @@
     }
 
     /// Takes in what the host list says now, which a hello outranks.
-    pub(super) fn hint(&mut self, now: Time, hint: ListedNode) {
-        self.hinted = hint.profile.address;
+    pub(super) fn apply_listed(&mut self, now: Time, entry: ListedNode) {
+        self.listed_address = entry.profile.address;
         if self.link.is_none() {
             // The pool is kept: the list may not know it, and the node said it.
-            let pool = hint
+            let pool = entry
                 .profile
                 .pool
                 .clone()
                 .or_else(|| self.profile.pool.take());
-            let endpoint = self.profile.endpoint.take().or(hint.profile.endpoint);
+            let endpoint = self.profile.endpoint.take().or(entry.profile.endpoint);
             self.profile = Profile {
                 pool,
                 endpoint,
-                ..hint.profile
+                ..entry.profile
             };
         }
-        self.leaving = hint.leaving;
+        self.leaving = entry.leaving;
         self.listed = true;
-        self.detector.listed(now, true);
+        self.detector.set_listed(now, true);
     }
 
     /// Returns the address to probe, if a look at the node is due.
-    pub(super) fn probe(&self, now: Time) -> Option<SocketAddr> {
-        let age = now.since(self.probed);
+    pub(super) fn probe_address(&self, now: Time) -> Option<SocketAddr> {
+        let age = now.since(self.last_probe);
         if self.link.is_none() {
             let agent = self.profile.kind == NodeKind::Agent;
             let unknown = agent && self.profile.pool.is_none();
-            let due = (self.is_gone() || unknown) && age >= PROBE_GAP;
-            return due.then_some(self.hinted);
+            let is_due = (self.is_gone() || unknown) && age >= PROBE_INTERVAL;
+            return is_due.then_some(self.listed_address);
         }
         // The list names another address for a node that is linked: its
         // replacement may run there and be met by nobody, since the old
         // process, still alive under the name, keeps its links.
-        let doubt = self.listed && self.hinted != self.profile.address && age >= DOUBT_GAP;
-        doubt.then_some(self.hinted)
+        let conflict = self.listed
+            && self.listed_address != self.profile.address
+            && age >= CONFLICT_PROBE_INTERVAL;
+        conflict.then_some(self.listed_address)
     }
 
-    pub(super) fn place(&self) -> Place {
-        Place {
+    pub(super) fn location(&self) -> NodeLocation {
+        NodeLocation {
             node: self.profile.node.clone(),
             domain: self.profile.domain.clone(),
             region: self.profile.region.clone(),
--- a/lib/src/membership/view/mod.rs
+++ b/lib/src/membership/view/mod.rs
@@ -13,7 +13,7 @@
 use super::detector::HeartbeatVerdict;
 use super::detector::LinkEnd;
 use super::detector::PeerState;
-use super::detector::Timing;
+use super::detector::TimeoutBounds;
 use super::dial::Dials;
 use super::event::Action;
 use super::event::Event;
@@ -31,16 +31,16 @@
 use crate::time::Time;
 
 /// How late a wake-up must be to count as a pause of this process.
-const PAUSE_MIN: Duration = Duration::from_millis(300);
+const WAKE_DELAY_MIN: Duration = Duration::from_millis(300);
 
 /// How long nobody is judged by silence after a pause.
-const PAUSE_CALM: Duration = Duration::from_millis(700);
+const SILENCE_GRACE: Duration = Duration::from_millis(700);
 
 /// The settings of a view.
 #[derive(Debug, Clone, Copy)]
 pub struct ViewSettings {
     /// The bounds of timeouts.
-    pub timing: Timing,
+    pub timing: TimeoutBounds,
     /// The pace of heartbeats.
     pub pace: Pace,
     /// Links to other routers that a router dials.
@@ -58,7 +58,7 @@
 impl Default for ViewSettings {
     fn default() -> Self {
         Self {
-            timing: Timing::default(),
+            timing: TimeoutBounds::default(),
             pace: Pace::default(),
             routers: 6,
             links_max: 512,
@@ -86,17 +86,17 @@
 /// Kept apart, since a heartbeat arrives every few milliseconds and must not
 /// cost a pass over all members.
 #[derive(Debug, Clone, Copy, Default)]
-struct Due {
-    judge: Time,
+struct Timers {
+    check: Time,
     plan: Time,
     dial: Time,
     probe: Time,
-    beat: Time,
+    heartbeat: Time,
 }
 
-impl Due {
-    fn first(&self) -> Time {
-        self.judge.min(self.plan).min(self.dial).min(self.beat)
+impl Timers {
+    fn earliest(&self) -> Time {
+        self.check.min(self.plan).min(self.dial).min(self.heartbeat)
     }
 }
 
@@ -114,9 +114,9 @@
     draining: bool,
     leaving: bool,
     changed: bool,
-    due: Due,
+    timers: Timers,
     /// Until then nobody is judged by silence.
-    calm: Time,
+    grace_until: Time,
     wake: Time,
 }
 
@@ -136,8 +136,8 @@
             draining: false,
             leaving: false,
             changed: true,
-            due: Due::default(),
-            calm: Time::ZERO,
+            timers: Timers::default(),
+            grace_until: Time::ZERO,
             wake: Time::ZERO,
         }
     }
@@ -165,24 +165,24 @@
     /// A peer that echoes the first draining heartbeat has read it, and a link
     /// keeps its order, so all that the peer sent before is here by then.
     #[must_use]
-    pub fn unaware(&self) -> usize {
+    pub fn unaware_of_drain(&self) -> usize {
         let unaware = |m: &&Member| {
-            let told = m.told.is_some_and(|t| m.detector.echoed() >= t);
-            m.link.is_some() && !m.is_gone() && !told
+            let informed = m.drain_seq.is_some_and(|t| m.detector.echoed_seq() >= t);
+            m.link.is_some() && !m.is_gone() && !informed
         };
         self.members.values().filter(unaware).count()
     }
 
     /// Takes in an event and returns what to do.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let mut out = Vec::new();
         match event {
             Event::Seeds(seeds) => {
                 self.seeds = seeds.into_iter().collect();
                 self.changed = true;
             }
-            Event::HostList(listed) => self.on_list(now, listed, &mut out),
+            Event::HostList(listed) => self.on_host_list(now, listed, &mut out),
             Event::LinkUp {
                 link,
                 dialed,
@@ -190,9 +190,9 @@
                 incarnation,
             } => {
                 let node = profile.node.clone();
-                self.meet(&profile);
+                self.ensure_member(&profile);
                 let fresh = Link { node, dialed };
-                if self.on_link(now, link, fresh, incarnation, &mut out) {
+                if self.on_link_up(now, link, fresh, incarnation, &mut out) {
                     self.on_hello(now, profile);
                 }
             }
@@ -218,10 +218,10 @@
     /// Heartbeats that came meanwhile still wait to be read. Judged before
     /// them, every peer would look silent, and the node that slept would refuse
     /// all work for want of endpoints.
-    fn notice_pause(&mut self, now: Time) {
-        let slept = self.wake > Time::ZERO && now.since(self.wake) > PAUSE_MIN;
-        if slept {
-            self.calm = now + PAUSE_CALM;
+    fn detect_pause(&mut self, now: Time) {
+        let paused = self.wake > Time::ZERO && now.since(self.wake) > WAKE_DELAY_MIN;
+        if paused {
+            self.grace_until = now + SILENCE_GRACE;
         }
     }
 
@@ -233,7 +233,7 @@
         let from = member.state();
         change(member);
         let to = member.state();
-        self.due.judge = self.due.judge.min(member.detector.next_check());
+        self.timers.check = self.timers.check.min(member.detector.next_check());
         if from != to {
             self.changed = true;
             out.push(Action::StateChanged {
@@ -244,7 +244,7 @@
         }
     }
 
-    fn on_list(&mut self, now: Time, listed: Vec<ListedNode>, out: &mut Vec<Action>) {
+    fn on_host_list(&mut self, now: Time, listed: Vec<ListedNode>, out: &mut Vec<Action>) {
         let named: BTreeSet<NodeId> = listed.iter().map(|l| l.profile.node.clone()).collect();
         let unnamed: Vec<NodeId> = self
             .members
@@ -256,13 +256,13 @@
             self.update(&node, out, |m| {
                 m.listed = false;
                 m.leaving = false;
-                m.detector.listed(now, false);
+                m.detector.set_listed(now, false);
             });
         }
         let me = self.me.host.clone();
         let leaving = listed.iter().any(|l| l.profile.host == me && l.leaving);
-        for hint in listed {
-            self.on_hint(now, hint, out);
+        for entry in listed {
+            self.on_listed_node(now, entry, out);
         }
         if leaving != self.leaving {
             self.leaving = leaving;
@@ -271,20 +271,20 @@
         self.changed = true;
     }
 
-    fn on_hint(&mut self, now: Time, hint: ListedNode, out: &mut Vec<Action>) {
-        let node = hint.profile.node.clone();
+    fn on_listed_node(&mut self, now: Time, entry: ListedNode, out: &mut Vec<Action>) {
+        let node = entry.profile.node.clone();
         if node == self.me.node {
             return;
         }
         let timing = self.settings.timing;
-        let profile = hint.profile.clone();
+        let profile = entry.profile.clone();
         self.members
             .entry(node.clone())
             .or_insert_with(|| Member::new(profile, timing));
-        self.update(&node, out, |m| m.hint(now, hint));
+        self.update(&node, out, |m| m.apply_listed(now, entry));
     }
 
-    fn meet(&mut self, profile: &Profile) {
+    fn ensure_member(&mut self, profile: &Profile) {
         if profile.node == self.me.node {
             return;
         }
@@ -303,7 +303,7 @@
         let Some(member) = self.members.get_mut(&profile.node) else {
             return;
         };
-        member.probed = now;
+        member.last_probe = now;
         if member.profile != profile {
             member.profile = profile;
             self.changed = true;
@@ -311,7 +311,7 @@
     }
 
     /// Takes in a link and tells whether it stays.
-    fn on_link(
+    fn on_link_up(
         &mut self,
         now: Time,
         id: LinkId,
@@ -343,23 +343,25 @@
         };
         let known = member.incarnation();
         let same = member.link.filter(|_link| known == Some(incarnation));
-        if same.is_some_and(|old| !self.prefers(&link, old)) {
+        if same.is_some_and(|old| !self.replaces(&link, old)) {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::SecondLink,
             });
             return false;
         }
-        let mut heard = HeartbeatVerdict::Superseded;
-        self.update(&node, out, |m| heard = m.detector.link_up(now, incarnation));
-        if heard == HeartbeatVerdict::Superseded {
+        let mut verdict = HeartbeatVerdict::Superseded;
+        self.update(&node, out, |m| {
+            verdict = m.detector.on_link_up(now, incarnation);
+        });
+        if verdict == HeartbeatVerdict::Superseded {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::Superseded,
             });
             return false;
         }
-        self.replace_link(now, id, link, heard, out);
+        self.replace_link(now, id, link, verdict, out);
         true
     }
 
@@ -368,7 +370,7 @@
     /// Two nodes that dial each other at once would otherwise both keep, or
     /// both end, a different link. The one dialed by the lesser name stays; of
     /// two by the same dialer the newer, as the older one may be half open.
-    fn prefers(&self, new: &Link, old: LinkId) -> bool {
+    fn replaces(&self, new: &Link, old: LinkId) -> bool {
         // A link that brings nothing may be half open: its peer has dialed anew
         // because it gave that one up, and would be refused for good.
         let silent = |m: &Member| m.state() != PeerState::Alive;
@@ -387,26 +389,26 @@
         now: Time,
         id: LinkId,
         link: Link,
-        heard: HeartbeatVerdict,
+        verdict: HeartbeatVerdict,
         out: &mut Vec<Action>,
     ) {
         let node = link.node.clone();
         self.links.insert(id, link);
-        self.due.beat = now;
-        self.due.dial = Time::ZERO;
+        self.timers.heartbeat = now;
+        self.timers.dial = Time::ZERO;
         let mut old = None;
         self.update(&node, out, |m| {
             old = m.link.replace(id);
-            m.seq = 0;
-            m.told = None;
-            m.due = now;
+            m.sent_seq = 0;
+            m.drain_seq = None;
+            m.next_heartbeat = now;
             m.draining = false;
         });
         let Some(old) = old else {
             return;
         };
         self.links.remove(&old);
-        let restarted = matches!(heard, HeartbeatVerdict::Restarted { .. });
+        let restarted = matches!(verdict, HeartbeatVerdict::Restarted { .. });
         let reason = if restarted {
             Refusal::Superseded
         } else {
@@ -422,7 +424,7 @@
         self.update(&link.node, out, |m| {
             if m.link == Some(id) {
                 m.link = None;
-                m.detector.link_down(now, end);
+                m.detector.on_link_down(now, end);
             }
         });
         self.changed = true;
@@ -436,7 +438,7 @@
         out: &mut Vec<Action>,
     ) {
         self.dials.failed(now, address);
-        self.due.dial = Time::ZERO;
+        self.timers.dial = Time::ZERO;
         let unlinked = |m: &&Member| m.profile.address == address && m.link.is_none();
         let nodes: Vec<NodeId> = self
             .members
@@ -445,7 +447,7 @@
             .map(|m| m.profile.node.clone())
             .collect();
         for node in nodes {
-            self.update(&node, out, |m| m.detector.link_down(now, end));
+            self.update(&node, out, |m| m.detector.on_link_down(now, end));
         }
     }
 
@@ -459,19 +461,19 @@
         let Some(node) = self.links.get(&id).map(|l| l.node.clone()) else {
             return;
         };
-        let mut heard = HeartbeatVerdict::Repeated;
+        let mut verdict = HeartbeatVerdict::Repeated;
         let mut drained = false;
         let longest = self.settings.pace.longest;
         self.update(&node, out, |m| {
-            heard = m.detector.heard(now, heartbeat);
-            if heard == HeartbeatVerdict::Fresh {
+            verdict = m.detector.on_heartbeat(now, heartbeat);
+            if verdict == HeartbeatVerdict::Fresh {
                 drained = m.draining != heartbeat.draining;
                 m.draining = heartbeat.draining;
-                m.pace = heartbeat.pace.min(longest);
+                m.peer_interval = heartbeat.pace.min(longest);
             }
         });
         self.changed |= drained;
-        if heard == HeartbeatVerdict::Superseded {
+        if verdict == HeartbeatVerdict::Superseded {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::Superseded,
@@ -489,7 +491,7 @@
         let Some(node) = self.links.get(&id).map(|l| l.node.clone()) else {
             return;
         };
-        self.update(&node, out, |m| m.detector.goodbye(now, incarnation));
+        self.update(&node, out, |m| m.detector.on_goodbye(now, incarnation));
     }
 
     fn on_full(&mut self, now: Time, id: LinkId, out: &mut Vec<Action>) {
@@ -510,10 +512,10 @@
         // Peers must know at once, not at the next beat, or they would send
         // work that only comes back as not run.
         for member in self.members.values_mut() {
-            member.due = now;
-            member.told = None;
+            member.next_heartbeat = now;
+            member.drain_seq = None;
         }
-        self.due.beat = now;
+        self.timers.heartbeat = now;
     }
 
     fn is_router(&self) -> bool {
--- a/lib/src/membership/view/plan.rs
+++ b/lib/src/membership/view/plan.rs
@@ -10,14 +10,14 @@
 use crate::ids::NodeId;
 use crate::membership::Action;
 use crate::membership::Candidate;
-use crate::membership::Change;
 use crate::membership::LinkId;
 use crate::membership::Member;
 use crate::membership::NodeKind;
+use crate::membership::NodeLocation;
 use crate::membership::PeerHeartbeat;
 use crate::membership::PeerState;
-use crate::membership::Place;
 use crate::membership::Refusal;
+use crate::membership::SubsetChange;
 use crate::membership::degree;
 use crate::time::Time;
 
@@ -25,32 +25,32 @@
 const SLEEP_MAX: Duration = Duration::from_secs(1);
 
 /// The shortest sleep, so that work due at once can't spin.
-const WAKE_MIN: Duration = Duration::from_millis(1);
+const SLEEP_MIN: Duration = Duration::from_millis(1);
 
 impl View {
     pub(super) fn advance(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.due.judge = self.due.judge.max(self.calm);
-        if now >= self.due.judge {
-            self.judge(now, out);
+        self.timers.check = self.timers.check.max(self.grace_until);
+        if now >= self.timers.check {
+            self.check_members(now, out);
         }
-        if self.changed || now >= self.due.plan {
+        if self.changed || now >= self.timers.plan {
             self.changed = false;
-            self.due.plan = now + self.settings.shift_period;
-            self.plan(now, out);
-            self.forget();
-            self.due.dial = Time::ZERO;
+            self.timers.plan = now + self.settings.shift_period;
+            self.plan_links(now, out);
+            self.remove_gone_members();
+            self.timers.dial = Time::ZERO;
         }
-        if now >= self.due.dial {
+        if now >= self.timers.dial {
             self.dial(now, out);
         }
-        if now >= self.due.beat {
-            self.beat(now, out);
+        if now >= self.timers.heartbeat {
+            self.send_heartbeats(now, out);
         }
-        self.wake = self.due.first().max(now + WAKE_MIN);
+        self.wake = self.timers.earliest().max(now + SLEEP_MIN);
     }
 
-    fn judge(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.due.judge = now + SLEEP_MAX;
+    fn check_members(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.timers.check = now + SLEEP_MAX;
         let due = |m: &&Member| m.detector.next_check() <= now || m.link.is_some();
         let due = self.members.values().filter(due);
         let nodes: Vec<NodeId> = due.map(|m| m.profile.node.clone()).collect();
@@ -61,7 +61,7 @@
         }
     }
 
-    fn beat(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn send_heartbeats(&mut self, now: Time, out: &mut Vec<Action>) {
         let own = self.interval();
         // Links that are almost due go along, so that one wake-up serves many.
         let almost = now + own / 8;
@@ -70,21 +70,21 @@
             let Some(member) = self.members.get_mut(&link.node) else {
                 continue;
             };
-            if member.due > almost {
-                next = next.min(member.due);
+            if member.next_heartbeat > almost {
+                next = next.min(member.next_heartbeat);
                 continue;
             }
-            member.due = now + own.max(member.pace);
-            next = next.min(member.due);
-            member.seq += 1;
-            member.detector.sent(now, member.seq);
+            member.next_heartbeat = now + own.max(member.peer_interval);
+            next = next.min(member.next_heartbeat);
+            member.sent_seq += 1;
+            member.detector.on_heartbeat_sent(now, member.sent_seq);
             if self.draining {
-                member.told.get_or_insert(member.seq);
+                member.drain_seq.get_or_insert(member.sent_seq);
             }
             let heartbeat = PeerHeartbeat {
                 incarnation: self.incarnation,
-                seq: member.seq,
-                seen: member.detector.seen(),
+                seq: member.sent_seq,
+                seen: member.detector.seen_seq(),
                 draining: self.draining,
                 pace: own,
             };
@@ -93,10 +93,10 @@
                 heartbeat,
             });
         }
-        self.due.beat = next;
+        self.timers.heartbeat = next;
     }
 
-    fn plan(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn plan_links(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.is_router() {
             return;
         }
@@ -106,7 +106,7 @@
             groups.entry(group.clone()).or_default();
         }
         let routers = self.routers_known();
-        let me = self.place();
+        let me = self.location();
         let period = self.settings.shift_period;
         let mut dropped = Vec::new();
         for (group, candidates) in groups {
@@ -117,13 +117,13 @@
             let subset = self.subsets.entry(group).or_default();
             let changes = subset.plan(now, &me, &candidates, count, period);
             dropped.extend(changes.into_iter().filter_map(|c| match c {
-                Change::Drop(node) => Some(node),
-                Change::Add(_) => None,
+                SubsetChange::Drop(node) => Some(node),
+                SubsetChange::Add(_) => None,
             }));
         }
         self.subsets.retain(|_, s| !s.links().is_empty());
-        self.give_up(now, &dropped, out);
-        self.give_up_probes(now, out);
+        self.drop_links(now, &dropped, out);
+        self.drop_probe_links(now, out);
     }
 
     fn groups(&self, now: Time) -> BTreeMap<Group, Vec<Candidate>> {
@@ -138,11 +138,11 @@
                 continue;
             }
             let usable = member.may_link(now);
-            let place = member.place();
+            let location = member.location();
             groups
                 .entry(group)
                 .or_default()
-                .push(Candidate { place, usable });
+                .push(Candidate { location, usable });
         }
         groups
     }
@@ -152,8 +152,8 @@
         1 + self.members.values().filter(router).count()
     }
 
-    fn place(&self) -> Place {
-        Place {
+    fn location(&self) -> NodeLocation {
+        NodeLocation {
             node: self.me.node.clone(),
             domain: self.me.domain.clone(),
             region: self.me.region.clone(),
@@ -161,7 +161,7 @@
     }
 
     /// Ends links to nodes that are well but no longer chosen.
-    fn give_up(&mut self, now: Time, nodes: &[NodeId], out: &mut Vec<Action>) {
+    fn drop_links(&mut self, now: Time, nodes: &[NodeId], out: &mut Vec<Action>) {
         for node in nodes {
             let Some(member) = self.members.get(node) else {
                 continue;
@@ -171,7 +171,7 @@
             if !member.may_link(now) {
                 continue;
             }
-            let Some(id) = member.link.filter(|id| self.is_ours(*id)) else {
+            let Some(id) = member.link.filter(|id| self.is_dialed_by_us(*id)) else {
                 continue;
             };
             self.links.remove(&id);
@@ -187,7 +187,7 @@
     }
 
     /// Ends links that were dialed only to learn who is there.
-    fn give_up_probes(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn drop_probe_links(&mut self, now: Time, out: &mut Vec<Action>) {
         let chosen = self.chosen();
         let idle: Vec<NodeId> = self
             .links
@@ -195,10 +195,10 @@
             .filter(|l| l.dialed.is_some() && !chosen.contains(&l.node))
             .map(|l| l.node.clone())
             .collect();
-        self.give_up(now, &idle, out);
+        self.drop_links(now, &idle, out);
     }
 
-    fn is_ours(&self, id: LinkId) -> bool {
+    fn is_dialed_by_us(&self, id: LinkId) -> bool {
         self.links.get(&id).is_some_and(|l| l.dialed.is_some())
     }
 
@@ -214,9 +214,9 @@
         if self.is_router() {
             wanted.extend(self.wanted_members());
         }
-        if self.is_router() && now >= self.due.probe {
-            self.due.probe = now + self.settings.probe_period;
-            wanted.extend(self.probe(now));
+        if self.is_router() && now >= self.timers.probe {
+            self.timers.probe = now + self.settings.probe_period;
+            wanted.extend(self.next_probe(now));
         }
         self.dials.retain(now, |a| wanted.contains(a));
         for address in wanted {
@@ -225,11 +225,11 @@
             }
         }
         let probe = if self.is_router() {
-            self.due.probe
+            self.timers.probe
         } else {
             Time::NEVER
         };
-        self.due.dial = self.dials.next().min(probe).min(now + SLEEP_MAX);
+        self.timers.dial = self.dials.next().min(probe).min(now + SLEEP_MAX);
     }
 
     fn wanted_seeds(&self) -> BTreeSet<SocketAddr> {
@@ -261,20 +261,20 @@
     ///
     /// It is one that is gone, which may be back, or one of unknown pool. One
     /// at a time, so that a partition of hundreds costs no more than of one.
-    fn probe(&mut self, now: Time) -> Option<SocketAddr> {
-        let open = |m: &&mut Member| m.probe(now).is_some();
+    fn next_probe(&mut self, now: Time) -> Option<SocketAddr> {
+        let probeable = |m: &&mut Member| m.probe_address(now).is_some();
         let oldest = self
             .members
             .values_mut()
-            .filter(open)
-            .min_by_key(|m| m.probed)?;
-        let address = oldest.probe(now);
-        oldest.probed = now;
+            .filter(probeable)
+            .min_by_key(|m| m.last_probe)?;
+        let address = oldest.probe_address(now);
+        oldest.last_probe = now;
         address
     }
 
     /// Drops members that no hint names and that are gone.
-    fn forget(&mut self) {
+    fn remove_gone_members(&mut self) {
         let seeds = &self.seeds;
         self.members.retain(|_, m| {
             let ended = !matches!(m.state(), PeerState::Alive | PeerState::Slow);
--- a/lib/tests/test_config_fold.rs
+++ b/lib/tests/test_config_fold.rs
@@ -33,10 +33,10 @@
 const READERS: usize = 3;
 
 /// Bytes of a snapshot's part: a few records make several parts.
-const SMALL: usize = 120;
+const PART_BYTES: usize = 120;
 
 /// A second: longer than every pause of a publisher or follower.
-const LONG: Duration = Duration::from_secs(3);
+const STEP_DURATION: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy)]
 enum Op {
@@ -49,7 +49,7 @@
         answer: bool,
     },
     /// A reader reads at most so many records, or fails to.
-    Read { reader: usize, most: usize },
+    Read { reader: usize, max_records: usize },
     /// A reader offers its snapshot to another.
     Offer { from: usize, to: usize },
     /// A reader begins to publish a snapshot, or publishes its next part.
@@ -66,7 +66,7 @@
         4 => (reader.clone(), 1..4_u8).prop_map(|(reader, price)| Op::Submit { reader, price }),
         6 => (reader.clone(), any::<bool>(), any::<bool>())
             .prop_map(|(reader, effect, answer)| Op::Publish { reader, effect, answer }),
-        6 => (reader.clone(), 0..6_usize).prop_map(|(reader, most)| Op::Read { reader, most }),
+        6 => (reader.clone(), 0..6_usize).prop_map(|(reader, max_records)| Op::Read { reader, max_records }),
         2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Op::Offer { from, to }),
         4 => reader.clone().prop_map(|reader| Op::Snapshot { reader }),
         1 => reader.prop_map(|reader| Op::Restart { reader }),
@@ -85,12 +85,12 @@
     seen: (Offset, Revision),
 }
 
-struct Bench {
+struct Harness {
     guards: FoldGuards,
     now: Time,
     first: usize,
     log: Vec<Vec<u8>>,
-    truth: Fold,
+    reference: Fold,
     ids: u128,
     verdicts: BTreeMap<RecordId, Revision>,
     readers: Vec<Reader>,
@@ -107,14 +107,14 @@
     }
 }
 
-impl Bench {
+impl Harness {
     fn new(guards: FoldGuards) -> Self {
         Self {
             guards,
             now: Time::ZERO,
             first: 0,
             log: Vec::new(),
-            truth: Fold::with_guards(guards),
+            reference: Fold::with_guards(guards),
             ids: 0,
             verdicts: BTreeMap::new(),
             readers: (0..READERS).map(|i| reader(guards, i)).collect(),
@@ -133,7 +133,7 @@
     /// Appends, and judges the record as the log's order has it.
     fn append(&mut self, bytes: Vec<u8>) -> Result<(), String> {
         let record = Record::try_from(bytes.as_slice()).expect("own records are well-formed");
-        let applied = self.truth.apply(Offset(self.log.len() as u64), &record);
+        let applied = self.reference.apply(Offset(self.log.len() as u64), &record);
         self.log.push(bytes);
         let Body::ConfigChange { base, .. } = record.body else {
             return Ok(());
@@ -158,7 +158,7 @@
     }
 
     fn run(&mut self, op: Op) -> Result<(), String> {
-        self.now = self.now + LONG;
+        self.now = self.now + STEP_DURATION;
         match op {
             Op::Submit { reader, price } => self.submit(reader, price),
             Op::Publish {
@@ -166,7 +166,10 @@
                 effect,
                 answer,
             } => self.publish(reader, effect, answer)?,
-            Op::Read { reader, most } => self.read(reader, most),
+            Op::Read {
+                reader,
+                max_records,
+            } => self.read(reader, max_records),
             Op::Offer { from, to } => {
                 let snapshot = self.readers[from].fold.snapshot();
                 let reader = &mut self.readers[to];
@@ -184,7 +187,7 @@
     fn snapshot(&mut self, reader: usize) -> Result<(), String> {
         if self.readers[reader].parts.is_empty() {
             let snapshot = self.readers[reader].fold.snapshot();
-            let parts = snapshot.parts(SMALL).into_iter();
+            let parts = snapshot.parts(PART_BYTES).into_iter();
             self.readers[reader].covers = usize::try_from(snapshot.next.0).expect("small");
             self.readers[reader].parts = match reader {
                 0 => [Body::Snapshot(snapshot)].into(),
@@ -233,14 +236,14 @@
         Ok(())
     }
 
-    fn read(&mut self, reader: usize, most: usize) {
+    fn read(&mut self, reader: usize, max_records: usize) {
         let (now, first, log) = (self.now, self.first, &self.log);
         let reader = &mut self.readers[reader];
         let Some(read) = reader.follower.poll(now) else {
             return;
         };
         let from = usize::try_from(read.from.0).expect("small");
-        let end = if most == 0 {
+        let end = if max_records == 0 {
             ReadEnd::Failed
         } else if from < first {
             ReadEnd::Gone {
@@ -250,7 +253,7 @@
             ReadEnd::Records {
                 first: Offset(first as u64),
                 end: Offset(log.len() as u64),
-                records: log.iter().skip(from).take(most).cloned().collect(),
+                records: log.iter().skip(from).take(max_records).cloned().collect(),
             }
         };
         let FollowOutcome::Records { records, .. } = reader.follower.on_read_end(now, end) else {
@@ -277,7 +280,7 @@
                 ));
             }
             reader.seen = at;
-            if at.0 == self.truth.next() && reader.fold.config() != self.truth.config() {
+            if at.0 == self.reference.next() && reader.fold.config() != self.reference.config() {
                 return Err(format!("two readers at {} differ", at.0));
             }
         }
@@ -288,11 +291,11 @@
     fn settle(&mut self) -> Result<(), String> {
         for index in 0..READERS {
             for _ in 0..8 {
-                self.now = self.now + LONG;
+                self.now = self.now + STEP_DURATION;
                 self.read(index, 1_000);
             }
         }
-        let behind = |r: &Reader| r.fold.next() != self.truth.next();
+        let behind = |r: &Reader| r.fold.next() != self.reference.next();
         if self.readers.iter().any(behind) {
             return Err("a reader did not catch up with the log".to_owned());
         }
@@ -301,11 +304,11 @@
 }
 
 fn run(ops: &[Op], guards: FoldGuards) -> Result<(), String> {
-    let mut bench = Bench::new(guards);
+    let mut harness = Harness::new(guards);
     for op in ops {
-        bench.run(*op)?;
+        harness.run(*op)?;
     }
-    bench.settle()
+    harness.settle()
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -329,7 +332,7 @@
     verdict.expect("readers agree");
 }
 
-fn caught(name: &str, guards: FoldGuards) {
+fn assert_caught(name: &str, guards: FoldGuards) {
     let verdict = runner(3_000).run(&vec(op(), 1..80), |ops| {
         prop_assert_eq!(run(&ops, guards), Ok(()));
         Ok(())
@@ -343,21 +346,21 @@
     // Without its base check two crossing changes both stand; without ids an
     // author hears that its accepted change lost; without the order of offsets
     // a peer that was cut off takes everybody back.
-    caught(
+    assert_caught(
         "base",
         FoldGuards {
             base: false,
             ..FoldGuards::ON
         },
     );
-    caught(
+    assert_caught(
         "repeat",
         FoldGuards {
             repeat: false,
             ..FoldGuards::ON
         },
     );
-    caught(
+    assert_caught(
         "order",
         FoldGuards {
             order: false,
--- a/lib/tests/test_config_parts.rs
+++ b/lib/tests/test_config_parts.rs
@@ -28,16 +28,16 @@
 use snipeyoke_lib::record::RecordId;
 
 /// Bytes of a part here, so that some dozens of pools make several.
-const SMALL: usize = 300;
+const PART_BYTES: usize = 300;
 
 /// Two publishers with states at each offset: they must never mix.
 const OFFSETS: u64 = 5;
 
 /// The offset of the first record of the topic that is read.
-const LOG: u64 = 20;
+const LOG_START: u64 = 20;
 
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum Source {
     Offer,
     Log,
 }
@@ -47,21 +47,21 @@
 struct Step {
     state: usize,
     part: usize,
-    way: Way,
+    source: Source,
     damaged: bool,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let way = prop_oneof![Just(Way::Offer), Just(Way::Log)];
+    let source = prop_oneof![Just(Source::Offer), Just(Source::Log)];
     let damaged = prop::bool::weighted(0.05);
-    (0..2 * OFFSETS as usize, 0..64_usize, way, damaged).prop_map(|(state, part, way, damaged)| {
-        Step {
+    (0..2 * OFFSETS as usize, 0..64_usize, source, damaged).prop_map(
+        |(state, part, source, damaged)| Step {
             state,
             part,
-            way,
+            source,
             damaged,
-        }
-    })
+        },
+    )
 }
 
 fn state(offset: u64, price: f64) -> Snapshot {
@@ -97,7 +97,7 @@
 }
 
 /// A reader, and what has arrived at it whole and undamaged.
-struct Bench {
+struct Harness {
     states: Vec<Snapshot>,
     parts: Vec<Vec<SnapshotPart>>,
     fold: Fold,
@@ -105,15 +105,15 @@
     log: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let states = states();
         Self {
-            parts: states.iter().map(|s| s.parts(SMALL)).collect(),
+            parts: states.iter().map(|s| s.parts(PART_BYTES)).collect(),
             states,
             fold: Fold::new(),
             arrived: BTreeMap::new(),
-            log: LOG,
+            log: LOG_START,
         }
     }
 
@@ -127,11 +127,11 @@
         } else {
             self.arrived.entry(part.set).or_default().insert(part.index);
         }
-        match step.way {
-            Way::Offer => {
+        match step.source {
+            Source::Offer => {
                 self.fold.adopt_part(&part);
             }
-            Way::Log => {
+            Source::Log => {
                 self.log += 1;
                 self.fold.apply(Offset(self.log), &record(part));
             }
@@ -144,8 +144,8 @@
         if next < before {
             return Err(format!("the reader went back from {before} to {next}"));
         }
-        let most = INCOMPLETE_SNAPSHOTS_MAX * 64 * SMALL;
-        if self.fold.incomplete_bytes() > most {
+        let bytes_max = INCOMPLETE_SNAPSHOTS_MAX * 64 * PART_BYTES;
+        if self.fold.incomplete_bytes() > bytes_max {
             return Err(format!("{} bytes are held", self.fold.incomplete_bytes()));
         }
         if next == before {
@@ -156,7 +156,7 @@
         let Some(state) = self.states.iter().find(known) else {
             return Err(format!("the state at {next} is none that a publisher had"));
         };
-        let set = state.parts(SMALL)[0].set;
+        let set = state.parts(PART_BYTES)[0].set;
         let arrived = self.arrived.get(&set).map_or(0, BTreeSet::len);
         if arrived < set.count as usize {
             return Err(format!(
@@ -179,7 +179,7 @@
                 self.run(Step {
                     state,
                     part,
-                    way: Way::Offer,
+                    source: Source::Offer,
                     damaged: false,
                 })?;
             }
@@ -207,11 +207,11 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let steps = (vec(step(), 0..150), vec(0..64_usize, 1..20));
     let verdict = TestRunner::new_with_rng(config, rng).run(&steps, |(steps, order)| {
-        let mut bench = Bench::new();
+        let mut harness = Harness::new();
         for step in steps {
-            prop_assert_eq!(bench.run(step), Ok(()));
+            prop_assert_eq!(harness.run(step), Ok(()));
         }
-        prop_assert_eq!(bench.settle(&order), Ok(()));
+        prop_assert_eq!(harness.settle(&order), Ok(()));
         Ok(())
     });
     verdict.expect("states are taken whole");
@@ -243,7 +243,7 @@
         next: Offset(2_000),
         ..state(40, 1.0)
     };
-    let parts = state.parts(SMALL);
+    let parts = state.parts(PART_BYTES);
     let (last, others) = parts.split_last().expect("there are parts");
     for part in others {
         assert!(!fold.adopt_part(part));
@@ -274,7 +274,7 @@
     for record in records.iter().rev() {
         let bytes = record.encode();
         assert!(bytes.len() <= PART_BYTES_MAX, "{} bytes", bytes.len());
-        fold.apply_bytes(Offset(LOG), &bytes);
+        fold.apply_bytes(Offset(LOG_START), &bytes);
     }
     assert_eq!(fold.config(), snapshot.config);
 }
--- a/lib/tests/test_journal.rs
+++ b/lib/tests/test_journal.rs
@@ -100,14 +100,14 @@
 
 fn check(steps: &[Step]) {
     let mut journal = Journal::new(LIMIT);
-    let mut first: BTreeMap<RequestId, Outcome> = BTreeMap::new();
+    let mut outcomes: BTreeMap<RequestId, Outcome> = BTreeMap::new();
     for (at, step) in steps.iter().enumerate() {
         let now = Time::from_millis(at as u64);
         match *step {
             Step::Accept(number) => {
                 // A request that was forgotten may come as a new one.
                 if journal.get(id(number)).is_none() {
-                    first.remove(&id(number));
+                    outcomes.remove(&id(number));
                 }
                 journal.on_accept(now, accepted(number));
             }
@@ -123,7 +123,7 @@
                     Outcome::Unknown
                 };
                 if journal.get(id(number)).is_some() {
-                    first.entry(id(number)).or_insert(outcome);
+                    outcomes.entry(id(number)).or_insert(outcome);
                 }
                 journal.on_finish(now, id(number), outcome, None);
             }
@@ -135,8 +135,8 @@
         );
     }
     for request in journal.requests() {
-        let told = request.finish.map(|f| f.outcome);
-        assert_eq!(told, first.get(&request.accepted.id).copied());
+        let recorded = request.finish.map(|f| f.outcome);
+        assert_eq!(recorded, outcomes.get(&request.accepted.id).copied());
     }
     let paged: Vec<_> = pages(&journal);
     let whole: Vec<_> = journal.requests().map(|r| r.accepted.id).collect();
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -17,13 +17,13 @@
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::membership::Candidate;
 use snipeyoke_lib::membership::Detector;
+use snipeyoke_lib::membership::NodeLocation;
 use snipeyoke_lib::membership::PeerHeartbeat;
 use snipeyoke_lib::membership::PeerState;
-use snipeyoke_lib::membership::Place;
 use snipeyoke_lib::membership::Profile;
-use snipeyoke_lib::membership::Timing;
+use snipeyoke_lib::membership::TimeoutBounds;
 use snipeyoke_lib::membership::ViewSettings;
-use snipeyoke_lib::membership::choose;
+use snipeyoke_lib::membership::choose_peers;
 use snipeyoke_lib::membership::degree;
 use snipeyoke_lib::time::Time;
 use snipeyoke_testutils::mesh::Mesh;
@@ -137,7 +137,7 @@
     let view = mesh.view(by).expect("the node runs");
     let mut text = String::new();
     for (node, member) in view.members() {
-        let work = if member.takes_work() {
+        let work = if member.accepts_work() {
             "takes-work"
         } else {
             "no-work"
@@ -178,14 +178,14 @@
 }
 
 /// What really is, against what the views say.
-struct Truth {
+struct Model {
     mesh: Mesh,
     names: Vec<String>,
     lives: BTreeMap<String, u64>,
     paused: BTreeSet<String>,
 }
 
-impl Truth {
+impl Model {
     fn apply(&mut self, op: &Op) {
         let agent = |i: &usize| format!("a{i}");
         match op {
@@ -276,25 +276,25 @@
     let check = |(seed, ops): (u64, Vec<Op>)| {
         let names = names(3, 6);
         let lives = (0..6).map(|i| (format!("a{i}"), 1)).collect();
-        let mut truth = Truth {
+        let mut model = Model {
             mesh: mesh(seed, 3, 6),
             names,
             lives,
             paused: BTreeSet::new(),
         };
-        truth.mesh.run(Duration::from_secs(5));
+        model.mesh.run(Duration::from_secs(5));
         for op in &ops {
-            truth.apply(op);
+            model.apply(op);
         }
-        truth.mesh.run(Duration::from_secs(16));
-        truth.check_dead();
-        truth.mesh.heal();
-        for i in 0..truth.names.len() {
-            truth.apply(&Op::Resume(i));
+        model.mesh.run(Duration::from_secs(16));
+        model.check_dead();
+        model.mesh.heal();
+        for i in 0..model.names.len() {
+            model.apply(&Op::Resume(i));
         }
-        truth.mesh.run(Duration::from_secs(90));
-        truth.check_dead();
-        truth.check_alive();
+        model.mesh.run(Duration::from_secs(90));
+        model.check_dead();
+        model.check_alive();
         Ok(())
     };
     runner(64)
@@ -328,22 +328,22 @@
     names
         .map(|n| {
             let profile = profile(&n, pools);
-            let place = Place {
+            let location = NodeLocation {
                 node: profile.node,
                 domain: profile.domain,
                 region: profile.region,
             };
             Candidate {
-                place,
+                location,
                 usable: true,
             }
         })
         .collect()
 }
 
-fn place(name: &str) -> Place {
+fn location(name: &str) -> NodeLocation {
     let profile = profile(name, POOLS);
-    Place {
+    NodeLocation {
         node: profile.node,
         domain: profile.domain,
         region: profile.region,
@@ -357,16 +357,16 @@
     let (routers, agents, pools) = (340, 680, 17);
     let mut degrees: BTreeMap<NodeId, usize> = BTreeMap::new();
     for router in 0..routers {
-        let me = place(&format!("r{router}"));
+        let me = location(&format!("r{router}"));
         let mut out = 0;
         for pool in 0..pools {
             let candidates = candidates(agents, pools, pool);
-            let chosen = choose(&me, &candidates, degree(candidates.len(), routers));
-            let of = |c: &&Candidate| chosen.contains(&c.place.node);
+            let chosen = choose_peers(&me, &candidates, degree(candidates.len(), routers));
+            let of = |c: &&Candidate| chosen.contains(&c.location.node);
             let domains: BTreeSet<_> = candidates
                 .iter()
                 .filter(of)
-                .map(|c| &c.place.domain)
+                .map(|c| &c.location.domain)
                 .collect();
             assert!(
                 domains.len() >= 2,
@@ -390,13 +390,13 @@
     // by two where the bound on a failure domain moves another one along.
     let strategy = (0usize..340, 0usize..40, 1usize..12);
     let check = |(router, gone, degree): (usize, usize, usize)| {
-        let me = place(&format!("r{router}"));
+        let me = location(&format!("r{router}"));
         let mut candidates = candidates(680, 17, 3);
-        let before = choose(&me, &candidates, degree);
+        let before = choose_peers(&me, &candidates, degree);
         candidates[gone].usable = false;
-        let after = choose(&me, &candidates, degree);
+        let after = choose_peers(&me, &candidates, degree);
         let lost = before.difference(&after).count();
-        let held = before.contains(&candidates[gone].place.node);
+        let held = before.contains(&candidates[gone].location.node);
         assert!(lost <= usize::from(held) * 2, "{lost} of {degree} changed");
         Ok(())
     };
@@ -440,7 +440,7 @@
     // to the agent and delivers what comes from it, on a link that stays open.
     // Its heartbeats stop echoing ours, which alone bars it; it returns when the
     // echo does.
-    let mut detector = Detector::new(Timing::default());
+    let mut detector = Detector::new(TimeoutBounds::default());
     let life = Incarnation(1);
     let beat = |seq, seen| PeerHeartbeat {
         incarnation: life,
@@ -450,12 +450,12 @@
         pace: Duration::ZERO,
     };
     let mut states = Vec::new();
-    detector.link_up(Time::ZERO, life);
+    detector.on_link_up(Time::ZERO, life);
     for seq in 1..=60u64 {
         let now = Time::from_millis(seq * 500);
-        detector.sent(now, seq);
+        detector.on_heartbeat_sent(now, seq);
         let heard_by_peer = if (10..40).contains(&seq) { 10 } else { seq };
-        detector.heard(now, beat(seq, heard_by_peer));
+        detector.on_heartbeat(now, beat(seq, heard_by_peer));
         if states.last() != Some(&detector.state()) {
             states.push(detector.state());
         }
