--- a/lib/src/config/change.rs
+++ b/lib/src/config/change.rs
@@ -20,7 +20,7 @@
 use crate::ids::PoolName;
 use crate::ids::RequestKind;
 
-/// What an operator drains: no new work, and what runs is finished.
+/// The target of a drain: it accepts no new work and finishes what runs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -28,18 +28,18 @@
     /// One endpoint.
     #[display("endpoint {_0}")]
     Endpoint(EndpointId),
-    /// All that runs on one host.
+    /// Everything that runs on one host.
     #[display("host {_0}")]
     Host(HostId),
     /// One router.
     #[display("router {_0}")]
     Router(NodeId),
-    /// All that runs in one failure domain.
+    /// Everything that runs in one failure domain.
     #[display("domain {_0}")]
     Domain(FailureDomain),
 }
 
-/// One change of the configuration.
+/// A change of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "kebab-case")]
@@ -66,7 +66,7 @@
         /// Its price and path.
         pool: Pool,
     },
-    /// Removes a pool that no pipeline uses.
+    /// Removes a pool; refused while a pipeline uses it.
     #[display("drop pool {name}")]
     DropPool {
         /// The pool.
@@ -80,7 +80,7 @@
         /// Its stages, deadline and weights.
         pipeline: Pipeline,
     },
-    /// Removes a pipeline that no account is bound to.
+    /// Removes a pipeline; refused while an account is bound to it.
     #[display("drop pipeline {name}")]
     DropPipeline {
         /// The pipeline.
@@ -143,16 +143,16 @@
 }
 
 impl Change {
-    /// Makes the configuration that the change leads to, checked as a whole.
+    /// Returns the configuration with the change applied, checked as a whole.
     ///
-    /// The same check runs before the append, so that the operator hears at
-    /// once, and in every fold after it, so that no process takes in a change
+    /// The same check runs before the append, for immediate feedback to the
+    /// operator, and in every fold after it, so that no process applies a change
     /// that another refuses.
     ///
     /// # Errors
     ///
-    /// Returns a [`ConfigError`] if the change names what does not exist, or
-    /// leads to a configuration that is refused.
+    /// Returns a [`ConfigError`] if the change names an object that does not
+    /// exist, or results in an invalid configuration.
     pub fn apply(&self, config: &Config) -> Result<Config, ConfigError> {
         let mut next = config.clone();
         self.edit(&mut next)?;
--- a/lib/src/config/fold.rs
+++ b/lib/src/config/fold.rs
@@ -21,92 +21,92 @@
 use crate::record::RecordError;
 use crate::record::RecordId;
 
-/// The accepted changes remembered, to name the winner and to know a repeat.
+/// The number of accepted changes kept, to report a winner and recognize a repeat.
 ///
-/// Letter 1 has 380 changes a day: this covers more than half a day, far
-/// longer than an append is repeated.
+/// Letter 1 has 380 changes per day, so this covers more than half a day, far
+/// longer than an append is retried.
 pub const RECENT_MAX: usize = 256;
 
-/// The raw records kept for peers that are a little behind.
+/// The maximum number of raw records kept for peers that are slightly behind.
 pub const TAIL_RECORDS_MAX: usize = 64;
 
-/// The most bytes of the raw records kept.
+/// The maximum size of the raw records kept, in bytes.
 ///
-/// A peer that is further behind gets a snapshot, at letter 1's size a third
-/// as large.
+/// A peer that is further behind gets a snapshot, which is a third as large at
+/// letter 1's size.
 pub const TAIL_BYTES_MAX: usize = 4 * 1024 * 1024;
 
-/// An accepted change, as the author of one that lost is shown it.
+/// An accepted change, as shown to the author of a change that lost to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AcceptedChange {
-    /// The record that won.
+    /// The accepted record.
     pub id: RecordId,
     /// Its author.
     pub author: Author,
     /// Its change.
     pub change: Change,
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: Revision,
 }
 
-/// What one record did to the configuration.
+/// The effect of one record on the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Applied {
-    /// The change is accepted and makes a revision.
+    /// The change is accepted and creates a revision.
     Accepted {
-        /// The revision made.
+        /// The created revision.
         revision: Revision,
     },
-    /// The change was made on an old revision and has no effect.
+    /// The change is based on an old revision and has no effect.
     Lost {
         /// The revision in force.
         revision: Revision,
-        /// The change that took its base, unless it is too long ago.
+        /// The change accepted on the same base, if it is still kept.
         winner: Option<Box<AcceptedChange>>,
     },
     /// The change does not fit the configuration and has no effect.
     Invalid(ConfigError),
-    /// The record was accepted before; its append was repeated.
+    /// The record was accepted before; its append was retried.
     Repeat {
-        /// The revision that it made.
+        /// The revision that it created.
         revision: Revision,
     },
-    /// A snapshot in line with what is known already.
+    /// A snapshot of records that were already applied.
     Covered,
-    /// A part of such a snapshot; others of its parts were not yet seen.
+    /// A part of such a snapshot, of which other parts are still missing.
     Part,
-    /// The record lies below the next offset and was applied before.
+    /// The record is below the next offset and was applied before.
     Old,
-    /// Records before this one were not seen: read from `next`, or recover.
+    /// Records before this one are missing: read from `next`, or recover from a snapshot.
     Gap {
-        /// The next offset expected.
+        /// The next expected offset.
         next: Offset,
     },
-    /// A snapshot replaced the state: read on from `next`.
+    /// A snapshot replaced the state: continue reading at `next`.
     Restored {
         /// The next offset to read.
         next: Offset,
     },
-    /// The record is none of the configuration's.
+    /// The record doesn't belong to the configuration, or can't be decoded.
     Foreign(Option<RecordError>),
 }
 
 impl Applied {
-    /// Tells whether the configuration changed.
+    /// Returns whether the configuration changed.
     #[must_use]
     pub const fn is_change(&self) -> bool {
         matches!(self, Self::Accepted { .. } | Self::Restored { .. })
     }
 }
 
-/// Safeguards of the fold, all on but in tests that show their worth.
+/// Safeguards of the fold; only tests that prove their necessity turn one off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FoldGuards {
-    /// A change made on an old revision loses.
+    /// Rejects a change based on an old revision.
     pub base: bool,
-    /// A repeated record is known by its id.
+    /// Recognizes a repeated record by its id.
     pub repeat: bool,
-    /// A lower offset never replaces a higher one.
+    /// Prevents a snapshot at a lower offset from replacing a higher one.
     pub order: bool,
 }
 
@@ -140,13 +140,13 @@
 }
 
 impl Fold {
-    /// Starts with the empty configuration before the first record.
+    /// Creates an empty configuration at offset 0.
     #[must_use]
     pub fn new() -> Self {
         Self::with_guards(FoldGuards::ON)
     }
 
-    /// Starts with some safeguards off, for tests that show their worth.
+    /// Creates a fold with some safeguards off, for tests that prove their necessity.
     #[must_use]
     pub fn with_guards(guards: FoldGuards) -> Self {
         Self {
@@ -180,7 +180,7 @@
         self.next
     }
 
-    /// Returns the accepted changes still remembered, oldest first.
+    /// Returns the accepted changes that are still kept, oldest first.
     pub fn accepted_changes(&self) -> impl Iterator<Item = &AcceptedChange> {
         self.accepted.values()
     }
@@ -217,7 +217,7 @@
         applied
     }
 
-    /// Judges the position of a record, unless it is the next one.
+    /// Returns the result for a record at any position but the next.
     fn check_position(&self, offset: Offset) -> Option<Applied> {
         if offset < self.next {
             return Some(Applied::Old);
@@ -239,18 +239,18 @@
     }
 
     fn change(&mut self, record: &Record, base: Revision, change: &Change) -> Applied {
-        // An append whose answer was lost is sent again under the same id.
-        // Without this check its author would hear that the change lost to
-        // itself. Forgetting an id is harmless: its base is old by then.
+        // An unanswered append is retried under the same id. Without this check
+        // its author would be notified that the change lost to itself. Dropping
+        // an old id is harmless, since its base is outdated by then.
         let known = self.recent.iter().find(|a| a.id == record.id);
         if let (Some(known), true) = (known, self.guards.repeat) {
             return Applied::Repeat {
                 revision: known.revision,
             };
         }
-        // Two operators who change what both have read would each undo the
-        // other unseen. The log's order decides for one, at every process
-        // alike, and the other is shown the winner.
+        // Concurrent changes on one base would silently undo each other. The log's
+        // order selects the same winner in every process, and the other author is
+        // shown that winner.
         if base != self.revision && self.guards.base {
             return Applied::Lost {
                 revision: self.revision,
@@ -298,13 +298,12 @@
         }
     }
 
-    /// Takes over a snapshot from the log or a peer, if it lies higher.
+    /// Adopts a snapshot from the log or a peer, if its offset is higher.
     ///
     /// Returns whether the state was replaced.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
-        // A peer that was cut off for hours offers what it had then. Taking it
-        // would revert accepted changes. Offsets only grow, so comparing them
-        // is enough.
+        // A peer that was partitioned for hours offers an old state, which would
+        // revert accepted changes. Offsets only grow, so comparing them is enough.
         if snapshot.next <= self.next && self.guards.order {
             return false;
         }
@@ -318,14 +317,14 @@
         true
     }
 
-    /// Holds a part of a snapshot, and takes the snapshot over once it is whole.
+    /// Stores a part of a snapshot, and adopts the snapshot once it is complete.
     ///
-    /// Returns whether the state was replaced. Parts may come in any order and
-    /// repeatedly; those that complete nothing are bounded by
+    /// Returns whether the state was replaced. Parts may arrive in any order and
+    /// repeatedly; those of incomplete snapshots are bounded by
     /// [`INCOMPLETE_SNAPSHOTS_MAX`](crate::config::INCOMPLETE_SNAPSHOTS_MAX) and
     /// [`INCOMPLETE_BYTES_MAX`](crate::config::INCOMPLETE_BYTES_MAX).
     pub fn adopt_part(&mut self, part: &SnapshotPart) -> bool {
-        // Parts of a state already passed would only push out better ones.
+        // Parts of an outdated state would only evict newer ones.
         if part.set.next <= self.next && self.guards.order {
             return false;
         }
@@ -333,7 +332,7 @@
         completed.is_some_and(|snapshot| self.adopt(&snapshot))
     }
 
-    /// Returns the bytes held of incomplete snapshots.
+    /// Returns the size of the incomplete snapshots held, in bytes.
     #[must_use]
     pub fn incomplete_bytes(&self) -> usize {
         self.assembly.bytes()
@@ -366,8 +365,8 @@
     }
 }
 
-// A peer that has all records before a snapshot needs nothing of it but its
-// place; with the text, each snapshot would cost each link a megabyte.
+// Strips the text of snapshots: a peer with all earlier records only needs the
+// position, and the text would cost each link a megabyte per snapshot.
 fn relayed_bytes(record: &Record) -> Vec<u8> {
     let marker = match &record.body {
         Body::Snapshot(snapshot) => SnapshotPart {
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators publish and every process follows.
+//! The configuration, published by operators and followed by every process.
 
 mod change;
 mod fold;
--- a/lib/src/config/model.rs
+++ b/lib/src/config/model.rs
@@ -21,26 +21,26 @@
 use crate::units::RequestRate;
 use crate::units::TokenRate;
 
-/// The most stages that one pipeline may have.
+/// The maximum number of stages in a pipeline.
 ///
-/// Letter 1 asks for 3 to 6; two more leave room for a check before and after.
+/// Letter 1 requires 3 to 6; 2 more allow for a check before and after.
 pub const STAGES_MAX: usize = 8;
 
-/// The longest deadline of a pipeline, in milliseconds: ten minutes.
+/// The maximum deadline of a pipeline, in milliseconds: 10 minutes.
 pub const DEADLINE_MAX_MS: u64 = 600_000;
 
-/// What a stage asks of its endpoint.
+/// The operation that a stage requests from its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display, FromStr, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StageRole {
-    /// Turns text into an embedding.
+    /// Computes an embedding of a text.
     #[display("encode")]
     Encode,
     /// Finds documents for an embedding.
     #[display("retrieve")]
     Retrieve,
-    /// Orders documents for a query.
+    /// Ranks documents by their relevance to a query.
     #[display("rerank")]
     Rerank,
     /// Generates text.
@@ -57,14 +57,14 @@
 pub struct Stage {
     /// The stage's name, unique in its pipeline.
     pub name: StageName,
-    /// What the stage does.
+    /// The operation of the stage.
     pub role: StageRole,
     /// The pool whose endpoints serve it.
     pub pool: PoolName,
-    /// The model to ask for, for stages that have one.
+    /// The model to request, for stages that use one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelName>,
-    /// Whether running it twice is harmless.
+    /// Whether the stage may run more than once.
     #[serde(default = "yes")]
     pub idempotent: bool,
 }
@@ -73,11 +73,11 @@
     true
 }
 
-/// How a pipeline weighs lateness against cost.
+/// The weights of lateness and cost in the choice of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Weights {
-    /// The weight of a second of predicted lateness.
+    /// The weight of one second of predicted lateness.
     pub lateness: f64,
     /// The weight of one unit of cost.
     pub cost: f64,
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Pipeline {
-    /// The time from acceptance to the whole answer, in milliseconds.
+    /// The time from acceptance to the complete response, in milliseconds.
     pub deadline_ms: u64,
     /// The stages, in order.
     pub stages: Vec<Stage>,
@@ -112,20 +112,20 @@
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Tells whether every stage may run more than once.
+    /// Returns whether every stage may run more than once.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         self.stages.iter().all(|s| s.idempotent)
     }
 }
 
-/// What one client account may use, over all routers together.
+/// The limits of a client account over all routers together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: RequestRate,
-    /// Generated and prompt tokens a second.
+    /// Generated and prompt tokens per second.
     pub tokens: TokenRate,
     /// Requests in flight.
     pub concurrency: u32,
@@ -167,11 +167,11 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Account {
-    /// The digests of the keys that name this account.
+    /// The digests of the keys that identify this account.
     pub keys: Vec<KeyDigest>,
     /// The limits over all routers.
     pub limits: Limits,
-    /// The share under contention, relative to other accounts.
+    /// The account's share under contention, relative to other accounts.
     #[serde(default = "one")]
     pub share: f64,
 }
@@ -186,7 +186,7 @@
 pub struct Pool {
     /// The cost of one busy second of one endpoint.
     pub price: f64,
-    /// The path to post to, for pools of plain services.
+    /// The path of POST requests, for pools of plain services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path: Option<String>,
 }
@@ -203,12 +203,12 @@
     pub pipelines: BTreeMap<PipelineName, Pipeline>,
     /// The pipeline for each account and request kind.
     pub bindings: BTreeMap<ClientAccount, BTreeMap<RequestKind, PipelineName>>,
-    /// What operators drain.
+    /// The targets that operators drain.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub drains: BTreeSet<DrainTarget>,
 }
 
-/// The reason why a configuration is refused.
+/// The reason for which a configuration is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum ConfigError {
@@ -220,7 +220,7 @@
     StageCount {
         /// The pipeline.
         pipeline: PipelineName,
-        /// The stages found.
+        /// The number of stages.
         count: usize,
     },
     /// Two stages of a pipeline share a name.
@@ -228,7 +228,7 @@
     StageTwice {
         /// The pipeline.
         pipeline: PipelineName,
-        /// The name found twice.
+        /// The duplicate name.
         stage: StageName,
     },
     /// A deadline is out of range.
@@ -236,7 +236,7 @@
     Deadline {
         /// The pipeline.
         pipeline: PipelineName,
-        /// The deadline found, in milliseconds.
+        /// The given deadline, in milliseconds.
         found: u64,
     },
     /// A stage names a pool that does not exist.
@@ -247,7 +247,7 @@
         /// The missing pool.
         pool: PoolName,
     },
-    /// A stage that may not be repeated is followed by another.
+    /// A stage that is not idempotent is followed by another.
     #[display(
         "stage {stage} of {pipeline} is not idempotent: make it the only such stage, and the last"
     )]
@@ -275,17 +275,17 @@
         /// The missing pipeline.
         pipeline: PipelineName,
     },
-    /// A number must be finite and positive.
+    /// A number is not finite and positive.
     #[display("{what} must be a positive number: correct it")]
     NotPositive {
-        /// What the number is.
+        /// The description of the number.
         #[error(not(source))]
         what: String,
     },
-    /// A change names what does not exist.
+    /// A change names an object that does not exist.
     #[display("{what} does not exist: look at the newest revision")]
     Missing {
-        /// What is missing.
+        /// The description of the missing object.
         #[error(not(source))]
         what: String,
     },
@@ -304,7 +304,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first [`ConfigError`] found.
+    /// Returns the first [`ConfigError`] that occurs.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.check_accounts()?;
         self.check_pools()?;
@@ -384,9 +384,9 @@
                     pool: stage.pool.clone(),
                 });
             }
-            // A stage after the effect could fail and leave a request that has
-            // run and yet has no answer. With the effect last, its answer is
-            // the request's answer.
+            // If a stage after the side effect failed, the request would have
+            // run without a response. With the effect last, its response is that
+            // of the request.
             if !stage.idempotent && index + 1 < count {
                 return Err(ConfigError::OnceNotLast {
                     pipeline: name.clone(),
@@ -417,7 +417,7 @@
         Ok(())
     }
 
-    /// Returns the pipeline that an account's request kind is bound to.
+    /// Returns the pipeline to which an account's request kind is bound.
     #[must_use]
     pub fn bound(
         &self,
--- a/lib/src/config/parts.rs
+++ b/lib/src/config/parts.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts that fit a record and a frame.
+//! Splitting of snapshots into parts that fit into a record and a frame.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,38 +14,38 @@
 use crate::record::Record;
 use crate::record::RecordId;
 
-/// The most encoded bytes of a record that holds a snapshot or a part of one.
+/// The maximum encoded size of a record with a snapshot or a part of one, in bytes.
 ///
-/// It leaves a quarter of the 256 KiB that the log service takes as one record
-/// and append, and is a sixth of a frame, so that calls on the same link wait
-/// for little.
+/// The log service accepts 256 KiB per record and append, of which a quarter is
+/// left as reserve. A part is also a sixth of a frame, so that it delays other
+/// calls on the same link only briefly.
 pub const PART_BYTES_MAX: usize = 192 * 1024;
 
-/// Bytes of a record around a part's text; names have 64 at most.
+/// Bytes reserved in a record beside the part's text; names have 64 at most.
 const RECORD_OVERHEAD: usize = 1024;
 
-/// The most parts of one snapshot; more than [`INCOMPLETE_BYTES_MAX`] has room for.
+/// The maximum number of parts of a snapshot, more than fit into [`INCOMPLETE_BYTES_MAX`].
 pub const PART_COUNT_MAX: u32 = 128;
 
-/// The most incomplete snapshots held at once.
+/// The maximum number of incomplete snapshots held at once.
 ///
-/// A publisher that stops half-way leaves one for good; a later snapshot lies
-/// higher and pushes it out.
+/// A publisher that stops half-way leaves an incomplete snapshot behind, until
+/// later snapshots, which have higher offsets, evict it.
 pub const INCOMPLETE_SNAPSHOTS_MAX: usize = 8;
 
-/// The most bytes of incomplete snapshots held at once.
+/// The maximum size of all incomplete snapshots held at once, in bytes.
 ///
-/// A snapshot of 100,000 accounts fits, 13 times those of letter 1.
+/// A snapshot of 100,000 accounts fits, 13 times the number in letter 1.
 pub const INCOMPLETE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// Which snapshot a part belongs to.
+/// Identifies the snapshot to which a part belongs.
 ///
-/// It names the content and not the publisher, so parts of the same state from
-/// several peers complete one another, and those of different states never mix.
+/// It identifies the content and not the publisher, so parts of the same state
+/// from several peers complete one another, and different states never mix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct SnapshotId {
-    /// The offset after the last record covered.
+    /// The offset after the last covered record.
     pub next: Offset,
     /// The number of parts.
     pub count: u32,
@@ -53,15 +53,15 @@
     pub digest: u64,
 }
 
-/// A piece of an encoded snapshot.
+/// A part of an encoded snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SnapshotPart {
-    /// The snapshot.
+    /// The snapshot to which it belongs.
     pub set: SnapshotId,
-    /// The position among the parts, from 0.
+    /// The index of the part, from 0.
     pub index: u32,
-    /// The piece; empty where a reader needs no more than to know of it.
+    /// The text; empty if the receiver only needs to know that the part exists.
     pub text: String,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Snapshot {
-    /// Splits the snapshot into parts of at most so many encoded bytes each.
+    /// Splits the snapshot into parts of at most `max_bytes` encoded bytes each.
     ///
     /// # Panics
     ///
@@ -92,7 +92,7 @@
         self.split(&self.to_json(), max_bytes)
     }
 
-    /// Returns the records that hold the snapshot, whole if it is small.
+    /// Returns the records with the snapshot: one if it is small, else one per part.
     ///
     /// # Panics
     ///
@@ -134,7 +134,7 @@
     }
 }
 
-/// Cuts text into pieces whose JSON strings have at most so many bytes.
+/// Splits text into chunks whose JSON strings have at most `max_bytes` bytes.
 fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
     let mut chunks = Vec::new();
     let (mut start, mut bytes) = (0, 0);
@@ -150,7 +150,7 @@
     chunks
 }
 
-/// Returns the bytes that a character takes in a JSON string.
+/// Returns the length of a character in a JSON string, in bytes.
 const fn escaped_len(c: char) -> usize {
     match c {
         '"' | '\\' => 2,
@@ -159,14 +159,14 @@
     }
 }
 
-/// Incomplete snapshots, within bounds.
+/// Incomplete snapshots, bounded in number and bytes.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SnapshotAssembly {
     sets: BTreeMap<SnapshotId, BTreeMap<u32, String>>,
 }
 
 impl SnapshotAssembly {
-    /// Adds a part and returns its snapshot if it was the last one missing.
+    /// Adds a part and returns its snapshot if that is now complete.
     pub(super) fn add(&mut self, part: &SnapshotPart) -> Option<Snapshot> {
         if !part.is_valid() || part.text.is_empty() {
             return None;
@@ -183,22 +183,22 @@
         join(part.set, &chunks.into_values().collect::<String>())
     }
 
-    /// Forgets the snapshots that would bring a state at an offset no further.
+    /// Discards the snapshots that don't lie above an offset.
     pub(super) fn discard_up_to(&mut self, next: Offset) {
         while self.sets.keys().next().is_some_and(|set| set.next <= next) {
             self.sets.pop_first();
         }
     }
 
-    /// Returns the bytes held.
+    /// Returns the total size of the parts held, in bytes.
     pub(super) fn bytes(&self) -> usize {
         let chunks = self.sets.values().flat_map(BTreeMap::values);
         chunks.map(String::len).sum()
     }
 
-    // Publishers that stop half-way would leave parts for good, and readers
-    // behind retention would run out of memory. The lowest go first: any
-    // snapshot that still comes lies higher than those given up.
+    // Publishers that stop half-way leave parts behind, and readers behind
+    // retention would run out of memory. The lowest offset is evicted first,
+    // since any later snapshot has a higher one.
     fn enforce_bounds(&mut self) {
         while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX || self.bytes() > INCOMPLETE_BYTES_MAX {
             self.sets.pop_first();
@@ -206,9 +206,9 @@
     }
 }
 
-// A damaged part would make a state that no process ever had, or one that
-// lies at another offset than it says. The digest covers the whole text, so
-// such a set is dropped; the parts come again with the next offer.
+// A damaged part could produce a state that never existed, or one with a wrong
+// offset. The digest covers the whole text, so such a set is dropped; the next
+// offer sends the parts again.
 fn join(set: SnapshotId, text: &str) -> Option<Snapshot> {
     if rapidhash_v3(text.as_bytes()) != set.digest {
         return None;
@@ -217,14 +217,14 @@
     (snapshot.next == set.next).then_some(snapshot)
 }
 
-/// Which parts of recent snapshots a reader has seen, without their text.
+/// The parts of recent snapshots that a reader has seen, without their text.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SeenParts {
     sets: BTreeMap<SnapshotId, BTreeSet<u32>>,
 }
 
 impl SeenParts {
-    /// Counts a part and tells whether its snapshot is now whole.
+    /// Adds a part and returns whether its snapshot is now complete.
     pub(super) fn add(&mut self, part: &SnapshotPart) -> bool {
         if !part.is_valid() {
             return false;
--- a/lib/src/config/snapshot.rs
+++ b/lib/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole configuration at one offset of the log.
+//! Snapshots of the configuration at an offset of the log.
 
 use std::sync::Arc;
 
@@ -12,28 +12,28 @@
 use crate::ids::Revision;
 use crate::record::RecordId;
 
-/// A record that was accepted, and the revision that it made.
+/// An accepted record and the revision that it created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Accepted {
     /// The record.
     pub id: RecordId,
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: Revision,
 }
 
-/// The configuration that the records below one offset lead to.
+/// The configuration that results from all records below an offset.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The offset after the last record covered.
+    /// The offset after the last covered record.
     pub next: Offset,
     /// The revision.
     pub revision: Revision,
     /// The configuration.
     #[serde(serialize_with = "write_shared", deserialize_with = "read_shared")]
     pub config: Arc<Config>,
-    /// The last accepted records, so that a repeated append is still known.
+    /// The latest accepted records, by which a repeated append is recognized.
     pub recent: Vec<Accepted>,
 }
 
--- a/lib/src/journal/entry.rs
+++ b/lib/src/journal/entry.rs
@@ -1,4 +1,4 @@
-//! What is recorded of one request.
+//! The journal's record of one request.
 
 use std::time::Duration;
 
@@ -15,70 +15,70 @@
 use crate::time::Time;
 use crate::units::Cost;
 
-/// The most attempts recorded of one request; later ones are only counted.
+/// The maximum number of attempts recorded per request; later ones are only counted.
 ///
-/// A pipeline has at most eight stages, and budgets keep retries rare, so only
-/// a fault in the retry logic itself could pass this.
+/// A pipeline has at most 8 stages, and budgets keep retries rare, so only a
+/// fault in the retry logic itself could exceed this.
 pub const ATTEMPTS_MAX: usize = 48;
 
-/// A request as it was accepted or refused at the door.
+/// A request as accepted or refused at the ingress.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Accepted {
     /// The request.
     pub id: RequestId,
     /// The client account that sent it.
     pub account: ClientAccount,
-    /// The kind that the caller asked for.
+    /// The request kind.
     pub kind: RequestKind,
     /// The pipeline that serves it.
     pub pipeline: PipelineName,
-    /// The time that it may take.
+    /// The time from acceptance to the deadline.
     pub deadline: Duration,
-    /// The time that admission expected it to take, if it said.
+    /// The duration predicted by admission, if known.
     pub predicted: Option<Duration>,
 }
 
-/// One endpoint that was weighed for an attempt.
+/// An endpoint considered for an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The time until completion that was expected there.
+    /// The predicted time to completion.
     pub predicted: Duration,
-    /// The cost that was expected there, where the policy weighs it.
+    /// The predicted cost, if the policy weighs it.
     pub cost: Option<Cost>,
 }
 
-/// Where an attempt was sent, and why.
+/// The routing decision of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     /// The stage.
     pub stage: StageName,
     /// The attempt.
     pub attempt: AttemptId,
-    /// The endpoint chosen.
+    /// The chosen endpoint.
     pub chosen: Choice,
-    /// The best alternatives, at most two are kept.
+    /// The best alternatives; at most 2 are kept.
     pub others: Vec<Choice>,
-    /// Whether the attempt runs beside another of the same stage.
+    /// Whether another attempt of the same stage was already running.
     pub hedge: bool,
-    /// The ground for the choice, in a word or two.
+    /// The reason for the choice, in a word or two.
     pub why: String,
 }
 
-/// One attempt with its decision and end.
+/// An attempt with its decision and end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
-    /// Why and where it was sent.
+    /// The routing decision.
     pub decision: Decision,
     /// When it was sent.
     pub sent: Time,
-    /// When and how it ended, once it has.
+    /// The time and kind of its end, once it has ended.
     pub end: Option<(Time, AttemptEnd)>,
 }
 
 impl Attempt {
-    /// Returns how long the attempt took, or has taken so far.
+    /// Returns the duration of the attempt, up to `now` while it runs.
     #[must_use]
     pub fn elapsed(&self, now: Time) -> Duration {
         let until = self.end.as_ref().map_or(now, |(at, _)| *at);
@@ -89,49 +89,49 @@
 /// The end of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finish {
-    /// When the final answer was given.
+    /// The time of the final response.
     pub at: Time,
-    /// The one outcome.
+    /// The final outcome.
     pub outcome: Outcome,
-    /// Why it was refused or failed.
+    /// The reason for a refusal or failure.
     pub reason: Option<Reason>,
 }
 
-/// All that is recorded of one request.
+/// The journal's record of one request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// The request as it came.
+    /// The request as accepted or refused.
     pub accepted: Accepted,
-    /// When it came.
+    /// The time of arrival.
     pub at: Time,
     /// The attempts, in the order of their decisions.
     pub attempts: Vec<Attempt>,
-    /// The attempts that were not recorded, being over [`ATTEMPTS_MAX`].
+    /// The number of attempts not recorded, beyond [`ATTEMPTS_MAX`] or for lack of room.
     pub unrecorded: u32,
-    /// How it ended, once it has.
+    /// The end, once the request has finished.
     pub finish: Option<Finish>,
 }
 
 impl Request {
-    /// Tells whether the request has no outcome yet.
+    /// Returns whether the request has no outcome yet.
     #[must_use]
     pub const fn is_running(&self) -> bool {
         self.finish.is_none()
     }
 
-    /// Tells whether the request was answered "not run".
+    /// Returns whether the request was answered "not run".
     #[must_use]
     pub fn is_refused(&self) -> bool {
         self.finish.is_some_and(|f| f.outcome == Outcome::NotRun)
     }
 
-    /// Tells whether the request has outlived its deadline.
+    /// Returns whether the request has exceeded its deadline.
     #[must_use]
     pub fn is_late(&self, now: Time) -> bool {
         self.elapsed(now) > self.accepted.deadline
     }
 
-    /// Returns how long the request took, or has taken so far.
+    /// Returns the duration of the request, up to `now` while it runs.
     #[must_use]
     pub fn elapsed(&self, now: Time) -> Duration {
         self.end_or(now).since(self.at)
@@ -149,15 +149,15 @@
         self.attempts.last().map(|a| &a.decision.chosen.endpoint)
     }
 
-    /// Returns the request's end, or the present while it runs.
+    /// Returns the time of the request's end, or `now` while it runs.
     ///
-    /// An attempt that had no end by then was given up with the request.
+    /// An attempt without an end by then was abandoned with the request.
     #[must_use]
     pub fn end_or(&self, now: Time) -> Time {
         self.finish.map_or(now, |f| f.at)
     }
 
-    /// Returns the attempt whose end was the latest beyond its prediction.
+    /// Returns the attempt that exceeded its predicted duration the most.
     #[must_use]
     pub fn most_delayed(&self, now: Time) -> Option<&Attempt> {
         let now = self.end_or(now);
--- a/lib/src/journal/mod.rs
+++ b/lib/src/journal/mod.rs
@@ -1,8 +1,8 @@
 //! A bounded record of the requests at a router, for its operators.
 //!
 //! The driver of the request chains reports each acceptance, decision, end of
-//! an attempt and outcome. The journal keeps them within a number of bytes and
-//! forgets the requests that finished first.
+//! an attempt and outcome. The journal stays within a limit in bytes and evicts
+//! the requests that finished first.
 
 mod entry;
 mod route;
@@ -27,19 +27,19 @@
 use crate::time::Time;
 use crate::units::Bytes;
 
-/// The alternatives kept with a decision.
+/// The maximum number of alternatives kept with a decision.
 const ALTERNATIVES_MAX: usize = 2;
 
-/// The bytes kept of the ground for a choice.
+/// The maximum length of a decision's reason, in bytes.
 const WHY_BYTES_MAX: usize = 64;
 
-/// What an entry costs in the tree and the queue, beside its own fields.
+/// The bytes of an entry in the tree and the queue, apart from its heap data.
 ///
-/// A tree node is at least five of eleven slots full, so a slot costs at most
-/// 2.2 times its content; the queue doubles when it grows.
+/// At least 5 of the 11 slots of a tree node are occupied, so a slot costs at
+/// most 2.2 times its content; the queue doubles its capacity when it grows.
 const ENTRY_OVERHEAD: usize = 2 * size_of::<Request>() + 4 * size_of::<RequestId>();
 
-/// What an allocation costs beside its content.
+/// The overhead of a heap allocation, in bytes.
 const ALLOCATION_OVERHEAD: usize = 16;
 
 /// A bounded record of requests.
@@ -48,14 +48,14 @@
     limit: usize,
     used: usize,
     requests: BTreeMap<RequestId, Request>,
-    // Finished requests, the first finished first.
+    // Finished requests, in the order in which they finished.
     finished: VecDeque<RequestId>,
     evicted: u64,
     skipped: u64,
 }
 
 impl Journal {
-    /// Builds an empty journal that keeps within `limit`.
+    /// Creates an empty journal bounded by `limit`.
     #[must_use]
     pub fn new(limit: Bytes) -> Self {
         Self {
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Records a request that was accepted.
+    /// Records an accepted request.
     ///
-    /// A second record of the same id is ignored.
+    /// Later records with the same id are ignored.
     pub fn on_accept(&mut self, now: Time, accepted: Accepted) {
         let id = accepted.id;
         if self.requests.contains_key(&id) {
@@ -92,7 +92,7 @@
         self.requests.insert(id, request);
     }
 
-    /// Records where an attempt was sent.
+    /// Records the routing decision of an attempt.
     pub fn on_decision(&mut self, now: Time, id: RequestId, mut decision: Decision) {
         decision.others.truncate(ALTERNATIVES_MAX);
         decision.others.shrink_to_fit();
@@ -114,7 +114,7 @@
         self.used += size;
     }
 
-    /// Records how an attempt ended; the first end of an attempt stays.
+    /// Records the end of an attempt; only the first one counts.
     pub fn on_attempt_end(
         &mut self,
         now: Time,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Records the one outcome of a request; the first one stays.
+    /// Records the outcome of a request; only the first one counts.
     pub fn on_finish(
         &mut self,
         now: Time,
@@ -156,14 +156,14 @@
         self.finished.push_back(id);
     }
 
-    /// Records a request that was refused at the door.
+    /// Records a request that was refused at the ingress.
     pub fn on_refuse(&mut self, now: Time, accepted: Accepted, reason: Reason) {
         let id = accepted.id;
         self.on_accept(now, accepted);
         self.on_finish(now, id, Outcome::NotRun, Some(reason));
     }
 
-    /// Returns what is recorded of a request.
+    /// Returns the record of a request.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
@@ -176,8 +176,8 @@
 
     /// Copies at most `limit` requests older than `before`, the newest first.
     ///
-    /// A reader that holds a lock takes it page by page, so that the requests
-    /// at work wait for one page at most.
+    /// A reader locks the journal for one page at a time, so that requests in
+    /// flight wait for one page at most.
     #[must_use]
     pub fn page(&self, before: Option<RequestId>, limit: usize) -> Vec<Request> {
         let end = before.map_or(Bound::Unbounded, Bound::Excluded);
@@ -185,28 +185,27 @@
         range.rev().take(limit).map(|(_, r)| r.clone()).collect()
     }
 
-    /// Returns an estimate of the memory in use, from above.
+    /// Returns an upper estimate of the memory in use.
     #[must_use]
     pub const fn used(&self) -> Bytes {
         Bytes(self.used as u64)
     }
 
-    /// Returns how many finished requests were dropped to make room.
+    /// Returns the number of finished requests evicted to make room.
     #[must_use]
     pub const fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Returns how many requests were never recorded for want of room.
+    /// Returns the number of requests not recorded for lack of room.
     #[must_use]
     pub const fn skipped(&self) -> u64 {
         self.skipped
     }
 
-    // A flood of requests must not take the router's memory: the symptom would
-    // be a router killed with everything in flight. Finished requests go first;
-    // a running one is never dropped, so `explain` of it stays whole, and new
-    // ones are counted instead of recorded when only running ones are left.
+    // Bounds memory, since an out-of-memory kill loses all requests in flight.
+    // Evicts finished requests only, so that `explain` of a running one stays
+    // complete; with only running ones left, new requests are just counted.
     fn make_room(&mut self, size: usize) -> bool {
         while self.used + size > self.limit {
             let Some(oldest) = self.finished.pop_front() else {
@@ -247,7 +246,7 @@
         .iter()
         .map(|c| size_of::<Choice>() + text_size(c.endpoint.as_str().len()))
         .sum();
-    // The list of attempts doubles when it grows.
+    // The list of attempts doubles its capacity when it grows.
     2 * size_of::<Attempt>()
         + text_size(decision.stage.as_str().len())
         + text_size(decision.chosen.endpoint.as_str().len())
--- a/lib/src/journal/route.rs
+++ b/lib/src/journal/route.rs
@@ -1,4 +1,4 @@
-//! From a chain's decisions to the journal's.
+//! Conversion of a chain's decisions to journal entries.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::time::Time;
 
 impl Accepted {
-    /// Reads what the journal keeps out of an accepted request.
+    /// Extracts the recorded fields from the specification of a request.
     #[must_use]
     pub fn from_spec(now: Time, spec: &RequestSpec, predicted: Option<Duration>) -> Self {
         Self {
@@ -35,7 +35,7 @@
 }
 
 impl Journal {
-    /// Records a decision of a request's chain, if it sends an attempt.
+    /// Records a chain's decision, if it sends an attempt.
     pub fn on_chain_decision(&mut self, now: Time, spec: &RequestSpec, decision: &chain::Decision) {
         let chain::Decision::Chosen {
             request,
--- a/lib/src/log/backoff.rs
+++ b/lib/src/log/backoff.rs
@@ -1,4 +1,4 @@
-//! Growing pauses between tries.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 /// The first pause.
 const PAUSE_MIN: Duration = Duration::from_millis(100);
 
-/// The longest pause.
+/// The maximum pause.
 ///
-/// A change has 4 s to be in force everywhere, so after an outage every
-/// process has to try again well within that.
+/// A change must be in force everywhere within 4 s, so after an outage every
+/// process has to retry well within that time.
 const PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// Pauses that double with each failure, with jitter.
+/// Retry pauses that double with each failure, with jitter.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     failures: u32,
@@ -22,7 +22,7 @@
 }
 
 impl Backoff {
-    /// Starts without failures, with a seeded generator for the jitter.
+    /// Creates a backoff without failures, with a seed for the jitter.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -31,16 +31,15 @@
         }
     }
 
-    /// Counts a success.
+    /// Records a success, which resets the pause.
     pub const fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// Counts a failure and returns the pause before the next try.
+    /// Records a failure and returns the pause before the next attempt.
     ///
-    /// All processes lose the log at the same moment and would come back at
-    /// the same moment, again and again. Half of each pause is random, which
-    /// spreads them over it.
+    /// All processes lose the log at the same moment and would otherwise retry
+    /// at the same moments. Half of each pause is random, which spreads them.
     pub fn failed(&mut self) -> Duration {
         let doubled = PAUSE_MIN.saturating_mul(1 << self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
--- a/lib/src/log/follower.rs
+++ b/lib/src/log/follower.rs
@@ -10,33 +10,33 @@
 use crate::time::Time;
 use crate::units::Bytes;
 
-/// How long the service may hold a read that finds nothing.
+/// How long the service may hold a read until a record exists.
 const READ_WAIT: Duration = Duration::from_secs(20);
 
-/// The pause after a read that found nothing.
+/// The pause after an empty read.
 const EMPTY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The most bytes of one read.
+/// The maximum number of bytes in one read.
 const READ_BYTES_MAX: Bytes = Bytes(1024 * 1024);
 
-/// What a read brought.
+/// The outcome of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowOutcome {
     /// The records, each with its offset.
     Records {
         /// The records, in offset order.
         records: Vec<(Offset, Vec<u8>)>,
-        /// The lowest offset that retention left.
+        /// The lowest retained offset.
         first: Offset,
         /// The offset after the newest record.
         end: Offset,
     },
-    /// Retention took what comes next; reading goes on at `first`.
+    /// Retention has removed the next records; reading continues at `first`.
     Behind {
-        /// The lowest offset that is left.
+        /// The lowest retained offset.
         first: Offset,
     },
-    /// Nothing, for lack of an answer.
+    /// The read failed or got no response.
     Failed,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Follower {
-    /// Starts at an offset, with a seed for the pauses' jitter.
+    /// Creates a follower at an offset, with a seed for the backoff's jitter.
     #[must_use]
     pub fn new(topic: Topic, next: Offset, seed: u64) -> Self {
         Self {
@@ -71,18 +71,18 @@
         self.next
     }
 
-    /// Returns when the service last answered a read, if ever.
+    /// Returns the time of the last successful response, if any.
     #[must_use]
     pub const fn last_response(&self) -> Option<Time> {
         self.last_response
     }
 
-    /// Reads on from an offset, after a snapshot or a peer brought the state there.
+    /// Continues at an offset to which a snapshot or a peer has advanced the state.
     pub const fn seek(&mut self, next: Offset) {
         self.next = next;
     }
 
-    /// Returns when [`Self::poll`] may next have a read.
+    /// Returns when [`Self::poll`] may next return a read.
     #[must_use]
     pub const fn wake(&self) -> Time {
         if self.in_flight.is_some() {
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Takes the end of the read under way.
+    /// Handles the end of the read in flight.
     pub fn on_read_end(&mut self, now: Time, end: ReadEnd) -> FollowOutcome {
         let from = self.in_flight.take().unwrap_or(self.next);
         match end {
@@ -117,12 +117,12 @@
                 self.on_response(now);
                 let offsets = (from.0..).map(Offset);
                 let records: Vec<_> = offsets.zip(records).collect();
-                // After a seek while the read was under way, the seek stands:
-                // the fold sorts out what is old or leaves a gap.
+                // A seek during the read takes precedence; the fold handles
+                // records that are old or leave a gap.
                 if let (Some((last, _)), true) = (records.last(), self.next == from) {
                     self.next = last.next();
                 }
-                // A service that doesn't hold reads would be asked without end.
+                // A service that doesn't hold reads would be polled in a tight loop.
                 if records.is_empty() {
                     self.next_attempt = now + EMPTY_PAUSE;
                 }
--- a/lib/src/log/mod.rs
+++ b/lib/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's log service, and what drives it.
+//! The interface to the platform's log service, and its readers and writers.
 
 mod backoff;
 mod follower;
--- a/lib/src/log/publisher.rs
+++ b/lib/src/log/publisher.rs
@@ -1,4 +1,4 @@
-//! Appends records in batches and repeats what was not answered.
+//! Appends records in batches and retries unanswered appends.
 
 use std::collections::VecDeque;
 
@@ -11,10 +11,10 @@
 use crate::record::RecordId;
 use crate::time::Time;
 
-/// The most records of one append.
+/// The maximum number of records in one append.
 pub const BATCH_RECORDS: usize = 64;
 
-/// The most bytes of one append, unless one record alone is larger.
+/// The maximum number of bytes in one append, unless a single record is larger.
 pub const BATCH_BYTES: usize = 256 * 1024;
 
 #[derive(Debug, Clone)]
@@ -23,12 +23,12 @@
     bytes: Vec<u8>,
 }
 
-/// The records of one process on their way to one topic.
+/// The queue of records that one process appends to one topic.
 ///
-/// One append is under way at a time, so that records keep their order. An
-/// append without an answer is repeated with the same records: folds know a
-/// record by its id, so a second copy has no effect. A record is not accepted
-/// when its append was answered, but when the fold has read it back.
+/// Only one append is in flight at a time, which preserves the order of records.
+/// An unanswered append is retried with the same records: folds identify a
+/// record by its id, so a second copy has no effect. A record is accepted not
+/// when its append succeeds, but when the fold has read it back.
 #[derive(Debug, Clone)]
 pub struct Publisher {
     topic: Topic,
@@ -39,7 +39,7 @@
 }
 
 impl Publisher {
-    /// Starts with nothing to append, with a seed for the pauses' jitter.
+    /// Creates an empty queue, with a seed for the backoff's jitter.
     #[must_use]
     pub fn new(topic: Topic, seed: u64) -> Self {
         Self {
@@ -59,13 +59,13 @@
         });
     }
 
-    /// Returns the number of records that are queued or under way.
+    /// Returns the number of records that are queued or in flight.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns when [`Self::poll`] may next have an append.
+    /// Returns when [`Self::poll`] may next return an append.
     #[must_use]
     pub fn wake(&self) -> Time {
         if self.queue.is_empty() || self.in_flight > 0 {
@@ -96,7 +96,7 @@
         fitting.count().max(1)
     }
 
-    /// Takes the end of the append under way, and returns where it stands.
+    /// Handles the end of the append in flight, and returns its offset on success.
     pub fn on_append_end(&mut self, now: Time, end: &AppendEnd) -> Option<Offset> {
         let in_flight = std::mem::take(&mut self.in_flight);
         match end {
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Drops a record that was read back, so that it is not repeated.
+    /// Removes a record that was read back, so that it is not appended again.
     pub fn on_read_back(&mut self, id: RecordId) {
-        // The batch under way is a prefix of the queue; its length must follow.
+        // The batch in flight is a prefix of the queue, so its length shrinks too.
         if let Some(index) = self.queue.iter().position(|w| w.id == id) {
             self.queue.remove(index);
             if index < self.in_flight {
--- a/lib/src/log/store.rs
+++ b/lib/src/log/store.rs
@@ -1,4 +1,4 @@
-//! The calls of the log service.
+//! The calls to the log service.
 
 use std::fmt::Debug;
 use std::pin::Pin;
@@ -11,25 +11,25 @@
 use crate::ids::Offset;
 use crate::units::Bytes;
 
-/// Names a topic of the log service.
+/// The name of a topic of the log service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display)]
 pub struct Topic(String);
 
-/// The reason why a text is no topic.
+/// The error for an invalid topic name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("a topic has 1 to 64 of a-z, 0-9, '-' and '.': correct its name")]
 pub struct TopicError;
 
 impl Topic {
-    /// The topic of the configuration's records.
+    /// Returns the topic of configuration records.
     #[must_use]
     pub fn config() -> Self {
         Self("config".to_owned())
     }
 
-    /// The topic of the leases' records.
+    /// Returns the topic of lease records.
     #[must_use]
     pub fn leases() -> Self {
         Self("leases".to_owned())
@@ -55,7 +55,7 @@
     }
 }
 
-/// Asks for an append of all records or none.
+/// A request to append all records or none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Append {
     /// The topic.
@@ -67,61 +67,61 @@
 /// How an append ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AppendEnd {
-    /// The records stand from this offset on.
+    /// The records are in the log from this offset on.
     Done {
         /// The offset of the first record.
         offset: Offset,
     },
     /// Nothing was appended.
     NotDone {
-        /// When the service asks to come back, if it does.
+        /// The pause that the service requests before a retry, if any.
         retry_after: Option<Duration>,
     },
-    /// No answer came: the records may stand in the log.
+    /// No response arrived: the records may be in the log.
     Unanswered,
 }
 
-/// Asks for records from an offset on.
+/// A request for records from an offset on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Read {
     /// The topic.
     pub topic: Topic,
-    /// The first offset wanted.
+    /// The first requested offset.
     pub from: Offset,
-    /// How long the service may wait for a record.
+    /// How long the service may hold the request until a record exists.
     pub wait: Duration,
-    /// The most bytes wanted.
+    /// The maximum number of bytes to return.
     pub limit: Bytes,
 }
 
 /// How a read ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// Records in offset order; the first one lies at the offset asked for.
+    /// Records in offset order; the first one is at the requested offset.
     Records {
-        /// The lowest offset that retention left.
+        /// The lowest retained offset.
         first: Offset,
         /// The offset after the newest record.
         end: Offset,
         /// The records.
         records: Vec<Vec<u8>>,
     },
-    /// Retention took the offset asked for.
+    /// Retention has removed the requested offset.
     Gone {
-        /// The lowest offset that is left.
+        /// The lowest retained offset.
         first: Offset,
     },
-    /// No answer, or a failure.
+    /// No response, or a failure.
     Failed,
 }
 
-/// A call to the log service that is under way.
+/// The future of a call to the log service.
 pub type LogFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// The log service, as the platform gives it.
+/// The log service of the platform.
 ///
-/// An implementation makes one try for each call and adds no retry of its own:
-/// the state machines above it decide when to repeat.
+/// An implementation makes one attempt per call and never retries: the state
+/// machines above it decide when to retry.
 pub trait LogStore: Debug + Send + Sync {
     /// Appends records to a topic.
     fn append(&self, append: Append) -> LogFuture<'_, AppendEnd>;
--- a/lib/src/membership/detector.rs
+++ b/lib/src/membership/detector.rs
@@ -1,4 +1,4 @@
-//! Tells a peer that lives from one that is slow, cut off or dead.
+//! Failure detection: classifies a peer as alive, slow, unreachable or dead.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,37 +9,37 @@
 use crate::ids::Incarnation;
 use crate::time::Time;
 
-/// Heartbeats sent whose echo is awaited; more add no evidence.
+/// The maximum number of sent heartbeats tracked until their echo; more add no evidence.
 const PENDING_ECHOES_MAX: usize = 8;
 
-/// The weight of a new gap in the mean: one in eight, as TCP does for round trips.
+/// The weight of a new gap in the moving mean: 1/8, as in TCP's round-trip estimate.
 const MEAN_GAIN: f64 = 0.125;
 
-/// The weight of a new gap in the deviation: one in four.
+/// The weight of a new gap in the moving deviation: 1/4, as in TCP.
 const DEVIATION_GAIN: f64 = 0.25;
 
-/// Deviations above the mean until a peer counts as slow.
+/// The number of deviations above the mean gap after which a peer counts as slow.
 const SLOW_DEVIATIONS: f64 = 4.0;
 
-/// Timeouts of "slow" that make a silent peer cut off.
+/// The multiple of the slow time-out after which a silent peer counts as unreachable.
 const UNREACHABLE_FACTOR: u32 = 3;
 
-/// The most extra heartbeats that a flapping peer must show before it is alive.
+/// The maximum number of extra heartbeats required of a flapping peer before it is alive.
 const PENALTY_MAX: u32 = 8;
 
-/// How long a peer must stay alive to have one penalty lifted.
+/// How long a peer must stay alive for its flap penalty to drop by one.
 const PENALTY_DECAY: Duration = Duration::from_secs(30);
 
-/// The bounds within which timeouts adapt.
+/// The bounds within which time-outs adapt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeoutBounds {
-    /// The interval expected before any heartbeat was seen.
+    /// The heartbeat interval assumed before any heartbeat arrives.
     pub interval: Duration,
-    /// The shortest silence that makes a peer slow.
+    /// The minimum silence after which a peer is slow.
     pub slow_min: Duration,
-    /// The longest silence that a peer survives as alive.
+    /// The maximum silence during which a peer still counts as alive.
     pub slow_max: Duration,
-    /// The longest silence before a peer is cut off.
+    /// The maximum silence before a peer is unreachable.
     pub unreachable_max: Duration,
 }
 
@@ -54,35 +54,35 @@
     }
 }
 
-/// What is known of a peer.
+/// The state of a peer, as judged by its detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display)]
 pub enum PeerState {
-    /// It isn't watched: only hints name it, or the link was given up.
+    /// The peer isn't monitored: only hints name it, or its link was closed by choice.
     #[display("unheard")]
     Unheard,
-    /// Its heartbeats come, and it hears ours.
+    /// Heartbeats arrive in both directions.
     #[display("alive")]
     Alive,
-    /// It is late, or recovering; what it has may still be answered.
+    /// Heartbeats are late, or the peer is recovering; requests in flight may still complete.
     #[display("slow")]
     Slow,
-    /// It doesn't hear us, or is silent without a proof of its end.
+    /// The peer doesn't receive our heartbeats, or is silent without proof of its end.
     #[display("cut-off")]
     CutOff,
-    /// Its end is proven: its host refuses connections, or the list dropped it.
+    /// The peer's end is proven: its host refuses connections, or it is silent and unlisted.
     #[display("dead")]
     Dead,
-    /// It said goodbye.
+    /// The peer sent a goodbye.
     #[display("left")]
     Left,
 }
 
-/// How a link or an attempt to dial ended.
+/// How a link or a dial attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display)]
 pub enum LinkEnd {
-    /// The host answered that no process listens.
+    /// The host refused the connection: no process listens.
     #[display("refused")]
     Refused,
     /// The link broke.
@@ -93,19 +93,19 @@
     Timeout,
 }
 
-/// What a heartbeat or hello turned out to be.
+/// How a heartbeat or hello relates to the known incarnation of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// News of the known life.
+    /// New evidence of the known incarnation.
     Fresh,
-    /// An old or repeated heartbeat: no evidence.
+    /// An old or repeated heartbeat, which is no evidence.
     Repeated,
-    /// A new life of the process.
+    /// The process restarted with a new incarnation.
     Restarted {
-        /// The life before.
+        /// The previous incarnation.
         from: Incarnation,
     },
-    /// An older process under the name of a newer one.
+    /// The sender is an older process with the name of a newer one.
     Superseded,
 }
 
@@ -116,7 +116,7 @@
     Linked,
 }
 
-/// Judges one peer by its heartbeats, its echoes and its links.
+/// Detects failures of one peer from its heartbeats, their echoes and its links.
 #[derive(Debug, Clone)]
 pub struct Detector {
     timing: TimeoutBounds,
@@ -137,7 +137,7 @@
 }
 
 impl Detector {
-    /// Starts with a peer that was never heard.
+    /// Creates a detector for a peer that has sent nothing yet.
     #[must_use]
     pub fn new(timing: TimeoutBounds) -> Self {
         let interval = timing.interval.as_secs_f64();
@@ -166,19 +166,19 @@
         self.state
     }
 
-    /// Returns the known life of the peer.
+    /// Returns the known incarnation of the peer.
     #[must_use]
     pub const fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// Returns the highest heartbeat seen on the current link.
+    /// Returns the highest sequence number received on the current link.
     #[must_use]
     pub const fn seen_seq(&self) -> u64 {
         self.seen_seq
     }
 
-    /// Returns the highest of our heartbeats that the peer has seen on this link.
+    /// Returns the highest of our sequence numbers that the peer has echoed on this link.
     #[must_use]
     pub const fn echoed_seq(&self) -> u64 {
         self.echoed_seq
@@ -191,13 +191,13 @@
         adapted.clamp(self.timing.slow_min, self.timing.slow_max)
     }
 
-    /// Returns the silence after which the peer is cut off.
+    /// Returns the silence after which the peer is unreachable.
     #[must_use]
     pub fn unreachable_after(&self) -> Duration {
         (self.slow_after() * UNREACHABLE_FACTOR).min(self.timing.unreachable_max)
     }
 
-    /// Takes in a new link on which the peer said hello.
+    /// Handles a new link on which the peer sent its hello.
     pub fn on_link_up(&mut self, now: Time, incarnation: Incarnation) -> HeartbeatVerdict {
         let verdict = self.check_incarnation(now, incarnation);
         if verdict == HeartbeatVerdict::Superseded {
@@ -217,23 +217,23 @@
         verdict
     }
 
-    /// Takes in the end of the link, or of an attempt to dial.
+    /// Handles the end of the link, or of a dial attempt.
     pub fn on_link_down(&mut self, now: Time, end: LinkEnd) {
-        // A node that never answers a dial must not stay a candidate: its
+        // A node that never accepts a dial must not stay a candidate: its
         // silence counts from the first failure.
         if self.link == LinkState::Unwatched {
             self.last_heard = now;
         }
         self.link = LinkState::Unlinked;
         self.pending_echoes.clear();
-        // Only the host itself can refuse: the process is gone while its host
-        // answers. A reset or a timeout may be the network's doing, and taking
-        // it as death would make every partition look like a mass failure.
+        // Only a refusal proves that the process is gone: its host still responds.
+        // The network can cause a reset or time-out; counting those as death
+        // would make every partition look like a mass failure.
         self.refused |= end == LinkEnd::Refused;
         self.update_state(now);
     }
 
-    /// Stops watching the peer, for a link given up by choice.
+    /// Stops monitoring the peer, after its link was closed by choice.
     pub fn unwatch(&mut self, now: Time) {
         let fresh = Self::new(self.timing);
         *self = Self {
@@ -247,7 +247,7 @@
         self.set_state(now, PeerState::Unheard);
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat.
     pub fn on_heartbeat(&mut self, now: Time, heartbeat: PeerHeartbeat) -> HeartbeatVerdict {
         let verdict = self.check_incarnation(now, heartbeat.incarnation);
         if verdict == HeartbeatVerdict::Superseded {
@@ -274,16 +274,16 @@
         verdict
     }
 
-    /// Notes a heartbeat sent to the peer, whose echo is then awaited.
+    /// Records a heartbeat sent to the peer, whose echo is then expected.
     pub fn on_heartbeat_sent(&mut self, now: Time, seq: u64) {
         if self.pending_echoes.len() < PENDING_ECHOES_MAX {
             self.pending_echoes.push_back((seq, now));
         }
     }
 
-    /// Takes in a goodbye of one life of the peer.
+    /// Handles a goodbye from one incarnation of the peer.
     pub fn on_goodbye(&mut self, now: Time, incarnation: Incarnation) {
-        // A goodbye of an earlier life, arriving late, must not end this one.
+        // A late goodbye from an earlier incarnation must not end this one.
         if self.incarnation.is_some_and(|i| i > incarnation) {
             return;
         }
@@ -292,13 +292,13 @@
         self.set_state(now, PeerState::Left);
     }
 
-    /// Notes whether the host list or the settings still name the peer.
+    /// Sets whether the host list or the settings still name the peer.
     pub fn set_listed(&mut self, now: Time, listed: bool) {
         self.unlisted = !listed;
         self.update_state(now);
     }
 
-    /// Moves the state on with time and returns it.
+    /// Updates the state for the current time and returns it.
     pub fn tick(&mut self, now: Time) -> PeerState {
         self.update_state(now);
         if self.state == PeerState::Alive && now.since(self.state_since) >= PENALTY_DECAY {
@@ -308,7 +308,7 @@
         self.state
     }
 
-    /// Returns when silence next changes the state.
+    /// Returns when silence would next change the state.
     #[must_use]
     pub fn next_check(&self) -> Time {
         let slow = self.last_heard + self.slow_after();
@@ -329,12 +329,9 @@
         if incarnation == known {
             return HeartbeatVerdict::Fresh;
         }
-        // Two processes may run under one name: an old one, paused, and its
-        // replacement. If both were heeded in turn, work would go to a process
-        // that has lost its leases. The newer life wins while it isn't proven
-        // gone. Afterwards an older number is let in, since a clock set back
-        // between two starts gives one, and refusing it would keep a live node
-        // out for good.
+        // A paused process and its replacement may share one name, and the old
+        // one has lost its leases. The newer wins until proven gone; then a lower
+        // number is accepted, as a clock set back gives one to a live node.
         let over = matches!(self.state, PeerState::Dead | PeerState::Left)
             && now.since(self.state_since) >= self.unreachable_after();
         if incarnation < known && !over {
@@ -346,7 +343,7 @@
 
     fn restart(&mut self, now: Time, incarnation: Incarnation) {
         let fresh = Self::new(self.timing);
-        // A restart after a goodbye was planned and tells nothing of the network.
+        // A restart after a goodbye was planned and says nothing about the network.
         let planned = self.state == PeerState::Left;
         let penalty = (self.flap_penalty + u32::from(!planned)).min(PENALTY_MAX);
         let probation = if planned { 0 } else { penalty };
@@ -370,8 +367,8 @@
         if self.seen_seq == 0 {
             return;
         }
-        // A pause of an hour would otherwise make every later death take
-        // minutes to see.
+        // Capped, since a gap of an hour would otherwise delay the detection of
+        // every later failure by minutes.
         let gap = now.since(self.last_heard).min(self.timing.slow_max);
         let error = gap.as_secs_f64() - self.mean_gap;
         self.mean_gap += MEAN_GAIN * error;
@@ -407,8 +404,8 @@
                 PeerState::CutOff
             };
         }
-        // Its heartbeats come but ours don't reach it: calls would be lost on
-        // the way, so it must not look alive.
+        // The peer's heartbeats arrive but ours don't reach it: calls would be
+        // lost on the way, so it must not count as alive.
         if now > self.echo_deadline() {
             return PeerState::CutOff;
         }
@@ -423,8 +420,8 @@
             return;
         }
         if self.state == PeerState::Alive && next != PeerState::Left {
-            // Each loss of "alive" makes the next return dearer, which bounds
-            // how often a peer on a bad network can flap.
+            // Each loss of the alive state lengthens the next probation, which
+            // bounds how often a peer on a bad network can flap.
             self.flap_penalty = (self.flap_penalty + 1).min(PENALTY_MAX);
             self.probation = self.flap_penalty;
         }
--- a/lib/src/membership/dial.rs
+++ b/lib/src/membership/dial.rs
@@ -1,4 +1,4 @@
-//! When to dial an address again.
+//! Dial attempts and their backoff, by address.
 
 use core::net::SocketAddr;
 use std::collections::BTreeMap;
@@ -8,13 +8,13 @@
 
 use crate::time::Time;
 
-/// The pause after a first failure.
+/// The pause after the first failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(250);
 
-/// The longest pause; a node that comes back is met within this time.
+/// The maximum pause before jitter, which bounds the delay until a returning node is dialed.
 const BACKOFF_MAX: Duration = Duration::from_secs(5);
 
-/// How long a dial may stay without an answer before it counts as failed.
+/// How long a dial may stay pending before it counts as failed.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy)]
@@ -24,7 +24,7 @@
     next: Time,
 }
 
-/// The dials of one node, by address.
+/// The dial state of one node, by address.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Dials {
     dials: BTreeMap<SocketAddr, Dial>,
@@ -39,8 +39,8 @@
             next: Time::ZERO,
         };
         let dial = self.dials.entry(address).or_insert(fresh);
-        // A dial whose end was never reported would otherwise block its address
-        // for good; after the timeout it counts as failed.
+        // A dial whose end is never reported must not block its address for
+        // good; after the time-out it counts as failed.
         if now < dial.next {
             return false;
         }
@@ -49,7 +49,7 @@
         true
     }
 
-    /// Notes that a dial failed or a link ended; the next one waits longer.
+    /// Records that a dial failed or a link ended; the next dial waits longer.
     pub(super) fn failed(&mut self, now: Time, address: SocketAddr) {
         let Some(dial) = self.dials.get_mut(&address) else {
             return;
@@ -60,12 +60,12 @@
         dial.next = now + pause + jitter(address, dial.failures, pause);
     }
 
-    /// Notes that a link to the address stands.
+    /// Records that a link to the address is established.
     pub(super) fn linked(&mut self, address: SocketAddr) {
         self.dials.remove(&address);
     }
 
-    /// Returns when the next paused or pending dial is due.
+    /// Returns the earliest time of a paused or pending dial.
     pub(super) fn next(&self) -> Time {
         self.dials
             .values()
@@ -74,14 +74,14 @@
             .unwrap_or(Time::NEVER)
     }
 
-    /// Keeps only the addresses that are still of interest.
+    /// Drops the addresses that are neither pending nor accepted by `keep`.
     pub(super) fn retain(&mut self, now: Time, keep: impl Fn(&SocketAddr) -> bool) {
         self.dials
             .retain(|a, d| d.pending && now < d.next || keep(a));
     }
 }
 
-/// Spreads redials of one cause, without a random source, over a quarter.
+/// Returns a deterministic jitter of up to a quarter of the pause.
 fn jitter(address: SocketAddr, failures: u32, pause: Duration) -> Duration {
     let hash = rapidhash_v3(format!("{address} {failures}").as_bytes());
     pause.mul_f64((hash % 256) as f64 / 1024.0)
--- a/lib/src/membership/event.rs
+++ b/lib/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the membership view and what comes out.
+//! The events that the membership view handles and the actions that it returns.
 
 use core::net::SocketAddr;
 
@@ -13,27 +13,27 @@
 use crate::ids::NodeId;
 use crate::time::Time;
 
-/// Numbers the links of one node, chosen by the driver.
+/// Identifies a link of one node; the driver assigns the number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display)]
 pub struct LinkId(pub u64);
 
-/// Something that happened at the driver.
+/// An event that the driver passes to the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The addresses that the settings name.
+    /// The seed addresses from the settings.
     Seeds(Vec<SocketAddr>),
-    /// The host list as last read.
+    /// The latest host list.
     HostList(Vec<ListedNode>),
-    /// A link stands, and the peer said hello on it.
+    /// A link is established, and the peer has sent its hello.
     LinkUp {
         /// The link.
         link: LinkId,
-        /// The address dialed, for links that this node dialed.
+        /// The dialed address, for links that this node dialed.
         dialed: Option<SocketAddr>,
-        /// What the peer says about itself.
+        /// The peer's description of itself.
         profile: Profile,
-        /// The life of the peer.
+        /// The incarnation of the peer.
         incarnation: Incarnation,
     },
     /// A link ended.
@@ -43,57 +43,57 @@
         /// How it ended.
         end: LinkEnd,
     },
-    /// A dial came to nothing.
+    /// A dial attempt failed.
     DialFailed {
-        /// The address dialed.
+        /// The dialed address.
         address: SocketAddr,
         /// How it ended.
         end: LinkEnd,
     },
-    /// A heartbeat came.
+    /// A heartbeat arrived.
     Heartbeat {
-        /// The link it came on.
+        /// The link on which it arrived.
         link: LinkId,
         /// The heartbeat.
         heartbeat: PeerHeartbeat,
     },
-    /// The peer said goodbye.
+    /// The peer sent a goodbye.
     Goodbye {
-        /// The link it came on.
+        /// The link on which it arrived.
         link: LinkId,
-        /// The life that ends.
+        /// The incarnation that ends.
         incarnation: Incarnation,
     },
-    /// The peer has no room for this link.
+    /// The peer has reached its maximum number of links and refuses this one.
     Full {
         /// The link.
         link: LinkId,
     },
-    /// This node began or ended its drain.
+    /// This node started or ended its drain.
     Draining(bool),
-    /// Time passed.
+    /// A timer expired; only the time has changed.
     Tick,
 }
 
-/// Why this node ends a link.
+/// Why this node closes a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display)]
 pub enum Refusal {
-    /// Another link to the same life of the peer stays.
+    /// Another link to the same incarnation of the peer is kept.
     #[display("second-link")]
     SecondLink,
-    /// A newer life of the peer is known.
+    /// A newer incarnation of the peer is known.
     #[display("superseded")]
     Superseded,
-    /// This node has as many links as it accepts.
+    /// This node has reached its maximum number of links.
     #[display("full")]
     Full,
-    /// The peer is no longer among the chosen ones.
+    /// The peer is no longer in the chosen subset.
     #[display("not-chosen")]
     NotChosen,
 }
 
-/// Something the driver has to do.
+/// An action that the driver carries out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Dial the address.
@@ -101,14 +101,14 @@
         /// The address.
         address: SocketAddr,
     },
-    /// End the link. With `NotChosen`, calls in flight on it finish first.
+    /// Close the link. With `NotChosen`, calls in flight on it finish first.
     Disconnect {
         /// The link.
         link: LinkId,
-        /// The reason, which is said to the peer.
+        /// The reason, which is sent to the peer.
         reason: Refusal,
     },
-    /// Send a heartbeat with what else it carries.
+    /// Send a heartbeat; the driver adds its other fields.
     SendHeartbeat {
         /// The link.
         link: LinkId,
@@ -119,13 +119,13 @@
     StateChanged {
         /// The peer.
         node: NodeId,
-        /// The state before.
+        /// The previous state.
         from: PeerState,
-        /// The state now.
+        /// The new state.
         to: PeerState,
     },
-    /// The host list says that this node's own host leaves, or no longer.
+    /// The host list marks this node's own host as leaving, or no longer does.
     HostLeaving(bool),
-    /// Pass time no later than this.
+    /// Send the next [`Event::Tick`] no later than this.
     WakeAt(Time),
 }
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Who is there: failure detection, the choice of peers, the membership view.
+//! Failure detection, peer selection and the membership view.
 //!
-//! The host list lags and settings grow old, so both are hints: they tell whom
-//! to dial, never who lives. Only a peer's own heartbeats make it alive.
+//! The host list lags and settings go stale, so both are hints: they determine
+//! which addresses to dial. Only a peer's own heartbeats make it alive.
 
 mod detector;
 mod dial;
--- a/lib/src/membership/pace.rs
+++ b/lib/src/membership/pace.rs
@@ -1,23 +1,24 @@
-//! How often heartbeats go out, so that their bytes stay bounded.
+//! The heartbeat interval, which bounds the bytes spent on heartbeats.
 
 use std::time::Duration;
 
-/// The pace of heartbeats of one node.
+/// The heartbeat pace of one node.
 ///
-/// An agent of a small pool is linked to hundreds of routers. At a fixed pace
-/// its bytes a second would grow with the routers, so the pace falls once the
-/// budget is reached. Each node says its own pace in its heartbeats and its
-/// peers keep to the slower of the two. The timeout adapts to what arrives, and drain and goodbye
-/// don't wait for the pace, so only the detection of silent death is later.
+/// An agent of a small pool is linked to hundreds of routers. At a fixed
+/// interval its bytes per second would grow with the number of routers, so the
+/// interval grows once the budget is reached. Each node announces its interval
+/// in its heartbeats, and both sides of a link use the longer of the two.
+/// Time-outs adapt to the observed gaps, and drain and goodbye are sent
+/// immediately, so only the detection of a silent failure is slower.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
     /// The shortest interval.
     pub shortest: Duration,
-    /// The longest interval, whatever the budget.
+    /// The longest interval, regardless of the budget.
     pub longest: Duration,
-    /// Bytes a second to spend on heartbeats, both ways.
+    /// The budget for heartbeats in both directions, in bytes per second.
     pub budget: f64,
-    /// Bytes of one heartbeat to a peer and one from it, with headers and acks.
+    /// The bytes of one heartbeat in each direction, with headers and acks.
     pub exchange: f64,
 }
 
--- a/lib/src/membership/peer.rs
+++ b/lib/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! What nodes tell about themselves, and what others tell about them.
+//! Node descriptions from hellos and the host list, and heartbeats.
 
 use core::net::SocketAddr;
 use std::time::Duration;
@@ -24,12 +24,12 @@
     /// Accepts requests on an entry host.
     #[display("router")]
     Router,
-    /// Gates one endpoint.
+    /// Controls access to one endpoint.
     #[display("agent")]
     Agent,
 }
 
-/// What a node says about itself in its hello.
+/// The description that a node sends of itself in its hello.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Profile {
@@ -37,13 +37,13 @@
     pub node: NodeId,
     /// Its kind.
     pub kind: NodeKind,
-    /// The host that it runs on.
+    /// The host on which it runs.
     pub host: HostId,
     /// The failure domain of the host.
     pub domain: FailureDomain,
     /// The region of the host.
     pub region: Region,
-    /// The address on which others reach it.
+    /// The address at which other nodes reach it.
     pub address: SocketAddr,
     /// For agents: the pool of its endpoint.
     pub pool: Option<PoolName>,
@@ -51,26 +51,26 @@
     pub endpoint: Option<EndpointId>,
 }
 
-/// One node as the host list or the settings name it: a hint.
+/// A node as named by the host list or the settings, which is only a hint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedNode {
-    /// What is said about the node; the pool may be missing.
+    /// The node's description; the pool may be missing.
     pub profile: Profile,
-    /// Whether its host is said to be leaving.
+    /// Whether its host is marked as leaving.
     pub leaving: bool,
 }
 
-/// A heartbeat, as far as membership is concerned.
+/// The fields of a heartbeat that membership uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerHeartbeat {
-    /// The life of the sender.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Counts the sender's heartbeats on this link, from 1.
+    /// The sequence number of the heartbeat on this link, from 1.
     pub seq: u64,
-    /// The highest heartbeat of the receiver that the sender has seen.
+    /// The highest sequence number that the sender has received from the receiver.
     pub seen: u64,
-    /// Whether the sender takes no new work.
+    /// Whether the sender is draining and accepts no new work.
     pub draining: bool,
-    /// The shortest interval at which the sender wants to get heartbeats.
+    /// The shortest interval at which the sender accepts heartbeats.
     pub pace: Duration,
 }
--- a/lib/src/membership/subset.rs
+++ b/lib/src/membership/subset.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom: a bounded, stable choice spread over failure domains.
+//! Subsetting: a bounded, stable choice of peers spread over failure domains.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,16 +12,16 @@
 use crate::ids::Region;
 use crate::time::Time;
 
-/// Seeds the ranks; fixed, so that all releases choose alike.
+/// The hash seed of ranks; fixed, so that all releases choose the same peers.
 const RANK_SEED: RapidSecrets = RapidSecrets::seed(0x6d65_6d62_6572);
 
-/// The fewest links to one pool, so that losing a failure domain leaves some.
+/// The minimum number of links to one pool, so that some survive the loss of a failure domain.
 pub const DEGREE_MIN: usize = 3;
 
-/// The links from routers that an agent should have, in expectation.
+/// The expected number of links from routers to one agent.
 pub const IN_DEGREE: usize = 32;
 
-/// Where a node stands.
+/// The location of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeLocation {
     /// The node.
@@ -32,31 +32,31 @@
     pub region: Region,
 }
 
-/// A node that may be chosen.
+/// A candidate for the subset.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Where it stands.
+    /// Its location.
     pub location: NodeLocation,
-    /// Whether it may get a new link now.
+    /// Whether it accepts a new link now.
     pub usable: bool,
 }
 
 /// Returns how many of `pool` agents a router links to.
 ///
-/// All, while routers are few. With more routers the links of an agent stay at
-/// `IN_DEGREE` in expectation, but for pools so small that `DEGREE_MIN`
-/// binds; there the heartbeat pace bounds the bytes instead.
+/// With few routers, this is the whole pool. With more, an agent has
+/// `IN_DEGREE` links in expectation, except in pools so small that
+/// `DEGREE_MIN` applies; there the heartbeat pace bounds the bytes instead.
 #[must_use]
 pub fn degree(pool: usize, routers: usize) -> usize {
     let wanted = (pool * IN_DEGREE).div_ceil(routers.max(1));
     wanted.max(DEGREE_MIN).min(pool)
 }
 
-/// Returns the nodes that `me` should be linked to.
+/// Returns the nodes to which `me` should be linked.
 ///
-/// Ranks by rendezvous hashing: nodes of the own region first, and within it a
-/// hash of the pair. No failure domain gets more than half while others have
-/// candidates. A node that comes or goes changes only the sets in which it
+/// Ranks by rendezvous hashing: nodes of the same region first, then by a hash
+/// of the pair. No failure domain gets more than half while others have
+/// candidates. A node that joins or leaves changes only the subsets in which it
 /// ranks.
 #[must_use]
 pub fn choose_peers(
@@ -96,16 +96,16 @@
     rapidhash_v3_seeded(pair.as_bytes(), &RANK_SEED)
 }
 
-/// One step towards the chosen set.
+/// One step towards the chosen subset.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubsetChange {
     /// Link to the node.
     Add(NodeId),
-    /// Drop the link, once its calls are done.
+    /// Drop the link once its calls have finished.
     Drop(NodeId),
 }
 
-/// The links of one node to one group, moved gradually.
+/// The links of one node to one group, rebalanced gradually.
 #[derive(Debug, Clone, Default)]
 pub struct Subset {
     links: BTreeSet<NodeId>,
@@ -113,7 +113,7 @@
 }
 
 impl Subset {
-    /// Returns the nodes linked to.
+    /// Returns the linked nodes.
     #[must_use]
     pub const fn links(&self) -> &BTreeSet<NodeId> {
         &self.links
@@ -121,10 +121,10 @@
 
     /// Returns the changes due now and applies them.
     ///
-    /// Lost links are replaced at once. A link that still works but is no
-    /// longer chosen goes only after its successor was added, one each `period`:
-    /// otherwise a new rack would make every router redial at once and empty
-    /// every prefix cache's affinity together.
+    /// Lost links are replaced immediately. A working link that is no longer
+    /// chosen is dropped only after its successor is added, one per `period`:
+    /// otherwise a new rack would make every router redial at the same time and
+    /// lose its prefix-cache affinity.
     pub fn plan(
         &mut self,
         now: Time,
--- a/lib/src/membership/view/member.rs
+++ b/lib/src/membership/view/member.rs
@@ -1,4 +1,4 @@
-//! One node as the view knows it.
+//! The view's record of one node.
 
 use core::net::SocketAddr;
 use std::time::Duration;
@@ -14,30 +14,31 @@
 use crate::membership::TimeoutBounds;
 use crate::time::Time;
 
-/// The time between two probes of a node that is gone or of unknown pool.
+/// The interval between probes of a node that is gone or of unknown pool.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time between two probes of an address that another link contradicts.
+/// The interval between probes of a listed address that differs from the linked one.
 const CONFLICT_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One node as the view knows it.
+/// The view's record of one node.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What is said about it, by itself if it was heard.
+    /// The node's description, from its own hello if one has arrived.
     pub profile: Profile,
-    /// Whether the host list says that its host leaves.
+    /// Whether the host list marks its host as leaving.
     pub leaving: bool,
-    /// Whether it says itself that it drains.
+    /// Whether its heartbeats announce a drain.
     pub draining: bool,
     pub(super) detector: Detector,
     pub(super) link: Option<LinkId>,
     pub(super) sent_seq: u64,
+    /// The first heartbeat on this link that announced this node's drain.
     pub(super) drain_seq: Option<u64>,
-    /// The interval that the peer asks for, so that its own bytes stay bounded.
+    /// The interval that the peer requests, so that its own bytes stay bounded.
     pub(super) peer_interval: Duration,
     pub(super) next_heartbeat: Time,
     pub(super) listed: bool,
-    /// The address that the host list gives, which may differ from the own one.
+    /// The address in the host list, which may differ from the node's own.
     pub(super) listed_address: SocketAddr,
     pub(super) last_probe: Time,
     pub(super) full_until: Time,
@@ -68,7 +69,7 @@
         self.detector.state()
     }
 
-    /// Returns the known life of the peer.
+    /// Returns the known incarnation of the peer.
     #[must_use]
     pub const fn incarnation(&self) -> Option<Incarnation> {
         self.detector.incarnation()
@@ -80,7 +81,7 @@
         self.link
     }
 
-    /// Tells whether new work may go to the peer.
+    /// Returns whether the peer accepts new work.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         self.state() == PeerState::Alive && !self.draining && !self.leaving
@@ -97,11 +98,11 @@
         )
     }
 
-    /// Takes in what the host list says now, which a hello outranks.
+    /// Applies an entry of the host list; the hello of a linked node takes precedence.
     pub(super) fn apply_listed(&mut self, now: Time, entry: ListedNode) {
         self.listed_address = entry.profile.address;
         if self.link.is_none() {
-            // The pool is kept: the list may not know it, and the node said it.
+            // Keep the pool from the hello, since the list may not contain it.
             let pool = entry
                 .profile
                 .pool
@@ -119,7 +120,7 @@
         self.detector.set_listed(now, true);
     }
 
-    /// Returns the address to probe, if a look at the node is due.
+    /// Returns the address to probe, if a probe is due.
     pub(super) fn probe_address(&self, now: Time) -> Option<SocketAddr> {
         let age = now.since(self.last_probe);
         if self.link.is_none() {
@@ -128,9 +129,8 @@
             let is_due = (self.is_gone() || unknown) && age >= PROBE_INTERVAL;
             return is_due.then_some(self.listed_address);
         }
-        // The list names another address for a node that is linked: its
-        // replacement may run there and be met by nobody, since the old
-        // process, still alive under the name, keeps its links.
+        // The list gives another address for a linked node. Its replacement may
+        // run there without links, as the old process with that name keeps its own.
         let conflict = self.listed
             && self.listed_address != self.profile.address
             && age >= CONFLICT_PROBE_INTERVAL;
--- a/lib/src/membership/view/mod.rs
+++ b/lib/src/membership/view/mod.rs
@@ -30,28 +30,28 @@
 use crate::ids::PoolName;
 use crate::time::Time;
 
-/// How late a wake-up must be to count as a pause of this process.
+/// The minimum delay of a wake-up that counts as a pause of this process.
 const WAKE_DELAY_MIN: Duration = Duration::from_millis(300);
 
-/// How long nobody is judged by silence after a pause.
+/// How long after a pause no peer is judged by its silence.
 const SILENCE_GRACE: Duration = Duration::from_millis(700);
 
 /// The settings of a view.
 #[derive(Debug, Clone, Copy)]
 pub struct ViewSettings {
-    /// The bounds of timeouts.
+    /// The bounds of the failure detector's time-outs.
     pub timing: TimeoutBounds,
     /// The pace of heartbeats.
     pub pace: Pace,
-    /// Links to other routers that a router dials.
+    /// The number of other routers to which a router links.
     pub routers: usize,
-    /// The most links held, dialed and accepted.
+    /// The maximum number of links, dialed and accepted.
     pub links_max: usize,
-    /// The time between two steps of rebalancing in one group.
+    /// The interval between rebalancing steps in one group.
     pub shift_period: Duration,
-    /// The time between two probes of nodes that aren't linked to.
+    /// The interval between probes of nodes without a link.
     pub probe_period: Duration,
-    /// How long a peer that was full isn't asked again.
+    /// How long a peer that was full isn't dialed again.
     pub full_pause: Duration,
 }
 
@@ -81,10 +81,10 @@
     Agents(Option<PoolName>),
 }
 
-/// When each kind of work is next due.
+/// The next run of each periodic task.
 ///
-/// Kept apart, since a heartbeat arrives every few milliseconds and must not
-/// cost a pass over all members.
+/// Separate timers, since a heartbeat arrives every few milliseconds and must
+/// not cost a pass over all members.
 #[derive(Debug, Clone, Copy, Default)]
 struct Timers {
     check: Time,
@@ -100,7 +100,7 @@
     }
 }
 
-/// The members that one node knows, and its links to them.
+/// The members known to one node, and its links to them.
 #[derive(Debug, Clone)]
 pub struct View {
     me: Profile,
@@ -115,13 +115,13 @@
     leaving: bool,
     changed: bool,
     timers: Timers,
-    /// Until then nobody is judged by silence.
+    /// No peer is judged by its silence before this time.
     grace_until: Time,
     wake: Time,
 }
 
 impl View {
-    /// Starts a view that knows nobody.
+    /// Creates a view without members.
     #[must_use]
     pub fn new(me: Profile, incarnation: Incarnation, settings: ViewSettings) -> Self {
         Self {
@@ -148,22 +148,23 @@
         &self.members
     }
 
-    /// Returns how many links stand.
+    /// Returns the number of established links.
     #[must_use]
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
-    /// Returns the interval between heartbeats at the present count of links.
+    /// Returns the heartbeat interval for the current number of links.
     #[must_use]
     pub fn interval(&self) -> Duration {
         self.settings.pace.interval(self.links.len())
     }
 
-    /// Counts the linked peers that may still send new work despite the drain.
+    /// Returns the number of linked peers that may still send new work despite
+    /// the drain.
     ///
-    /// A peer that echoes the first draining heartbeat has read it, and a link
-    /// keeps its order, so all that the peer sent before is here by then.
+    /// A peer that echoes the first draining heartbeat has read it. Links are
+    /// ordered, so everything that the peer sent earlier has arrived by then.
     #[must_use]
     pub fn unaware_of_drain(&self) -> usize {
         let unaware = |m: &&Member| {
@@ -173,7 +174,7 @@
         self.members.values().filter(unaware).count()
     }
 
-    /// Takes in an event and returns what to do.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.detect_pause(now);
         let mut out = Vec::new();
@@ -213,11 +214,11 @@
         out
     }
 
-    /// Holds judgement after a pause of this very process.
+    /// Suspends time-outs after a pause of this process.
     ///
-    /// Heartbeats that came meanwhile still wait to be read. Judged before
-    /// them, every peer would look silent, and the node that slept would refuse
-    /// all work for want of endpoints.
+    /// Heartbeats that arrived during the pause are still unread. Without the
+    /// grace period every peer would look silent, and this node would refuse
+    /// all work for lack of endpoints.
     fn detect_pause(&mut self, now: Time) {
         let paused = self.wake > Time::ZERO && now.since(self.wake) > WAKE_DELAY_MIN;
         if paused {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Applies `change` to a member and reports a change of its state.
+    /// Applies `change` to a member and emits an action if its state changes.
     fn update(&mut self, node: &NodeId, out: &mut Vec<Action>, change: impl FnOnce(&mut Member)) {
         let Some(member) = self.members.get_mut(node) else {
             return;
@@ -295,9 +296,9 @@
             .or_insert_with(fresh);
     }
 
-    /// Believes a hello, which only a link that stays may bring.
+    /// Applies a hello, on links that are kept only.
     ///
-    /// The hello of an older process under the same name would otherwise lead
+    /// The hello of an older process with the same name would otherwise direct
     /// all later dials to that process's address.
     fn on_hello(&mut self, now: Time, profile: Profile) {
         let Some(member) = self.members.get_mut(&profile.node) else {
@@ -310,7 +311,7 @@
         }
     }
 
-    /// Takes in a link and tells whether it stays.
+    /// Handles a new link and returns whether it is kept.
     fn on_link_up(
         &mut self,
         now: Time,
@@ -324,7 +325,7 @@
         }
         let node = link.node.clone();
         if node == self.me.node {
-            // A seed may name this very node, or a second process has its name.
+            // A seed names this node itself, or another process uses its name.
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::SecondLink,
@@ -365,14 +366,15 @@
         true
     }
 
-    /// Tells whether a new link to a life should replace the old one.
+    /// Returns whether a new link to an incarnation should replace the old one.
     ///
-    /// Two nodes that dial each other at once would otherwise both keep, or
-    /// both end, a different link. The one dialed by the lesser name stays; of
-    /// two by the same dialer the newer, as the older one may be half open.
+    /// Two nodes that dial each other at the same time could otherwise each keep,
+    /// or each close, a different link. The link dialed by the node with the
+    /// lower name wins; of two by the same dialer the newer, as the older one may
+    /// be half open.
     fn replaces(&self, new: &Link, old: LinkId) -> bool {
-        // A link that brings nothing may be half open: its peer has dialed anew
-        // because it gave that one up, and would be refused for good.
+        // A silent link may be half open: the peer has abandoned it and dials
+        // again. Keeping the old link would refuse that peer for good.
         let silent = |m: &Member| m.state() != PeerState::Alive;
         if self.members.get(&new.node).is_some_and(silent) {
             return true;
@@ -509,8 +511,8 @@
 
     fn on_draining(&mut self, now: Time, draining: bool) {
         self.draining = draining;
-        // Peers must know at once, not at the next beat, or they would send
-        // work that only comes back as not run.
+        // Notify peers immediately, not at the next heartbeat; until then they
+        // send work that is only refused as not run.
         for member in self.members.values_mut() {
             member.next_heartbeat = now;
             member.drain_seq = None;
--- a/lib/src/membership/view/plan.rs
+++ b/lib/src/membership/view/plan.rs
@@ -1,4 +1,4 @@
-//! What the view does as time passes: heartbeats, timeouts, links, dials.
+//! The view's periodic tasks: heartbeats, time-outs, links and dials.
 
 use core::net::SocketAddr;
 use std::collections::BTreeMap;
@@ -21,10 +21,10 @@
 use crate::membership::degree;
 use crate::time::Time;
 
-/// The longest that the view sleeps, so that a lost wake-up heals.
+/// The maximum time between wake-ups, which recovers from a lost one.
 const SLEEP_MAX: Duration = Duration::from_secs(1);
 
-/// The shortest sleep, so that work due at once can't spin.
+/// The minimum time between wake-ups, so that overdue work can't spin.
 const SLEEP_MIN: Duration = Duration::from_millis(1);
 
 impl View {
@@ -63,7 +63,7 @@
 
     fn send_heartbeats(&mut self, now: Time, out: &mut Vec<Action>) {
         let own = self.interval();
-        // Links that are almost due go along, so that one wake-up serves many.
+        // Links that are almost due are included, so that one wake-up serves many.
         let almost = now + own / 8;
         let mut next = Time::NEVER;
         for (id, link) in &self.links {
@@ -101,7 +101,7 @@
             return;
         }
         let mut groups = self.groups(now);
-        // A group whose members all left still has links to give up.
+        // A group without members may still have links to drop.
         for group in self.subsets.keys() {
             groups.entry(group.clone()).or_default();
         }
@@ -133,7 +133,7 @@
                 NodeKind::Router => Group::Routers,
                 NodeKind::Agent => Group::Agents(member.profile.pool.clone()),
             };
-            // An agent of unknown pool is probed for its hello, not chosen.
+            // An agent whose pool is unknown is probed for its hello, not chosen.
             if group == Group::Agents(None) {
                 continue;
             }
@@ -160,14 +160,14 @@
         }
     }
 
-    /// Ends links to nodes that are well but no longer chosen.
+    /// Closes links to healthy nodes that are no longer chosen.
     fn drop_links(&mut self, now: Time, nodes: &[NodeId], out: &mut Vec<Action>) {
         for node in nodes {
             let Some(member) = self.members.get(node) else {
                 continue;
             };
-            // Work may still run at a node that drains or is slow; it ends the
-            // link itself when it is done, and timeouts end it otherwise.
+            // A draining or slow node may still run work; it closes the link
+            // when that is done, or a time-out does.
             if !member.may_link(now) {
                 continue;
             }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Ends links that were dialed only to learn who is there.
+    /// Closes links that were dialed only to obtain a node's hello.
     fn drop_probe_links(&mut self, now: Time, out: &mut Vec<Action>) {
         let chosen = self.chosen();
         let idle: Vec<NodeId> = self
@@ -236,8 +236,8 @@
         let mut seeds = self.seeds.clone();
         seeds.remove(&self.me.address);
         for member in self.members.values() {
-            // A router chooses among those it has met; an agent stays with its
-            // seeds, so that routers that no list names to it can meet it.
+            // A router chooses among the nodes that it has met. An agent stays
+            // linked to its seeds, so that routers missing from its list meet it.
             let known =
                 member.link.is_some() || (self.is_router() && member.incarnation().is_some());
             if known {
@@ -257,10 +257,12 @@
             .collect()
     }
 
-    /// Picks the node whose state was not looked at for longest.
+    /// Returns the address of the node whose last probe is the oldest.
     ///
-    /// It is one that is gone, which may be back, or one of unknown pool. One
-    /// at a time, so that a partition of hundreds costs no more than of one.
+    /// Candidates are nodes that are gone and may have returned, agents of
+    /// unknown pool and nodes with a conflicting address. Only one node is
+    /// probed at a time, so that a partition of hundreds costs no more than that
+    /// of one.
     fn next_probe(&mut self, now: Time) -> Option<SocketAddr> {
         let probeable = |m: &&mut Member| m.probe_address(now).is_some();
         let oldest = self
@@ -273,7 +275,7 @@
         address
     }
 
-    /// Drops members that no hint names and that are gone.
+    /// Removes members that are gone and that neither the list nor a seed names.
     fn remove_gone_members(&mut self) {
         let seeds = &self.seeds;
         self.members.retain(|_, m| {
--- a/lib/tests/test_config_fold.rs
+++ b/lib/tests/test_config_fold.rs
@@ -1,4 +1,4 @@
-//! The configuration under crossing changes, lost answers, outages and retention.
+//! Tests of the configuration with concurrent changes, lost responses, outages and retention.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -32,31 +32,31 @@
 
 const READERS: usize = 3;
 
-/// Bytes of a snapshot's part: a few records make several parts.
+/// The size of a snapshot's part, so that a few records need several parts.
 const PART_BYTES: usize = 120;
 
-/// A second: longer than every pause of a publisher or follower.
+/// The time per step, longer than every pause of a publisher or follower.
 const STEP_DURATION: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy)]
 enum Op {
-    /// The operator at a reader changes what the reader shows.
+    /// An operator submits a change based on a reader's state.
     Submit { reader: usize, price: u8 },
-    /// An append is tried: it takes effect or not, and is answered or not.
+    /// An append is attempted: it takes effect or not, and is answered or not.
     Publish {
         reader: usize,
         effect: bool,
         answer: bool,
     },
-    /// A reader reads at most so many records, or fails to.
+    /// A reader reads at most `max_records` records; with 0 the read fails.
     Read { reader: usize, max_records: usize },
     /// A reader offers its snapshot to another.
     Offer { from: usize, to: usize },
     /// A reader begins to publish a snapshot, or publishes its next part.
     ///
-    /// After the last part, retention takes what the snapshot covers.
+    /// After the last part, retention removes the records that the snapshot covers.
     Snapshot { reader: usize },
-    /// A reader starts anew, without memory.
+    /// A reader restarts without state.
     Restart { reader: usize },
 }
 
@@ -77,11 +77,11 @@
     fold: Fold,
     follower: Follower,
     publisher: Publisher,
-    /// The parts of a snapshot that it still has to publish.
+    /// The parts of a snapshot that it has not published yet.
     parts: VecDeque<Body>,
     /// The offset that this snapshot covers.
     covers: usize,
-    /// Restarted without memory: behind is where it began.
+    /// The highest position reached since the last restart.
     seen: (Offset, Revision),
 }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Appends, and judges the record as the log's order has it.
+    /// Appends a record and checks its result in the log's order.
     fn append(&mut self, bytes: Vec<u8>) -> Result<(), String> {
         let record = Record::try_from(bytes.as_slice()).expect("own records are well-formed");
         let applied = self.reference.apply(Offset(self.log.len() as u64), &record);
@@ -150,7 +150,7 @@
             Applied::Lost { .. } | Applied::Invalid(_)
                 if self.verdicts.contains_key(&record.id) =>
             {
-                return Err("the author of an accepted change is told that it lost".to_owned());
+                return Err("the author of an accepted change is notified that it lost".to_owned());
             }
             _ => {}
         }
@@ -183,7 +183,7 @@
         self.check()
     }
 
-    /// Publishes as reader 0 a whole snapshot, as the others the next part.
+    /// Publishes a whole snapshot as reader 0, or the next part as another reader.
     fn snapshot(&mut self, reader: usize) -> Result<(), String> {
         if self.readers[reader].parts.is_empty() {
             let snapshot = self.readers[reader].fold.snapshot();
@@ -287,7 +287,7 @@
         Ok(())
     }
 
-    /// Lets every reader read to the end: all must agree.
+    /// Lets every reader read to the end, where all must agree.
     fn settle(&mut self) -> Result<(), String> {
         for index in 0..READERS {
             for _ in 0..8 {
@@ -322,9 +322,9 @@
 
 #[test]
 fn readers_agree_and_never_go_back() {
-    // Operators at three routers change the configuration at once, appends are
-    // lost or answered late, routers restart, read from snapshots and from each
-    // other. No accepted change is reverted, and all end with the same state.
+    // Accepted changes are reverted, or routers end with different states, when
+    // operators at 3 routers make concurrent changes, appends or their responses
+    // are lost, and routers restart and read from snapshots and from each other.
     let verdict = runner(3_000).run(&vec(op(), 1..80), |ops| {
         prop_assert_eq!(run(&ops, FoldGuards::ON), Ok(()));
         Ok(())
@@ -337,15 +337,15 @@
         prop_assert_eq!(run(&ops, guards), Ok(()));
         Ok(())
     });
-    let fault = verdict.expect_err("the mutation breaks a promise");
+    let fault = verdict.expect_err("the mutation violates an invariant");
     println!("without {name}: {fault}");
 }
 
 #[test]
 fn needs_each_safeguard_of_the_fold() {
-    // Without its base check two crossing changes both stand; without ids an
-    // author hears that its accepted change lost; without the order of offsets
-    // a peer that was cut off takes everybody back.
+    // Without the base check, two concurrent changes are both accepted; without
+    // ids, an author is notified that its accepted change lost; without the order
+    // of offsets, a partitioned peer reverts the state of all others.
     assert_caught(
         "base",
         FoldGuards {
--- a/lib/tests/test_config_model.rs
+++ b/lib/tests/test_config_model.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration's checks.
+//! Tests of the configuration checks.
 
 use assert_matches::assert_matches;
 use snipeyoke_lib::config::Config;
@@ -24,9 +24,9 @@
 
 #[test]
 fn refuses_a_stage_after_a_non_idempotent_one() {
-    // The caller would see a refusal although its proof was approved.
-    // The approval runs, then the stage after it fails, and the request with it.
-    // So an effect is only taken as the last stage.
+    // The caller would see a failure although its proof was approved: the approval
+    // runs, then the stage after it fails, and the request with it. A stage with
+    // side effects must therefore be the last.
     let config = config(
         r#"{"p": {"deadline_ms": 3000, "stages": [
             {"name": "approve", "role": "call", "pool": "desk", "idempotent": false},
--- a/lib/tests/test_config_parts.rs
+++ b/lib/tests/test_config_parts.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts: any order, repeated, lost, mixed and damaged.
+//! Tests of snapshot parts that arrive reordered, repeated, mixed, damaged or not at all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,13 +27,13 @@
 use snipeyoke_lib::record::Record;
 use snipeyoke_lib::record::RecordId;
 
-/// Bytes of a part here, so that some dozens of pools make several.
+/// The size of a part, so that some dozens of pools need several parts.
 const PART_BYTES: usize = 300;
 
-/// Two publishers with states at each offset: they must never mix.
+/// The number of offsets, at each of which both publishers have a different state.
 const OFFSETS: u64 = 5;
 
-/// The offset of the first record of the topic that is read.
+/// The offset of the first record that is read from the topic.
 const LOG_START: u64 = 20;
 
 #[derive(Debug, Clone, Copy)]
@@ -42,7 +42,7 @@
     Log,
 }
 
-/// The part of a state that arrives, by which way and in what shape.
+/// The arrival of a part of a state.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     state: usize,
@@ -96,7 +96,7 @@
     }
 }
 
-/// A reader, and what has arrived at it whole and undamaged.
+/// A reader, and the undamaged parts that it has received.
 struct Harness {
     states: Vec<Snapshot>,
     parts: Vec<Vec<SnapshotPart>>,
@@ -122,7 +122,7 @@
         let mut part = parts[step.part % parts.len()].clone();
         let before = self.fold.next();
         if step.damaged {
-            // Still JSON when joined, so that nothing but the digest tells.
+            // The joined text is still JSON, so that only the digest reveals the damage.
             part.text = part.text.replace('1', "7") + " ";
         } else {
             self.arrived.entry(part.set).or_default().insert(part.index);
@@ -154,22 +154,22 @@
         let config = self.fold.config();
         let known = |s: &&Snapshot| s.next == next && s.config == config;
         let Some(state) = self.states.iter().find(known) else {
-            return Err(format!("the state at {next} is none that a publisher had"));
+            return Err(format!("no publisher had the state at {next}"));
         };
         let set = state.parts(PART_BYTES)[0].set;
         let arrived = self.arrived.get(&set).map_or(0, BTreeSet::len);
         if arrived < set.count as usize {
             return Err(format!(
-                "a state of {arrived} parts of {} was taken",
+                "a state with {arrived} of {} parts was adopted",
                 set.count
             ));
         }
         Ok(())
     }
 
-    /// Has the highest state arrive whole, in an order, twice over.
+    /// Delivers all parts of the highest state twice, in the given order.
     ///
-    /// Twice, since a damaged part may stand in for one until its set is dropped.
+    /// Twice, since a damaged part may occupy a slot until its set is dropped.
     fn settle(&mut self, order: &[usize]) -> Result<(), String> {
         let state = self.states.len() - 1;
         let count = self.parts[state].len();
@@ -185,20 +185,20 @@
             }
         }
         if self.fold.next() != Offset(OFFSETS) {
-            return Err("the highest state was not taken".to_owned());
+            return Err("the highest state was not adopted".to_owned());
         }
         if self.fold.incomplete_bytes() > 0 {
-            return Err("parts are held that nobody needs".to_owned());
+            return Err("obsolete parts are held".to_owned());
         }
         Ok(())
     }
 }
 
 #[test]
-fn a_state_is_taken_whole_or_not_at_all() {
-    // A process is put in force a configuration that no operator made: parts
-    // of several states and publishers come mixed, repeated, damaged or not at
-    // all, by offers and from the log, and a wrong set of them is joined.
+fn a_state_is_adopted_completely_or_not_at_all() {
+    // A process could run a configuration that no operator made, if it joined a
+    // wrong set of parts: those of several states and publishers arrive mixed,
+    // repeated, damaged or not at all, from offers and from the log.
     let config = Runs {
         cases: 2_000,
         failure_persistence: None,
@@ -214,13 +214,13 @@
         prop_assert_eq!(harness.settle(&order), Ok(()));
         Ok(())
     });
-    verdict.expect("states are taken whole");
+    verdict.expect("states are adopted completely");
 }
 
 #[test]
-fn parts_that_never_come_whole_are_bounded() {
-    // A reader runs out of memory: publishers stop half-way again and again,
-    // and each leaves a large part that nothing ever completes.
+fn incomplete_snapshots_are_bounded() {
+    // A reader could run out of memory when many publishers stop half-way and
+    // each leaves large parts of a snapshot that is never completed.
     let mut fold = Fold::new();
     for n in 1..1_000 {
         let set = SnapshotId {
@@ -248,14 +248,14 @@
     for part in others {
         assert!(!fold.adopt_part(part));
     }
-    assert!(fold.adopt_part(last), "a later state is taken");
+    assert!(fold.adopt_part(last), "a later state is adopted");
     assert_eq!(fold.incomplete_bytes(), 0);
 }
 
 #[test]
 fn every_record_of_a_snapshot_is_bounded() {
-    // The log refuses a record, and nobody gets a snapshot any more: text that
-    // JSON has to escape twice makes the record larger than the text.
+    // The log refuses a record that is too large, so readers get no snapshots:
+    // text that JSON escapes twice makes the record larger than the text.
     let pools = (0..20_000).map(|n| {
         let path = Some(format!("/\"\\\u{1}æ{n}"));
         let pool = Pool { price: 1.0, path };
--- a/lib/tests/test_journal.rs
+++ b/lib/tests/test_journal.rs
@@ -1,4 +1,4 @@
-//! Property tests of the journal: bounded, never wrong about what it keeps.
+//! Property tests of the journal: its memory bound and its recorded outcomes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use snipeyoke_lib::units::Bytes;
 use uuid::Uuid;
 
-/// The sequences tried.
+/// The number of generated sequences.
 const CASES: u32 = 256;
 
 /// The journal's limit: room for a few dozen requests.
@@ -78,11 +78,9 @@
 
 #[test]
 fn keeps_its_bound_and_the_first_outcome() {
-    // A flood of requests must not take the router's memory, and an operator
-    // must never be told a second outcome of one request.
-    // Accept, send, end and finish come in any order, also twice or without
-    // what should precede them. After each step the estimate stays within the
-    // limit, running requests are all there, and the first outcome stands.
+    // A flood of requests must not exhaust the router's memory, and an operator
+    // must never see a second outcome of a request. Steps come in any order, also
+    // twice or without their predecessors.
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -95,7 +93,7 @@
             check(&steps);
             Ok(())
         })
-        .expect("the journal keeps its promises");
+        .expect("the journal stays bounded and keeps first outcomes");
 }
 
 fn check(steps: &[Step]) {
@@ -105,7 +103,7 @@
         let now = Time::from_millis(at as u64);
         match *step {
             Step::Accept(number) => {
-                // A request that was forgotten may come as a new one.
+                // An evicted request may be accepted as a new one.
                 if journal.get(id(number)).is_none() {
                     outcomes.remove(&id(number));
                 }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,4 +1,4 @@
-//! Tests of failure detection, the choice of peers and the membership view.
+//! Tests of failure detection, peer selection and the membership view.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -177,7 +177,7 @@
     ]
 }
 
-/// What really is, against what the views say.
+/// The actual state of the nodes, to compare with the routers' views.
 struct Model {
     mesh: Mesh,
     names: Vec<String>,
@@ -221,7 +221,7 @@
         self.mesh.start(profile(name, POOLS), life);
     }
 
-    /// Starts an older process under a living node's name, which dials a router.
+    /// Starts an older process with the name of a running node; it dials a router.
     fn duplicate(&mut self, name: &str) {
         if !self.lives.contains_key(name) {
             return;
@@ -259,19 +259,17 @@
                 let member = view.members().get(&node).expect("listed");
                 assert_eq!(member.state(), PeerState::Alive, "{router} sees {name}");
                 let known = member.incarnation().map(|i| i.0);
-                assert_eq!(known, Some(*life), "{router} heeds the newest {name}");
+                assert_eq!(known, Some(*life), "{router} uses the newest {name}");
             }
         }
     }
 }
 
 #[test]
-fn neither_lets_the_dead_live_nor_keeps_the_living_out() {
-    // The caller sees timeouts if a dead agent stays alive in a router's view,
-    // and refusals if a live one stays out of it. Agents die, lose power,
-    // restart, pause, have elder twins and lose one direction, in any order and
-    // together; then the network heals. Only heartbeats and refusals count as
-    // evidence, and all that is gone is probed again, so both must end.
+fn drops_failed_agents_and_readmits_live_ones() {
+    // Callers see time-outs if a router's view keeps a dead agent, and refusals
+    // if it excludes a live one. Agents crash, lose power, restart, pause, get an
+    // older duplicate or lose one direction, in any order; then the network heals.
     let ops = prop::collection::vec(op(), 1..25);
     let check = |(seed, ops): (u64, Vec<Op>)| {
         let names = names(3, 6);
@@ -303,11 +301,10 @@
 }
 
 #[test]
-fn flaps_no_more_than_the_penalty_allows() {
-    // The caller sees its prefix caches lost and its work moved each time a
-    // peer flaps. A network that loses one frame in ten delays heartbeats by up
-    // to a second, at random, for ten minutes. Timeouts adapt to it and each
-    // loss of "alive" makes the return dearer, so flaps stay few.
+fn flap_penalty_bounds_flapping() {
+    // Each flap of a peer moves work and loses prefix caches. For 10 minutes the
+    // network loses one frame in ten, which delays heartbeats by up to a second.
+    // Time-outs adapt and the flap penalty grows, so flaps stay rare.
     let mut mesh = mesh(7, 2, 4);
     mesh.run(Duration::from_secs(5));
     mesh.loss = 0.1;
@@ -351,9 +348,9 @@
 }
 
 #[test]
-fn subsets_stay_bounded_at_the_size_to_design_for() {
-    // At 340 routers and 680 agents of 17 pools, every router must reach every
-    // pool, over two failure domains at least, with links bounded on both ends.
+fn subsets_stay_bounded_at_design_size() {
+    // With 340 routers and 680 agents in 17 pools, every router must reach every
+    // pool in at least two failure domains, with bounded links on both ends.
     let (routers, agents, pools) = (340, 680, 17);
     let mut degrees: BTreeMap<NodeId, usize> = BTreeMap::new();
     for router in 0..routers {
@@ -379,15 +376,15 @@
         }
         assert!(out <= 96, "router {router} has {out} links");
     }
-    assert_eq!(degrees.len(), agents, "some agent is nobody's choice");
+    assert_eq!(degrees.len(), agents, "some agent is in no subset");
     let most = degrees.values().max().copied().unwrap_or_default();
     assert!(most <= 2 * 32, "an agent has {most} links");
 }
 
 #[test]
-fn subsets_change_no_more_than_they_must() {
-    // One node of a pool goes: only sets that held it change, by one node, or
-    // by two where the bound on a failure domain moves another one along.
+fn losing_a_node_changes_few_subset_members() {
+    // When a node of a pool leaves, only the subsets that contained it change:
+    // by one node, or by two if the bound per failure domain moves another.
     let strategy = (0usize..340, 0usize..40, 1usize..12);
     let check = |(router, gone, degree): (usize, usize, usize)| {
         let me = location(&format!("r{router}"));
@@ -404,9 +401,9 @@
 }
 
 #[test]
-fn probes_spread_the_return_of_many() {
-    // A failure domain is away for an hour and comes back at once. Routers
-    // must meet all of it again soon, without a storm of dials.
+fn probes_find_a_returning_failure_domain() {
+    // A failure domain is unreachable for an hour and then returns all at once.
+    // Routers must link to all of its agents again soon, without a dial storm.
     let mut mesh = mesh(3, 2, 12);
     mesh.run(Duration::from_secs(5));
     let cut: Vec<SocketAddr> = (0..6).map(|i| address(&format!("a{i}"))).collect();
@@ -435,11 +432,10 @@
 }
 
 #[test]
-fn a_peer_that_no_longer_hears_us_is_cut_off_although_we_hear_it() {
-    // The caller waits for calls that never arrive. The network loses what goes
-    // to the agent and delivers what comes from it, on a link that stays open.
-    // Its heartbeats stop echoing ours, which alone bars it; it returns when the
-    // echo does.
+fn a_peer_that_stops_echoing_is_unreachable_although_it_sends() {
+    // Callers wait for calls that never arrive: on an open link the network loses
+    // frames to the agent but delivers those from it. Only the missing echo shows
+    // this, and the peer is alive again once the echo returns.
     let mut detector = Detector::new(TimeoutBounds::default());
     let life = Incarnation(1);
     let beat = |seq, seen| PeerHeartbeat {
