--- a/lib/src/config/fold.rs
+++ b/lib/src/config/fold.rs
@@ -23,7 +23,7 @@
 
 /// The number of accepted changes kept, to report a winner and recognize a repeat.
 ///
-/// Letter 1 has 380 changes per day, so this covers more than half a day, far
+/// At the required 380 changes per day this covers more than half a day, far
 /// longer than an append is retried.
 pub const RECENT_MAX: usize = 256;
 
@@ -33,7 +33,7 @@
 /// The maximum size of the raw records kept, in bytes.
 ///
 /// A peer that is further behind gets a snapshot, which is a third as large at
-/// letter 1's size.
+/// the required number of accounts.
 pub const TAIL_BYTES_MAX: usize = 4 * 1024 * 1024;
 
 /// An accepted change, as shown to the author of a change that lost to it.
--- a/lib/src/config/model.rs
+++ b/lib/src/config/model.rs
@@ -23,7 +23,7 @@
 
 /// The maximum number of stages in a pipeline.
 ///
-/// Letter 1 requires 3 to 6; 2 more allow for a check before and after.
+/// Users require 3 to 6; 2 more allow for a check before and after.
 pub const STAGES_MAX: usize = 8;
 
 /// The maximum deadline of a pipeline, in milliseconds: 10 minutes.
@@ -283,7 +283,7 @@
         what: String,
     },
     /// A change names an object that does not exist.
-    #[display("{what} does not exist: look at the newest revision")]
+    #[display("{what} does not exist: check the newest revision")]
     Missing {
         /// The description of the missing object.
         #[error(not(source))]
--- a/lib/src/config/parts.rs
+++ b/lib/src/config/parts.rs
@@ -35,7 +35,7 @@
 
 /// The maximum size of all incomplete snapshots held at once, in bytes.
 ///
-/// A snapshot of 100,000 accounts fits, 13 times the number in letter 1.
+/// A snapshot of 100,000 accounts fits, 13 times the required number.
 pub const INCOMPLETE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Identifies the snapshot to which a part belongs.
--- a/lib/src/membership/detector.rs
+++ b/lib/src/membership/detector.rs
@@ -119,7 +119,7 @@
 /// Detects failures of one peer from its heartbeats, their echoes and its links.
 #[derive(Debug, Clone)]
 pub struct Detector {
-    timing: TimeoutBounds,
+    timeouts: TimeoutBounds,
     state: PeerState,
     state_since: Time,
     incarnation: Option<Incarnation>,
@@ -139,10 +139,10 @@
 impl Detector {
     /// Creates a detector for a peer that has sent nothing yet.
     #[must_use]
-    pub fn new(timing: TimeoutBounds) -> Self {
-        let interval = timing.interval.as_secs_f64();
+    pub fn new(timeouts: TimeoutBounds) -> Self {
+        let interval = timeouts.interval.as_secs_f64();
         Self {
-            timing,
+            timeouts,
             state: PeerState::Unheard,
             state_since: Time::ZERO,
             incarnation: None,
@@ -188,13 +188,13 @@
     #[must_use]
     pub fn slow_after(&self) -> Duration {
         let adapted = Duration::from_secs_f64(self.mean_gap + SLOW_DEVIATIONS * self.gap_deviation);
-        adapted.clamp(self.timing.slow_min, self.timing.slow_max)
+        adapted.clamp(self.timeouts.slow_min, self.timeouts.slow_max)
     }
 
     /// Returns the silence after which the peer is unreachable.
     #[must_use]
     pub fn unreachable_after(&self) -> Duration {
-        (self.slow_after() * UNREACHABLE_FACTOR).min(self.timing.unreachable_max)
+        (self.slow_after() * UNREACHABLE_FACTOR).min(self.timeouts.unreachable_max)
     }
 
     /// Handles a new link on which the peer sent its hello.
@@ -235,7 +235,7 @@
 
     /// Stops monitoring the peer, after its link was closed by choice.
     pub fn unwatch(&mut self, now: Time) {
-        let fresh = Self::new(self.timing);
+        let fresh = Self::new(self.timeouts);
         *self = Self {
             state: self.state,
             state_since: self.state_since,
@@ -342,7 +342,7 @@
     }
 
     fn restart(&mut self, now: Time, incarnation: Incarnation) {
-        let fresh = Self::new(self.timing);
+        let fresh = Self::new(self.timeouts);
         // A restart after a goodbye was planned and says nothing about the network.
         let planned = self.state == PeerState::Left;
         let penalty = (self.flap_penalty + u32::from(!planned)).min(PENALTY_MAX);
@@ -369,7 +369,7 @@
         }
         // Capped, since a gap of an hour would otherwise delay the detection of
         // every later failure by minutes.
-        let gap = now.since(self.last_heard).min(self.timing.slow_max);
+        let gap = now.since(self.last_heard).min(self.timeouts.slow_max);
         let error = gap.as_secs_f64() - self.mean_gap;
         self.mean_gap += MEAN_GAIN * error;
         self.gap_deviation += DEVIATION_GAIN * (error.abs() - self.gap_deviation);
--- a/lib/src/membership/view/member.rs
+++ b/lib/src/membership/view/member.rs
@@ -45,13 +45,13 @@
 }
 
 impl Member {
-    pub(super) fn new(profile: Profile, timing: TimeoutBounds) -> Self {
+    pub(super) fn new(profile: Profile, timeouts: TimeoutBounds) -> Self {
         Self {
             listed_address: profile.address,
             profile,
             leaving: false,
             draining: false,
-            detector: Detector::new(timing),
+            detector: Detector::new(timeouts),
             link: None,
             sent_seq: 0,
             drain_seq: None,
--- a/lib/src/membership/view/mod.rs
+++ b/lib/src/membership/view/mod.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ViewSettings {
     /// The bounds of the failure detector's time-outs.
-    pub timing: TimeoutBounds,
+    pub timeouts: TimeoutBounds,
     /// The pace of heartbeats.
     pub pace: Pace,
     /// The number of other routers to which a router links.
@@ -58,7 +58,7 @@
 impl Default for ViewSettings {
     fn default() -> Self {
         Self {
-            timing: TimeoutBounds::default(),
+            timeouts: TimeoutBounds::default(),
             pace: Pace::default(),
             routers: 6,
             links_max: 512,
@@ -200,7 +200,7 @@
             Event::LinkDown { link, end } => self.on_link_down(now, link, end, &mut out),
             Event::DialFailed { address, end } => self.on_dial_failed(now, address, end, &mut out),
             Event::Heartbeat { link, heartbeat } => {
-                self.on_heartbeat(now, link, heartbeat, &mut out)
+                self.on_heartbeat(now, link, heartbeat, &mut out);
             }
             Event::Goodbye { link, incarnation } => {
                 self.on_goodbye(now, link, incarnation, &mut out);
@@ -277,11 +277,11 @@
         if node == self.me.node {
             return;
         }
-        let timing = self.settings.timing;
+        let timeouts = self.settings.timeouts;
         let profile = entry.profile.clone();
         self.members
             .entry(node.clone())
-            .or_insert_with(|| Member::new(profile, timing));
+            .or_insert_with(|| Member::new(profile, timeouts));
         self.update(&node, out, |m| m.apply_listed(now, entry));
     }
 
@@ -289,8 +289,8 @@
         if profile.node == self.me.node {
             return;
         }
-        let timing = self.settings.timing;
-        let fresh = || Member::new(profile.clone(), timing);
+        let timeouts = self.settings.timeouts;
+        let fresh = || Member::new(profile.clone(), timeouts);
         self.members
             .entry(profile.node.clone())
             .or_insert_with(fresh);
--- a/lib/tests/test_config_fold.rs
+++ b/lib/tests/test_config_fold.rs
@@ -275,7 +275,7 @@
             let at = (reader.fold.next(), reader.fold.revision());
             if at.0 < reader.seen.0 || at.1 < reader.seen.1 {
                 return Err(format!(
-                    "a reader went back from {:?} to {at:?}",
+                    "a reader moved back from {:?} to {at:?}",
                     reader.seen
                 ));
             }
--- a/lib/tests/test_config_parts.rs
+++ b/lib/tests/test_config_parts.rs
@@ -142,7 +142,7 @@
     fn check(&self, before: Offset) -> Result<(), String> {
         let next = self.fold.next();
         if next < before {
-            return Err(format!("the reader went back from {before} to {next}"));
+            return Err(format!("the reader moved back from {before} to {next}"));
         }
         let bytes_max = INCOMPLETE_SNAPSHOTS_MAX * 64 * PART_BYTES;
         if self.fold.incomplete_bytes() > bytes_max {
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -181,7 +181,7 @@
 struct Model {
     mesh: Mesh,
     names: Vec<String>,
-    lives: BTreeMap<String, u64>,
+    incarnations: BTreeMap<String, u64>,
     paused: BTreeSet<String>,
 }
 
@@ -211,25 +211,25 @@
 
     fn end(&mut self, name: &str, how: fn(&mut Mesh, SocketAddr)) {
         how(&mut self.mesh, address(name));
-        self.lives.remove(name);
+        self.incarnations.remove(name);
     }
 
     fn restart(&mut self, name: &str) {
         self.mesh.kill(address(name));
-        let life = 10 + self.mesh.now.as_micros();
-        self.lives.insert(name.to_owned(), life);
-        self.mesh.start(profile(name, POOLS), life);
+        let incarnation = 10 + self.mesh.now.as_micros();
+        self.incarnations.insert(name.to_owned(), incarnation);
+        self.mesh.start(profile(name, POOLS), incarnation);
     }
 
     /// Starts an older process with the name of a running node; it dials a router.
     fn duplicate(&mut self, name: &str) {
-        if !self.lives.contains_key(name) {
+        if !self.incarnations.contains_key(name) {
             return;
         }
-        let mut twin = profile(name, POOLS);
-        twin.address.set_port(7001);
-        let at = twin.address;
-        self.mesh.start(twin, 0);
+        let mut duplicate = profile(name, POOLS);
+        duplicate.address.set_port(7001);
+        let at = duplicate.address;
+        self.mesh.start(duplicate, 0);
         let seeds = vec![address("r0")];
         self.mesh
             .give(at, snipeyoke_lib::membership::Event::Seeds(seeds));
@@ -240,8 +240,9 @@
         for router in ["r0", "r1", "r2"].into_iter().filter(awake) {
             for name in self.names.iter().filter(|n| n.starts_with('a')) {
                 let node: NodeId = name.parse().expect("a node's name");
-                let twin = SocketAddr::new(address(name).ip(), 7001);
-                let gone = !self.lives.contains_key(name) && self.mesh.view(twin).is_none();
+                let duplicate = SocketAddr::new(address(name).ip(), 7001);
+                let gone =
+                    !self.incarnations.contains_key(name) && self.mesh.view(duplicate).is_none();
                 let state = self.mesh.state(address(router), &node);
                 assert!(
                     !gone || state != PeerState::Alive,
@@ -253,13 +254,13 @@
 
     fn check_alive(&self) {
         for router in ["r0", "r1", "r2"] {
-            for (name, life) in &self.lives {
+            for (name, incarnation) in &self.incarnations {
                 let node: NodeId = name.parse().expect("a node's name");
                 let view = self.mesh.view(address(router)).expect("routers run");
                 let member = view.members().get(&node).expect("listed");
                 assert_eq!(member.state(), PeerState::Alive, "{router} sees {name}");
                 let known = member.incarnation().map(|i| i.0);
-                assert_eq!(known, Some(*life), "{router} uses the newest {name}");
+                assert_eq!(known, Some(*incarnation), "{router} uses the newest {name}");
             }
         }
     }
@@ -273,11 +274,11 @@
     let ops = prop::collection::vec(op(), 1..25);
     let check = |(seed, ops): (u64, Vec<Op>)| {
         let names = names(3, 6);
-        let lives = (0..6).map(|i| (format!("a{i}"), 1)).collect();
+        let incarnations = (0..6).map(|i| (format!("a{i}"), 1)).collect();
         let mut model = Model {
             mesh: mesh(seed, 3, 6),
             names,
-            lives,
+            incarnations,
             paused: BTreeSet::new(),
         };
         model.mesh.run(Duration::from_secs(5));
@@ -417,14 +418,14 @@
     mesh.heal();
     let healed = mesh.now;
     mesh.run(Duration::from_secs(20));
-    let back: Vec<Time> = mesh
+    let returns: Vec<Time> = mesh
         .seen
         .iter()
         .filter(|s| s.at > healed && s.to == PeerState::Alive && !cut.contains(&s.by))
         .map(|s| s.at)
         .collect();
-    assert_eq!(back.len(), 12, "each of two routers meets six agents");
-    let last = back.iter().max().expect("some came back").since(healed);
+    assert_eq!(returns.len(), 12, "each of two routers meets six agents");
+    let last = returns.iter().max().expect("some came back").since(healed);
     assert!(
         last < Duration::from_secs(15),
         "the last came back after {last:?}"
@@ -437,21 +438,21 @@
     // frames to the agent but delivers those from it. Only the missing echo shows
     // this, and the peer is alive again once the echo returns.
     let mut detector = Detector::new(TimeoutBounds::default());
-    let life = Incarnation(1);
-    let beat = |seq, seen| PeerHeartbeat {
-        incarnation: life,
+    let incarnation = Incarnation(1);
+    let heartbeat = |seq, seen| PeerHeartbeat {
+        incarnation,
         seq,
         seen,
         draining: false,
         pace: Duration::ZERO,
     };
     let mut states = Vec::new();
-    detector.on_link_up(Time::ZERO, life);
+    detector.on_link_up(Time::ZERO, incarnation);
     for seq in 1..=60u64 {
         let now = Time::from_millis(seq * 500);
         detector.on_heartbeat_sent(now, seq);
         let heard_by_peer = if (10..40).contains(&seq) { 10 } else { seq };
-        detector.on_heartbeat(now, beat(seq, heard_by_peer));
+        detector.on_heartbeat(now, heartbeat(seq, heard_by_peer));
         if states.last() != Some(&detector.state()) {
             states.push(detector.state());
         }
