--- a/lib/src/config/fold.rs
+++ b/lib/src/config/fold.rs
@@ -38,7 +38,7 @@
 
 /// An accepted change, as shown to the author of a change that lost to it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AcceptedChange {
+pub struct Winner {
     /// The accepted record.
     pub id: RecordId,
     /// Its author.
@@ -62,7 +62,7 @@
         /// The revision in force.
         revision: Revision,
         /// The change accepted on the same base, if it is still kept.
-        winner: Option<Box<AcceptedChange>>,
+        winner: Option<Box<Winner>>,
     },
     /// The change does not fit the configuration and has no effect.
     Invalid(ConfigError),
@@ -126,7 +126,7 @@
     config: Arc<Config>,
     revision: Revision,
     next: Offset,
-    accepted: BTreeMap<Revision, AcceptedChange>,
+    accepted: BTreeMap<Revision, Winner>,
     recent: VecDeque<Accepted>,
     tail: VecDeque<(Offset, Vec<u8>)>,
     assembly: SnapshotAssembly,
@@ -181,7 +181,7 @@
     }
 
     /// Returns the accepted changes that are still kept, oldest first.
-    pub fn accepted_changes(&self) -> impl Iterator<Item = &AcceptedChange> {
+    pub fn accepted_changes(&self) -> impl Iterator<Item = &Winner> {
         self.accepted.values()
     }
 
@@ -267,7 +267,7 @@
         self.config = Arc::new(config);
         self.revision = self.revision.next();
         let revision = self.revision;
-        let winner = AcceptedChange {
+        let winner = Winner {
             id: record.id,
             author: record.author.clone(),
             change: change.clone(),
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -8,13 +8,13 @@
 
 pub use change::Change;
 pub use change::DrainTarget;
-pub use fold::AcceptedChange;
 pub use fold::Applied;
 pub use fold::Fold;
 pub use fold::FoldGuards;
 pub use fold::RECENT_MAX;
 pub use fold::TAIL_BYTES_MAX;
 pub use fold::TAIL_RECORDS_MAX;
+pub use fold::Winner;
 pub use model::Account;
 pub use model::Config;
 pub use model::ConfigError;
--- a/lib/src/query/history.rs
+++ b/lib/src/query/history.rs
@@ -6,9 +6,9 @@
 use super::facts::ChangeFact;
 use super::facts::ConfigFact;
 use super::facts::FactError;
-use crate::config::AcceptedChange;
 use crate::config::Change;
 use crate::config::Config;
+use crate::config::Winner;
 use crate::ids::Revision;
 
 /// The changes remembered: with 380 a day, more than half a day.
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone)]
 pub struct History {
     base: ConfigFact,
-    changes: VecDeque<AcceptedChange>,
+    changes: VecDeque<Winner>,
 }
 
 impl Default for History {
@@ -53,7 +53,7 @@
     ///
     /// A change that does not follow the newest revision is ignored; call
     /// [`History::new`] after a snapshot took the state over.
-    pub fn on_change(&mut self, winner: AcceptedChange) {
+    pub fn on_change(&mut self, winner: Winner) {
         if winner.revision != self.last().next() {
             return;
         }
@@ -94,7 +94,7 @@
     /// Returns the accepted changes, the newest first.
     #[must_use]
     pub fn changes(&self) -> Vec<ChangeFact> {
-        let fact = |winner: &AcceptedChange| ChangeFact {
+        let fact = |winner: &Winner| ChangeFact {
             revision: winner.revision,
             author: winner.author.to_string(),
             state: "accepted".to_owned(),
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -127,8 +127,7 @@
             base,
         },
         Applied::Lost { revision, winner } => {
-            let by =
-                |w: &snipeyoke_lib::config::AcceptedChange| format!("{} ({})", w.change, w.author);
+            let by = |w: &snipeyoke_lib::config::Winner| format!("{} ({})", w.change, w.author);
             ChangeAnswer::Lost {
                 base,
                 revision: *revision,
