--- a/gateway/src/registry.rs
+++ b/gateway/src/registry.rs
@@ -8,7 +8,7 @@
 use derive_more::Error;
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::log::LogCall;
+use snipeyoke_lib::log::LogFuture;
 use snipeyoke_lib::serving::catalog::Catalog;
 use snipeyoke_lib::serving::directory::Entry;
 use snipeyoke_lib::serving::registry_polling::ReplicaKind;
@@ -139,7 +139,7 @@
         topic: Topic,
         after: Option<String>,
         on_progress: OnProgress<'a>,
-    ) -> LogCall<'a, Result<Page, RegistryError>>;
+    ) -> LogFuture<'a, Result<Page, RegistryError>>;
 
     /// Reads the records from an offset on; waits up to `wait` if there is
     /// none.
@@ -149,10 +149,10 @@
         from: Offset,
         wait: Duration,
         on_progress: OnProgress<'a>,
-    ) -> LogCall<'a, Update>;
+    ) -> LogFuture<'a, Update>;
 
     /// Registers this node; returns whether the registration is confirmed.
-    fn register(&self, node: &NodeId, entry: NodeEntry) -> LogCall<'_, bool>;
+    fn register(&self, node: &NodeId, entry: NodeEntry) -> LogFuture<'_, bool>;
 
     /// Parses a configuration record; returns `None` if it has another key.
     ///
--- a/lib/src/config/fold.rs
+++ b/lib/src/config/fold.rs
@@ -8,11 +8,11 @@
 use crate::config::Change;
 use crate::config::Config;
 use crate::config::ConfigError;
-use crate::config::Part;
-use crate::config::PartSet;
 use crate::config::Snapshot;
-use crate::config::parts::Assembly;
-use crate::config::parts::Tally;
+use crate::config::SnapshotId;
+use crate::config::SnapshotPart;
+use crate::config::parts::SeenParts;
+use crate::config::parts::SnapshotAssembly;
 use crate::ids::Offset;
 use crate::ids::Revision;
 use crate::record::Author;
@@ -21,92 +21,92 @@
 use crate::record::RecordError;
 use crate::record::RecordId;
 
-/// The accepted changes remembered, to name the winner and to know a repeat.
+/// The number of accepted changes kept, to report a winner and recognize a repeat.
 ///
-/// Letter 1 has 380 changes a day: this covers more than half a day, far
-/// longer than an append is repeated.
+/// At the required 380 changes per day this covers more than half a day, far
+/// longer than an append is retried.
 pub const RECENT_MAX: usize = 256;
 
-/// The raw records kept for peers that are a little behind.
-pub const TAIL_MAX: usize = 64;
+/// The maximum number of raw records kept for peers that are slightly behind.
+pub const TAIL_RECORDS_MAX: usize = 64;
 
-/// The most bytes of the raw records kept.
+/// The maximum size of the raw records kept, in bytes.
 ///
-/// A peer that is further behind gets a snapshot, at letter 1's size a third
-/// as large.
-pub const TAIL_BYTES: usize = 4 * 1024 * 1024;
+/// A peer that is further behind gets a snapshot, which is a third as large at
+/// the required number of accounts.
+pub const TAIL_BYTES_MAX: usize = 4 * 1024 * 1024;
 
-/// An accepted change, as the author of one that lost is shown it.
+/// An accepted change, as shown to the author of a change that lost to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Winner {
-    /// The record that won.
+    /// The accepted record.
     pub id: RecordId,
     /// Its author.
     pub author: Author,
     /// Its change.
     pub change: Change,
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: Revision,
 }
 
-/// What one record did to the configuration.
+/// The effect of one record on the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Applied {
-    /// The change is accepted and makes a revision.
+    /// The change is accepted and creates a revision.
     Accepted {
-        /// The revision made.
+        /// The created revision.
         revision: Revision,
     },
-    /// The change was made on an old revision and has no effect.
+    /// The change is based on an old revision and has no effect.
     Lost {
         /// The revision in force.
         revision: Revision,
-        /// The change that took its base, unless it is too long ago.
+        /// The change accepted on the same base, if it is still kept.
         winner: Option<Box<Winner>>,
     },
     /// The change does not fit the configuration and has no effect.
     Invalid(ConfigError),
-    /// The record was accepted before; its append was repeated.
+    /// The record was accepted before; its append was retried.
     Repeat {
-        /// The revision that it made.
+        /// The revision that it created.
         revision: Revision,
     },
-    /// A snapshot in line with what is known already.
+    /// A snapshot of records that were already applied.
     Covered,
-    /// A part of such a snapshot; others of its parts were not yet seen.
+    /// A part of such a snapshot, of which other parts are still missing.
     Part,
-    /// The record lies below the next offset and was applied before.
+    /// The record is below the next offset and was applied before.
     Old,
-    /// Records before this one were not seen: read from `next`, or recover.
+    /// Records before this one are missing: read from `next`, or recover from a snapshot.
     Gap {
-        /// The next offset expected.
+        /// The next expected offset.
         next: Offset,
     },
-    /// A snapshot replaced the state: read on from `next`.
+    /// A snapshot replaced the state: continue reading at `next`.
     Restored {
         /// The next offset to read.
         next: Offset,
     },
-    /// The record is none of the configuration's.
+    /// The record doesn't belong to the configuration, or can't be decoded.
     Foreign(Option<RecordError>),
 }
 
 impl Applied {
-    /// Tells whether the configuration changed.
+    /// Returns whether the configuration changed.
     #[must_use]
     pub const fn is_change(&self) -> bool {
         matches!(self, Self::Accepted { .. } | Self::Restored { .. })
     }
 }
 
-/// Safeguards of the fold, all on but in tests that show their worth.
+/// Safeguards of the fold; only tests that prove their necessity turn one off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FoldGuards {
-    /// A change made on an old revision loses.
+    /// Rejects a change based on an old revision.
     pub base: bool,
-    /// A repeated record is known by its id.
+    /// Recognizes a repeated record by its id.
     pub repeat: bool,
-    /// A lower offset never replaces a higher one.
+    /// Prevents a snapshot at a lower offset from replacing a higher one.
     pub order: bool,
 }
 
@@ -126,11 +126,11 @@
     config: Arc<Config>,
     revision: Revision,
     next: Offset,
-    winners: BTreeMap<Revision, Winner>,
+    accepted: BTreeMap<Revision, Winner>,
     recent: VecDeque<Accepted>,
     tail: VecDeque<(Offset, Vec<u8>)>,
-    assembly: Assembly,
-    tally: Tally,
+    assembly: SnapshotAssembly,
+    seen_parts: SeenParts,
 }
 
 impl Default for Fold {
@@ -140,13 +140,13 @@
 }
 
 impl Fold {
-    /// Starts with the empty configuration before the first record.
+    /// Creates an empty configuration at offset 0.
     #[must_use]
     pub fn new() -> Self {
         Self::with_guards(FoldGuards::ON)
     }
 
-    /// Starts with some safeguards off, for tests that show their worth.
+    /// Creates a fold with some safeguards off, for tests that prove their necessity.
     #[must_use]
     pub fn with_guards(guards: FoldGuards) -> Self {
         Self {
@@ -154,11 +154,11 @@
             config: Arc::default(),
             revision: Revision(0),
             next: Offset(0),
-            winners: BTreeMap::new(),
+            accepted: BTreeMap::new(),
             recent: VecDeque::new(),
             tail: VecDeque::new(),
-            assembly: Assembly::default(),
-            tally: Tally::default(),
+            assembly: SnapshotAssembly::default(),
+            seen_parts: SeenParts::default(),
         }
     }
 
@@ -180,9 +180,9 @@
         self.next
     }
 
-    /// Returns the accepted changes still remembered, oldest first.
-    pub fn winners(&self) -> impl Iterator<Item = &Winner> {
-        self.winners.values()
+    /// Returns the accepted changes that are still kept, oldest first.
+    pub fn accepted_changes(&self) -> impl Iterator<Item = &Winner> {
+        self.accepted.values()
     }
 
     /// Applies the bytes read at an offset.
@@ -190,8 +190,8 @@
         match Record::try_from(bytes) {
             Ok(record) => self.apply(offset, &record),
             Err(error) => {
-                if let Some(early) = self.position(offset) {
-                    return early;
+                if let Some(applied) = self.check_position(offset) {
+                    return applied;
                 }
                 self.advance(offset, bytes.to_vec());
                 Applied::Foreign(Some(error))
@@ -201,24 +201,24 @@
 
     /// Applies the record read at an offset.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Applied {
-        match self.position(offset) {
+        match self.check_position(offset) {
             Some(Applied::Gap { .. }) => return self.recover(&record.body),
-            Some(early) => return early,
+            Some(applied) => return applied,
             None => {}
         }
         let applied = match &record.body {
             Body::ConfigChange { base, change } => self.change(record, *base, change),
             Body::Snapshot(_) => Applied::Covered,
-            Body::SnapshotPart(part) if self.tally.saw(part) => Applied::Covered,
+            Body::SnapshotPart(part) if self.seen_parts.add(part) => Applied::Covered,
             Body::SnapshotPart(_) => Applied::Part,
             Body::Lease(_) => Applied::Foreign(None),
         };
-        self.advance(offset, passed_on(record));
+        self.advance(offset, relayed_bytes(record));
         applied
     }
 
-    /// Judges the position of a record, unless it is the next one.
-    fn position(&self, offset: Offset) -> Option<Applied> {
+    /// Returns the result for a record at any position but the next.
+    fn check_position(&self, offset: Offset) -> Option<Applied> {
         if offset < self.next {
             return Some(Applied::Old);
         }
@@ -227,9 +227,9 @@
 
     fn advance(&mut self, offset: Offset, bytes: Vec<u8>) {
         self.next = offset.next();
-        self.assembly.forget(self.next);
+        self.assembly.discard_up_to(self.next);
         self.tail.push_back((offset, bytes));
-        while self.tail.len() > TAIL_MAX || self.tail_bytes() > TAIL_BYTES {
+        while self.tail.len() > TAIL_RECORDS_MAX || self.tail_bytes() > TAIL_BYTES_MAX {
             self.tail.pop_front();
         }
     }
@@ -239,22 +239,22 @@
     }
 
     fn change(&mut self, record: &Record, base: Revision, change: &Change) -> Applied {
-        // An append whose answer was lost is sent again under the same id.
-        // Without this check its author would hear that the change lost to
-        // itself. Forgetting an id is harmless: its base is old by then.
+        // An unanswered append is retried under the same id. Without this check
+        // its author would be notified that the change lost to itself. Dropping
+        // an old id is harmless, since its base is outdated by then.
         let known = self.recent.iter().find(|a| a.id == record.id);
         if let (Some(known), true) = (known, self.guards.repeat) {
             return Applied::Repeat {
                 revision: known.revision,
             };
         }
-        // Two operators who change what both have read would each undo the
-        // other unseen. The log's order decides for one, at every process
-        // alike, and the other is shown the winner.
+        // Concurrent changes on one base would silently undo each other. The log's
+        // order selects the same winner in every process, and the other author is
+        // shown that winner.
         if base != self.revision && self.guards.base {
             return Applied::Lost {
                 revision: self.revision,
-                winner: self.winners.get(&base.next()).cloned().map(Box::new),
+                winner: self.accepted.get(&base.next()).cloned().map(Box::new),
             };
         }
         match change.apply(&self.config) {
@@ -273,9 +273,9 @@
             change: change.clone(),
             revision,
         };
-        self.winners.insert(revision, winner);
-        if self.winners.len() > RECENT_MAX {
-            self.winners.pop_first();
+        self.accepted.insert(revision, winner);
+        if self.accepted.len() > RECENT_MAX {
+            self.accepted.pop_first();
         }
         self.recent.push_back(Accepted {
             id: record.id,
@@ -298,13 +298,12 @@
         }
     }
 
-    /// Takes over a snapshot from the log or a peer, if it lies higher.
+    /// Adopts a snapshot from the log or a peer, if its offset is higher.
     ///
     /// Returns whether the state was replaced.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
-        // A peer that was cut off for hours offers what it had then. Taking it
-        // would revert accepted changes. Offsets only grow, so comparing them
-        // is enough.
+        // A peer that was partitioned for hours offers an old state, which would
+        // revert accepted changes. Offsets only grow, so comparing them is enough.
         if snapshot.next <= self.next && self.guards.order {
             return false;
         }
@@ -312,31 +311,31 @@
         self.revision = snapshot.revision;
         self.next = snapshot.next;
         self.recent = snapshot.recent.iter().copied().collect();
-        self.winners.clear();
+        self.accepted.clear();
         self.tail.clear();
-        self.assembly.forget(self.next);
+        self.assembly.discard_up_to(self.next);
         true
     }
 
-    /// Holds a part of a snapshot, and takes the snapshot over once it is whole.
+    /// Stores a part of a snapshot, and adopts the snapshot once it is complete.
     ///
-    /// Returns whether the state was replaced. Parts may come in any order and
-    /// repeatedly; those that complete nothing are bounded by
-    /// [`SETS_MAX`](crate::config::SETS_MAX) and
-    /// [`HELD_MAX`](crate::config::HELD_MAX).
-    pub fn adopt_part(&mut self, part: &Part) -> bool {
-        // Parts of a state already passed would only push out better ones.
+    /// Returns whether the state was replaced. Parts may arrive in any order and
+    /// repeatedly; those of incomplete snapshots are bounded by
+    /// [`INCOMPLETE_SNAPSHOTS_MAX`](crate::config::INCOMPLETE_SNAPSHOTS_MAX) and
+    /// [`INCOMPLETE_BYTES_MAX`](crate::config::INCOMPLETE_BYTES_MAX).
+    pub fn adopt_part(&mut self, part: &SnapshotPart) -> bool {
+        // Parts of an outdated state would only evict newer ones.
         if part.set.next <= self.next && self.guards.order {
             return false;
         }
-        let whole = self.assembly.add(part);
-        whole.is_some_and(|snapshot| self.adopt(&snapshot))
+        let completed = self.assembly.add(part);
+        completed.is_some_and(|snapshot| self.adopt(&snapshot))
     }
 
-    /// Returns the bytes held of incomplete snapshots.
+    /// Returns the size of the incomplete snapshots held, in bytes.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.assembly.held()
+    pub fn incomplete_bytes(&self) -> usize {
+        self.assembly.bytes()
     }
 
     fn recover(&mut self, body: &Body) -> Applied {
@@ -353,7 +352,7 @@
 
     /// Returns the raw records from an offset on, if all are still kept.
     #[must_use]
-    pub fn since(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
+    pub fn records_since(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
         if from == self.next {
             return Some(Vec::new());
         }
@@ -366,12 +365,12 @@
     }
 }
 
-// A peer that has all records before a snapshot needs nothing of it but its
-// place; with the text, each snapshot would cost each link a megabyte.
-fn passed_on(record: &Record) -> Vec<u8> {
-    let bare = match &record.body {
-        Body::Snapshot(snapshot) => Part {
-            set: PartSet {
+// Strips the text of snapshots: a peer with all earlier records only needs the
+// position, and the text would cost each link a megabyte per snapshot.
+fn relayed_bytes(record: &Record) -> Vec<u8> {
+    let marker = match &record.body {
+        Body::Snapshot(snapshot) => SnapshotPart {
+            set: SnapshotId {
                 next: snapshot.next,
                 count: 1,
                 digest: 0,
@@ -379,13 +378,13 @@
             index: 0,
             text: String::new(),
         },
-        Body::SnapshotPart(part) => part.bare(),
+        Body::SnapshotPart(part) => part.without_text(),
         Body::ConfigChange { .. } | Body::Lease(_) => return record.encode(),
     };
     let record = Record {
         id: record.id,
         author: record.author.clone(),
-        body: Body::SnapshotPart(bare),
+        body: Body::SnapshotPart(marker),
     };
     record.encode()
 }
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators publish and every process follows.
+//! The configuration, published by operators and followed by every process.
 
 mod change;
 mod fold;
@@ -12,8 +12,8 @@
 pub use fold::Fold;
 pub use fold::FoldGuards;
 pub use fold::RECENT_MAX;
-pub use fold::TAIL_BYTES;
-pub use fold::TAIL_MAX;
+pub use fold::TAIL_BYTES_MAX;
+pub use fold::TAIL_RECORDS_MAX;
 pub use fold::Winner;
 pub use model::Account;
 pub use model::Config;
@@ -25,11 +25,11 @@
 pub use model::Stage;
 pub use model::StageRole;
 pub use model::Weights;
-pub use parts::HELD_MAX;
-pub use parts::PART_MAX;
-pub use parts::PARTS_MAX;
-pub use parts::Part;
-pub use parts::PartSet;
-pub use parts::SETS_MAX;
+pub use parts::INCOMPLETE_BYTES_MAX;
+pub use parts::INCOMPLETE_SNAPSHOTS_MAX;
+pub use parts::PART_BYTES_MAX;
+pub use parts::PART_COUNT_MAX;
+pub use parts::SnapshotId;
+pub use parts::SnapshotPart;
 pub use snapshot::Accepted;
 pub use snapshot::Snapshot;
--- a/lib/src/config/parts.rs
+++ b/lib/src/config/parts.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts that fit a record and a frame.
+//! Splitting of snapshots into parts that fit into a record and a frame.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,38 +14,38 @@
 use crate::record::Record;
 use crate::record::RecordId;
 
-/// The most encoded bytes of a record that holds a snapshot or a part of one.
+/// The maximum encoded size of a record with a snapshot or a part of one, in bytes.
 ///
-/// It leaves a quarter of the 256 KiB that the log service takes as one record
-/// and append, and is a sixth of a frame, so that calls on the same link wait
-/// for little.
-pub const PART_MAX: usize = 192 * 1024;
+/// The log service accepts 256 KiB per record and append, of which a quarter is
+/// left as reserve. A part is also a sixth of a frame, so that it delays other
+/// calls on the same link only briefly.
+pub const PART_BYTES_MAX: usize = 192 * 1024;
 
-/// Bytes of a record around a part's text; names have 64 at most.
-const PART_SLACK: usize = 1024;
+/// Bytes reserved in a record beside the part's text; names have 64 at most.
+const RECORD_OVERHEAD: usize = 1024;
 
-/// The most parts of one snapshot; more than [`HELD_MAX`] has room for.
-pub const PARTS_MAX: u32 = 128;
+/// The maximum number of parts of a snapshot, more than fit into [`INCOMPLETE_BYTES_MAX`].
+pub const PART_COUNT_MAX: u32 = 128;
 
-/// The most incomplete snapshots held at once.
+/// The maximum number of incomplete snapshots held at once.
 ///
-/// A publisher that stops half-way leaves one for good; a later snapshot lies
-/// higher and pushes it out.
-pub const SETS_MAX: usize = 8;
+/// A publisher that stops half-way leaves an incomplete snapshot behind, until
+/// later snapshots, which have higher offsets, evict it.
+pub const INCOMPLETE_SNAPSHOTS_MAX: usize = 8;
 
-/// The most bytes of incomplete snapshots held at once.
+/// The maximum size of all incomplete snapshots held at once, in bytes.
 ///
-/// A snapshot of 100,000 accounts fits, 13 times those of letter 1.
-pub const HELD_MAX: usize = 16 * 1024 * 1024;
+/// A snapshot of 100,000 accounts fits, 13 times the required number.
+pub const INCOMPLETE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// Which snapshot a part belongs to.
+/// Identifies the snapshot to which a part belongs.
 ///
-/// It names the content and not the publisher, so parts of the same state from
-/// several peers complete one another, and those of different states never mix.
+/// It identifies the content and not the publisher, so parts of the same state
+/// from several peers complete one another, and different states never mix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct PartSet {
-    /// The offset after the last record covered.
+pub struct SnapshotId {
+    /// The offset after the last covered record.
     pub next: Offset,
     /// The number of parts.
     pub count: u32,
@@ -53,22 +53,22 @@
     pub digest: u64,
 }
 
-/// A piece of an encoded snapshot.
+/// A part of an encoded snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Part {
-    /// The snapshot.
-    pub set: PartSet,
-    /// The position among the parts, from 0.
+pub struct SnapshotPart {
+    /// The snapshot to which it belongs.
+    pub set: SnapshotId,
+    /// The index of the part, from 0.
     pub index: u32,
-    /// The piece; empty where a reader needs no more than to know of it.
+    /// The text; empty if the receiver only needs to know that the part exists.
     pub text: String,
 }
 
-impl Part {
+impl SnapshotPart {
     /// Returns the part without its text.
     #[must_use]
-    pub const fn bare(&self) -> Self {
+    pub const fn without_text(&self) -> Self {
         Self {
             set: self.set,
             index: self.index,
@@ -76,34 +76,34 @@
         }
     }
 
-    const fn is_sound(&self) -> bool {
-        self.index < self.set.count && self.set.count <= PARTS_MAX
+    const fn is_valid(&self) -> bool {
+        self.index < self.set.count && self.set.count <= PART_COUNT_MAX
     }
 }
 
 impl Snapshot {
-    /// Splits the snapshot into parts of at most so many encoded bytes each.
+    /// Splits the snapshot into parts of at most `max_bytes` encoded bytes each.
     ///
     /// # Panics
     ///
     /// Panics if the snapshot has no JSON form, as [`Record::encode`] does.
     #[must_use]
-    pub fn parts(&self, most: usize) -> Vec<Part> {
-        self.split(&self.text(), most)
+    pub fn parts(&self, max_bytes: usize) -> Vec<SnapshotPart> {
+        self.split(&self.to_json(), max_bytes)
     }
 
-    /// Returns the records that hold the snapshot, whole if it is small.
+    /// Returns the records with the snapshot: one if it is small, else one per part.
     ///
     /// # Panics
     ///
     /// Panics if the snapshot has no JSON form, as [`Record::encode`] does.
     pub fn records(&self, author: &Author, mut id: impl FnMut() -> RecordId) -> Vec<Record> {
-        let most = PART_MAX - PART_SLACK;
-        let text = self.text();
-        let bodies = if text.len() <= most {
+        let max_bytes = PART_BYTES_MAX - RECORD_OVERHEAD;
+        let text = self.to_json();
+        let bodies = if text.len() <= max_bytes {
             vec![Body::Snapshot(self.clone())]
         } else {
-            let parts = self.split(&text, most);
+            let parts = self.split(&text, max_bytes);
             parts.into_iter().map(Body::SnapshotPart).collect()
         };
         let record = |body| Record {
@@ -114,18 +114,18 @@
         bodies.into_iter().map(record).collect()
     }
 
-    fn text(&self) -> String {
+    fn to_json(&self) -> String {
         serde_json::to_string(self).expect("snapshots have a JSON form")
     }
 
-    fn split(&self, text: &str, most: usize) -> Vec<Part> {
-        let texts = pieces(text, most);
-        let set = PartSet {
+    fn split(&self, text: &str, max_bytes: usize) -> Vec<SnapshotPart> {
+        let texts = split_text(text, max_bytes);
+        let set = SnapshotId {
             next: self.next,
             count: u32::try_from(texts.len()).unwrap_or(u32::MAX),
             digest: rapidhash_v3(text.as_bytes()),
         };
-        let part = |(index, text): (u32, &str)| Part {
+        let part = |(index, text): (u32, &str)| SnapshotPart {
             set,
             index,
             text: text.to_owned(),
@@ -134,24 +134,24 @@
     }
 }
 
-/// Cuts text into pieces whose JSON strings have at most so many bytes.
-fn pieces(text: &str, most: usize) -> Vec<&str> {
-    let mut pieces = Vec::new();
-    let (mut start, mut cost) = (0, 0);
+/// Splits text into chunks whose JSON strings have at most `max_bytes` bytes.
+fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
+    let mut chunks = Vec::new();
+    let (mut start, mut bytes) = (0, 0);
     for (at, c) in text.char_indices() {
-        let more = escaped(c);
-        if cost + more > most && at > start {
-            pieces.push(&text[start..at]);
-            (start, cost) = (at, 0);
+        let added = escaped_len(c);
+        if bytes + added > max_bytes && at > start {
+            chunks.push(&text[start..at]);
+            (start, bytes) = (at, 0);
         }
-        cost += more;
+        bytes += added;
     }
-    pieces.push(&text[start..]);
-    pieces
+    chunks.push(&text[start..]);
+    chunks
 }
 
-/// Returns the bytes that a character takes in a JSON string.
-const fn escaped(c: char) -> usize {
+/// Returns the length of a character in a JSON string, in bytes.
+const fn escaped_len(c: char) -> usize {
     match c {
         '"' | '\\' => 2,
         '\0'..='\u{1f}' => 6,
@@ -159,57 +159,57 @@
     }
 }
 
-/// Incomplete snapshots, within bounds.
+/// Incomplete snapshots, bounded in number and bytes.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Assembly {
-    sets: BTreeMap<PartSet, BTreeMap<u32, String>>,
+pub(super) struct SnapshotAssembly {
+    sets: BTreeMap<SnapshotId, BTreeMap<u32, String>>,
 }
 
-impl Assembly {
-    /// Adds a part and returns its snapshot if it was the last one missing.
-    pub(super) fn add(&mut self, part: &Part) -> Option<Snapshot> {
-        if !part.is_sound() || part.text.is_empty() {
+impl SnapshotAssembly {
+    /// Adds a part and returns its snapshot if that is now complete.
+    pub(super) fn add(&mut self, part: &SnapshotPart) -> Option<Snapshot> {
+        if !part.is_valid() || part.text.is_empty() {
             return None;
         }
-        let pieces = self.sets.entry(part.set).or_default();
-        pieces
+        let chunks = self.sets.entry(part.set).or_default();
+        chunks
             .entry(part.index)
             .or_insert_with(|| part.text.clone());
-        if pieces.len() < part.set.count as usize {
-            self.bound();
+        if chunks.len() < part.set.count as usize {
+            self.enforce_bounds();
             return None;
         }
-        let pieces = self.sets.remove(&part.set)?;
-        joined(part.set, &pieces.into_values().collect::<String>())
+        let chunks = self.sets.remove(&part.set)?;
+        join(part.set, &chunks.into_values().collect::<String>())
     }
 
-    /// Forgets the snapshots that would bring a state at an offset no further.
-    pub(super) fn forget(&mut self, next: Offset) {
+    /// Discards the snapshots that don't lie above an offset.
+    pub(super) fn discard_up_to(&mut self, next: Offset) {
         while self.sets.keys().next().is_some_and(|set| set.next <= next) {
             self.sets.pop_first();
         }
     }
 
-    /// Returns the bytes held.
-    pub(super) fn held(&self) -> usize {
-        let pieces = self.sets.values().flat_map(BTreeMap::values);
-        pieces.map(String::len).sum()
+    /// Returns the total size of the parts held, in bytes.
+    pub(super) fn bytes(&self) -> usize {
+        let chunks = self.sets.values().flat_map(BTreeMap::values);
+        chunks.map(String::len).sum()
     }
 
-    // Publishers that stop half-way would leave parts for good, and readers
-    // behind retention would run out of memory. The lowest go first: any
-    // snapshot that still comes lies higher than those given up.
-    fn bound(&mut self) {
-        while self.sets.len() > SETS_MAX || self.held() > HELD_MAX {
+    // Publishers that stop half-way leave parts behind, and readers behind
+    // retention would run out of memory. The lowest offset is evicted first,
+    // since any later snapshot has a higher one.
+    fn enforce_bounds(&mut self) {
+        while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX || self.bytes() > INCOMPLETE_BYTES_MAX {
             self.sets.pop_first();
         }
     }
 }
 
-// A damaged part would make a state that no process ever had, or one that
-// lies at another offset than it says. The digest covers the whole text, so
-// such a set is dropped; the parts come again with the next offer.
-fn joined(set: PartSet, text: &str) -> Option<Snapshot> {
+// A damaged part could produce a state that never existed, or one with a wrong
+// offset. The digest covers the whole text, so such a set is dropped; the next
+// offer sends the parts again.
+fn join(set: SnapshotId, text: &str) -> Option<Snapshot> {
     if rapidhash_v3(text.as_bytes()) != set.digest {
         return None;
     }
@@ -217,16 +217,16 @@
     (snapshot.next == set.next).then_some(snapshot)
 }
 
-/// Which parts of recent snapshots a reader has seen, without their text.
+/// The parts of recent snapshots that a reader has seen, without their text.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Tally {
-    sets: BTreeMap<PartSet, BTreeSet<u32>>,
+pub(super) struct SeenParts {
+    sets: BTreeMap<SnapshotId, BTreeSet<u32>>,
 }
 
-impl Tally {
-    /// Counts a part and tells whether its snapshot is now whole.
-    pub(super) fn saw(&mut self, part: &Part) -> bool {
-        if !part.is_sound() {
+impl SeenParts {
+    /// Adds a part and returns whether its snapshot is now complete.
+    pub(super) fn add(&mut self, part: &SnapshotPart) -> bool {
+        if !part.is_valid() {
             return false;
         }
         let seen = self.sets.entry(part.set).or_default();
@@ -235,7 +235,7 @@
             self.sets.remove(&part.set);
             return true;
         }
-        while self.sets.len() > SETS_MAX {
+        while self.sets.len() > INCOMPLETE_SNAPSHOTS_MAX {
             self.sets.pop_first();
         }
         false
--- a/lib/src/journal/route.rs
+++ b/lib/src/journal/route.rs
@@ -1,4 +1,4 @@
-//! From a chain's decisions to the journal's.
+//! Conversion of a chain's decisions to journal entries.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use crate::time::Time;
 
 impl Accepted {
-    /// Reads what the journal keeps out of an accepted request.
+    /// Extracts the recorded fields from the specification of a request.
     #[must_use]
-    pub fn of(now: Time, spec: &RequestSpec, predicted: Option<Duration>) -> Self {
+    pub fn from_spec(now: Time, spec: &RequestSpec, predicted: Option<Duration>) -> Self {
         Self {
             id: spec.request,
             account: spec.account.clone(),
@@ -35,8 +35,8 @@
 }
 
 impl Journal {
-    /// Records a decision of a request's chain, if it sends an attempt.
-    pub fn on_route(&mut self, now: Time, spec: &RequestSpec, decision: &chain::Decision) {
+    /// Records a chain's decision, if it sends an attempt.
+    pub fn on_chain_decision(&mut self, now: Time, spec: &RequestSpec, decision: &chain::Decision) {
         let chain::Decision::Chosen {
             request,
             stage,
@@ -54,8 +54,8 @@
         };
         let others = others.iter().flatten();
         let running = self.get(*request).is_some_and(|r| {
-            let same = |a: &super::Attempt| a.decision.stage == stage.name && a.end.is_none();
-            r.attempts.iter().any(same)
+            let same_stage = |a: &super::Attempt| a.decision.stage == stage.name && a.end.is_none();
+            r.attempts.iter().any(same_stage)
         });
         let decision = Decision {
             stage: stage.name.clone(),
--- a/lib/src/log/follower.rs
+++ b/lib/src/log/follower.rs
@@ -10,33 +10,33 @@
 use crate::time::Time;
 use crate::units::Bytes;
 
-/// How long the service may hold a read that finds nothing.
-const WAIT: Duration = Duration::from_secs(20);
+/// How long the service may hold a read until a record exists.
+const READ_WAIT: Duration = Duration::from_secs(20);
 
-/// The pause after a read that found nothing.
+/// The pause after an empty read.
 const EMPTY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The most bytes of one read.
-const LIMIT: Bytes = Bytes(1024 * 1024);
+/// The maximum number of bytes in one read.
+const READ_BYTES_MAX: Bytes = Bytes(1024 * 1024);
 
-/// What a read brought.
+/// The outcome of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Followed {
+pub enum FollowOutcome {
     /// The records, each with its offset.
     Records {
         /// The records, in offset order.
         records: Vec<(Offset, Vec<u8>)>,
-        /// The lowest offset that retention left.
+        /// The lowest retained offset.
         first: Offset,
         /// The offset after the newest record.
         end: Offset,
     },
-    /// Retention took what comes next; reading goes on at `first`.
+    /// Retention has removed the next records; reading continues at `first`.
     Behind {
-        /// The lowest offset that is left.
+        /// The lowest retained offset.
         first: Offset,
     },
-    /// Nothing, for lack of an answer.
+    /// The read failed or got no response.
     Failed,
 }
 
@@ -45,23 +45,23 @@
 pub struct Follower {
     topic: Topic,
     next: Offset,
-    flying: Option<Offset>,
-    resume: Time,
+    in_flight: Option<Offset>,
+    next_attempt: Time,
     backoff: Backoff,
-    heard: Option<Time>,
+    last_response: Option<Time>,
 }
 
 impl Follower {
-    /// Starts at an offset, with a seed for the pauses' jitter.
+    /// Creates a follower at an offset, with a seed for the backoff's jitter.
     #[must_use]
     pub fn new(topic: Topic, next: Offset, seed: u64) -> Self {
         Self {
             topic,
             next,
-            flying: None,
-            resume: Time::ZERO,
+            in_flight: None,
+            next_attempt: Time::ZERO,
             backoff: Backoff::new(seed),
-            heard: None,
+            last_response: None,
         }
     }
 
@@ -71,24 +71,24 @@
         self.next
     }
 
-    /// Returns when the service last answered a read, if ever.
+    /// Returns the time of the last successful response, if any.
     #[must_use]
-    pub const fn heard(&self) -> Option<Time> {
-        self.heard
+    pub const fn last_response(&self) -> Option<Time> {
+        self.last_response
     }
 
-    /// Reads on from an offset, after a snapshot or a peer brought the state there.
+    /// Continues at an offset to which a snapshot or a peer has advanced the state.
     pub const fn seek(&mut self, next: Offset) {
         self.next = next;
     }
 
-    /// Returns when [`Self::poll`] may next have a read.
+    /// Returns when [`Self::poll`] may next return a read.
     #[must_use]
     pub const fn wake(&self) -> Time {
-        if self.flying.is_some() {
+        if self.in_flight.is_some() {
             return Time::NEVER;
         }
-        self.resume
+        self.next_attempt
     }
 
     /// Returns the next read, if one is due.
@@ -96,57 +96,57 @@
         if self.wake() > now {
             return None;
         }
-        self.flying = Some(self.next);
+        self.in_flight = Some(self.next);
         Some(Read {
             topic: self.topic.clone(),
             from: self.next,
-            wait: WAIT,
-            limit: LIMIT,
+            wait: READ_WAIT,
+            limit: READ_BYTES_MAX,
         })
     }
 
-    /// Takes the end of the read under way.
-    pub fn answered(&mut self, now: Time, end: ReadEnd) -> Followed {
-        let from = self.flying.take().unwrap_or(self.next);
+    /// Handles the end of the read in flight.
+    pub fn on_read_end(&mut self, now: Time, end: ReadEnd) -> FollowOutcome {
+        let from = self.in_flight.take().unwrap_or(self.next);
         match end {
             ReadEnd::Records {
                 first,
                 end,
                 records,
             } => {
-                self.answer_came(now);
+                self.on_response(now);
                 let offsets = (from.0..).map(Offset);
                 let records: Vec<_> = offsets.zip(records).collect();
-                // After a seek while the read was under way, the seek stands:
-                // the fold sorts out what is old or leaves a gap.
+                // A seek during the read takes precedence; the fold handles
+                // records that are old or leave a gap.
                 if let (Some((last, _)), true) = (records.last(), self.next == from) {
                     self.next = last.next();
                 }
-                // A service that doesn't hold reads would be asked without end.
+                // A service that doesn't hold reads would be polled in a tight loop.
                 if records.is_empty() {
-                    self.resume = now + EMPTY_PAUSE;
+                    self.next_attempt = now + EMPTY_PAUSE;
                 }
-                Followed::Records {
+                FollowOutcome::Records {
                     records,
                     first,
                     end,
                 }
             }
             ReadEnd::Gone { first } => {
-                self.answer_came(now);
+                self.on_response(now);
                 self.next = self.next.max(first);
-                Followed::Behind { first }
+                FollowOutcome::Behind { first }
             }
             ReadEnd::Failed => {
-                self.resume = now + self.backoff.failed();
-                Followed::Failed
+                self.next_attempt = now + self.backoff.failed();
+                FollowOutcome::Failed
             }
         }
     }
 
-    const fn answer_came(&mut self, now: Time) {
+    const fn on_response(&mut self, now: Time) {
         self.backoff.succeeded();
-        self.resume = now;
-        self.heard = Some(now);
+        self.next_attempt = now;
+        self.last_response = Some(now);
     }
 }
--- a/lib/src/log/publisher.rs
+++ b/lib/src/log/publisher.rs
@@ -1,4 +1,4 @@
-//! Appends records in batches and repeats what was not answered.
+//! Appends records in batches and retries unanswered appends.
 
 use std::collections::VecDeque;
 
@@ -11,67 +11,67 @@
 use crate::record::RecordId;
 use crate::time::Time;
 
-/// The most records of one append.
+/// The maximum number of records in one append.
 pub const BATCH_RECORDS: usize = 64;
 
-/// The most bytes of one append, unless one record alone is larger.
+/// The maximum number of bytes in one append, unless a single record is larger.
 pub const BATCH_BYTES: usize = 256 * 1024;
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct QueuedRecord {
     id: RecordId,
     bytes: Vec<u8>,
 }
 
-/// The records of one process on their way to one topic.
+/// The queue of records that one process appends to one topic.
 ///
-/// One append is under way at a time, so that records keep their order. An
-/// append without an answer is repeated with the same records: folds know a
-/// record by its id, so a second copy has no effect. A record is not accepted
-/// when its append was answered, but when the fold has read it back.
+/// Only one append is in flight at a time, which preserves the order of records.
+/// An unanswered append is retried with the same records: folds identify a
+/// record by its id, so a second copy has no effect. A record is accepted not
+/// when its append succeeds, but when the fold has read it back.
 #[derive(Debug, Clone)]
 pub struct Publisher {
     topic: Topic,
-    queue: VecDeque<Waiting>,
-    flying: usize,
-    resume: Time,
+    queue: VecDeque<QueuedRecord>,
+    in_flight: usize,
+    next_attempt: Time,
     backoff: Backoff,
 }
 
 impl Publisher {
-    /// Starts with nothing to append, with a seed for the pauses' jitter.
+    /// Creates an empty queue, with a seed for the backoff's jitter.
     #[must_use]
     pub fn new(topic: Topic, seed: u64) -> Self {
         Self {
             topic,
             queue: VecDeque::new(),
-            flying: 0,
-            resume: Time::ZERO,
+            in_flight: 0,
+            next_attempt: Time::ZERO,
             backoff: Backoff::new(seed),
         }
     }
 
     /// Queues a record.
     pub fn submit(&mut self, record: &Record) {
-        self.queue.push_back(Waiting {
+        self.queue.push_back(QueuedRecord {
             id: record.id,
             bytes: record.encode(),
         });
     }
 
-    /// Returns the number of records that are queued or under way.
+    /// Returns the number of records that are queued or in flight.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns when [`Self::poll`] may next have an append.
+    /// Returns when [`Self::poll`] may next return an append.
     #[must_use]
     pub fn wake(&self) -> Time {
-        if self.queue.is_empty() || self.flying > 0 {
+        if self.queue.is_empty() || self.in_flight > 0 {
             return Time::NEVER;
         }
-        self.resume
+        self.next_attempt
     }
 
     /// Returns the next append, if one is due.
@@ -79,8 +79,8 @@
         if self.wake() > now {
             return None;
         }
-        self.flying = self.batch_len();
-        let batch = self.queue.iter().take(self.flying);
+        self.in_flight = self.batch_len();
+        let batch = self.queue.iter().take(self.in_flight);
         Some(Append {
             topic: self.topic.clone(),
             records: batch.map(|w| w.bytes.clone()).collect(),
@@ -96,35 +96,36 @@
         fitting.count().max(1)
     }
 
-    /// Takes the end of the append under way, and returns where it stands.
-    pub fn answered(&mut self, now: Time, end: &AppendEnd) -> Option<Offset> {
-        let flying = std::mem::take(&mut self.flying);
+    /// Handles the end of the append in flight, and returns its offset on success.
+    pub fn on_append_end(&mut self, now: Time, end: &AppendEnd) -> Option<Offset> {
+        let in_flight = std::mem::take(&mut self.in_flight);
         match end {
             AppendEnd::Done { offset } => {
-                self.queue.drain(..flying.min(self.queue.len()));
+                self.queue.drain(..in_flight.min(self.queue.len()));
                 self.backoff.succeeded();
-                self.resume = now;
+                self.next_attempt = now;
                 Some(*offset)
             }
             AppendEnd::NotDone { retry_after } => {
                 let pause = self.backoff.failed();
-                self.resume = now + retry_after.map_or(pause, |asked| asked.max(pause));
+                self.next_attempt =
+                    now + retry_after.map_or(pause, |requested| requested.max(pause));
                 None
             }
             AppendEnd::Unanswered => {
-                self.resume = now + self.backoff.failed();
+                self.next_attempt = now + self.backoff.failed();
                 None
             }
         }
     }
 
-    /// Drops a record that was read back, so that it is not repeated.
-    pub fn settled(&mut self, id: RecordId) {
-        // The batch under way is a prefix of the queue; its length must follow.
+    /// Removes a record that was read back, so that it is not appended again.
+    pub fn on_read_back(&mut self, id: RecordId) {
+        // The batch in flight is a prefix of the queue, so its length shrinks too.
         if let Some(index) = self.queue.iter().position(|w| w.id == id) {
             self.queue.remove(index);
-            if index < self.flying {
-                self.flying -= 1;
+            if index < self.in_flight {
+                self.in_flight -= 1;
             }
         }
     }
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Who is there: failure detection, the choice of peers, the membership view.
+//! Failure detection, peer selection and the membership view.
 //!
-//! The host list lags and settings grow old, so both are hints: they tell whom
-//! to dial, never who lives. Only a peer's own heartbeats make it alive.
+//! The host list lags and settings go stale, so both are hints: they determine
+//! which addresses to dial. Only a peer's own heartbeats make it alive.
 
 mod detector;
 mod dial;
@@ -12,24 +12,24 @@
 mod view;
 
 pub use detector::Detector;
-pub use detector::Heard;
+pub use detector::HeartbeatVerdict;
 pub use detector::LinkEnd;
 pub use detector::PeerState;
-pub use detector::Timing;
+pub use detector::TimeoutBounds;
 pub use event::Action;
 pub use event::Event;
 pub use event::LinkId;
 pub use event::Refusal;
 pub use pace::Pace;
-pub use peer::Beat;
-pub use peer::Listed;
+pub use peer::ListedNode;
 pub use peer::NodeKind;
+pub use peer::PeerHeartbeat;
 pub use peer::Profile;
 pub use subset::Candidate;
-pub use subset::Change;
-pub use subset::Place;
+pub use subset::NodeLocation;
 pub use subset::Subset;
-pub use subset::choose;
+pub use subset::SubsetChange;
+pub use subset::choose_peers;
 pub use subset::degree;
 pub use view::Member;
 pub use view::View;
--- a/lib/src/membership/subset.rs
+++ b/lib/src/membership/subset.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom: a bounded, stable choice spread over failure domains.
+//! Subsetting: a bounded, stable choice of peers spread over failure domains.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,18 +12,18 @@
 use crate::ids::Region;
 use crate::time::Time;
 
-/// Seeds the ranks; fixed, so that all releases choose alike.
+/// The hash seed of ranks; fixed, so that all releases choose the same peers.
 const RANK_SEED: RapidSecrets = RapidSecrets::seed(0x6d65_6d62_6572);
 
-/// The fewest links to one pool, so that losing a failure domain leaves some.
+/// The minimum number of links to one pool, so that some survive the loss of a failure domain.
 pub const DEGREE_MIN: usize = 3;
 
-/// The links from routers that an agent should have, in expectation.
+/// The expected number of links from routers to one agent.
 pub const IN_DEGREE: usize = 32;
 
-/// Where a node stands.
+/// The location of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct NodeLocation {
     /// The node.
     pub node: NodeId,
     /// Its failure domain.
@@ -32,59 +32,63 @@
     pub region: Region,
 }
 
-/// A node that may be chosen.
+/// A candidate for the subset.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Where it stands.
-    pub place: Place,
-    /// Whether it may get a new link now.
+    /// Its location.
+    pub location: NodeLocation,
+    /// Whether it accepts a new link now.
     pub usable: bool,
 }
 
 /// Returns how many of `pool` agents a router links to.
 ///
-/// All, while routers are few. With more routers the links of an agent stay at
-/// `IN_DEGREE` in expectation, but for pools so small that `DEGREE_MIN`
-/// binds; there the heartbeat pace bounds the bytes instead.
+/// With few routers, this is the whole pool. With more, an agent has
+/// `IN_DEGREE` links in expectation, except in pools so small that
+/// `DEGREE_MIN` applies; there the heartbeat pace bounds the bytes instead.
 #[must_use]
 pub fn degree(pool: usize, routers: usize) -> usize {
     let wanted = (pool * IN_DEGREE).div_ceil(routers.max(1));
     wanted.max(DEGREE_MIN).min(pool)
 }
 
-/// Returns the nodes that `me` should be linked to.
+/// Returns the nodes to which `me` should be linked.
 ///
-/// Ranks by rendezvous hashing: nodes of the own region first, and within it a
-/// hash of the pair. No failure domain gets more than half while others have
-/// candidates. A node that comes or goes changes only the sets in which it
+/// Ranks by rendezvous hashing: nodes of the same region first, then by a hash
+/// of the pair. No failure domain gets more than half while others have
+/// candidates. A node that joins or leaves changes only the subsets in which it
 /// ranks.
 #[must_use]
-pub fn choose(me: &Place, candidates: &[Candidate], degree: usize) -> BTreeSet<NodeId> {
-    let mut ranked: Vec<&Place> = usable(candidates).collect();
+pub fn choose_peers(
+    me: &NodeLocation,
+    candidates: &[Candidate],
+    degree: usize,
+) -> BTreeSet<NodeId> {
+    let mut ranked: Vec<&NodeLocation> = usable(candidates).collect();
     ranked.sort_by_cached_key(|p| (p.region != me.region, rank(&me.node, &p.node)));
-    let share = degree.div_ceil(2);
-    let mut taken: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
+    let domain_max = degree.div_ceil(2);
+    let mut per_domain: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
     let mut chosen = BTreeSet::new();
-    let mut passed = Vec::new();
-    for place in ranked {
+    let mut skipped = Vec::new();
+    for location in ranked {
         if chosen.len() == degree {
             return chosen;
         }
-        let count = taken.entry(&place.domain).or_default();
-        if *count == share {
-            passed.push(place);
+        let count = per_domain.entry(&location.domain).or_default();
+        if *count == domain_max {
+            skipped.push(location);
             continue;
         }
         *count += 1;
-        chosen.insert(place.node.clone());
+        chosen.insert(location.node.clone());
     }
     let missing = degree - chosen.len().min(degree);
-    chosen.extend(passed.iter().take(missing).map(|p| p.node.clone()));
+    chosen.extend(skipped.iter().take(missing).map(|p| p.node.clone()));
     chosen
 }
 
-fn usable(candidates: &[Candidate]) -> impl Iterator<Item = &Place> {
-    candidates.iter().filter(|c| c.usable).map(|c| &c.place)
+fn usable(candidates: &[Candidate]) -> impl Iterator<Item = &NodeLocation> {
+    candidates.iter().filter(|c| c.usable).map(|c| &c.location)
 }
 
 fn rank(from: &NodeId, to: &NodeId) -> u64 {
@@ -92,24 +96,24 @@
     rapidhash_v3_seeded(pair.as_bytes(), &RANK_SEED)
 }
 
-/// One step towards the chosen set.
+/// One step towards the chosen subset.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum SubsetChange {
     /// Link to the node.
     Add(NodeId),
-    /// Drop the link, once its calls are done.
+    /// Drop the link once its calls have finished.
     Drop(NodeId),
 }
 
-/// The links of one node to one group, moved gradually.
+/// The links of one node to one group, rebalanced gradually.
 #[derive(Debug, Clone, Default)]
 pub struct Subset {
     links: BTreeSet<NodeId>,
-    moved: Time,
+    last_shift: Time,
 }
 
 impl Subset {
-    /// Returns the nodes linked to.
+    /// Returns the linked nodes.
     #[must_use]
     pub const fn links(&self) -> &BTreeSet<NodeId> {
         &self.links
@@ -117,19 +121,19 @@
 
     /// Returns the changes due now and applies them.
     ///
-    /// Lost links are replaced at once. A link that still works but is no
-    /// longer chosen goes only after its successor was added, one each `period`:
-    /// otherwise a new rack would make every router redial at once and empty
-    /// every prefix cache's affinity together.
+    /// Lost links are replaced immediately. A working link that is no longer
+    /// chosen is dropped only after its successor is added, one per `period`:
+    /// otherwise a new rack would make every router redial at the same time and
+    /// lose its prefix-cache affinity.
     pub fn plan(
         &mut self,
         now: Time,
-        me: &Place,
+        me: &NodeLocation,
         candidates: &[Candidate],
         degree: usize,
         period: Duration,
-    ) -> Vec<Change> {
-        let target = choose(me, candidates, degree);
+    ) -> Vec<SubsetChange> {
+        let target = choose_peers(me, candidates, degree);
         let usable: BTreeSet<&NodeId> = usable(candidates).map(|p| &p.node).collect();
         let lost: Vec<NodeId> = self
             .links
@@ -140,18 +144,18 @@
         let mut changes = Vec::new();
         for node in lost {
             self.links.remove(&node);
-            changes.push(Change::Drop(node));
+            changes.push(SubsetChange::Drop(node));
         }
         let missing: Vec<NodeId> = target.difference(&self.links).cloned().collect();
         let room = target.len().saturating_sub(self.links.len());
         for node in missing.iter().take(room) {
             self.links.insert(node.clone());
-            changes.push(Change::Add(node.clone()));
+            changes.push(SubsetChange::Add(node.clone()));
         }
-        if now.since(self.moved) >= period
+        if now.since(self.last_shift) >= period
             && self.shift(&missing[room.min(missing.len())..], &target, &mut changes)
         {
-            self.moved = now;
+            self.last_shift = now;
         }
         changes
     }
@@ -160,7 +164,7 @@
         &mut self,
         missing: &[NodeId],
         target: &BTreeSet<NodeId>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<SubsetChange>,
     ) -> bool {
         let surplus = self.links.difference(target).next().cloned();
         let Some(old) = surplus else {
@@ -168,10 +172,10 @@
         };
         if let Some(new) = missing.first() {
             self.links.insert(new.clone());
-            changes.push(Change::Add(new.clone()));
+            changes.push(SubsetChange::Add(new.clone()));
         }
         self.links.remove(&old);
-        changes.push(Change::Drop(old));
+        changes.push(SubsetChange::Drop(old));
         true
     }
 }
--- a/lib/src/membership/view/mod.rs
+++ b/lib/src/membership/view/mod.rs
@@ -10,19 +10,19 @@
 
 pub use member::Member;
 
-use super::detector::Heard;
+use super::detector::HeartbeatVerdict;
 use super::detector::LinkEnd;
 use super::detector::PeerState;
-use super::detector::Timing;
+use super::detector::TimeoutBounds;
 use super::dial::Dials;
 use super::event::Action;
 use super::event::Event;
 use super::event::LinkId;
 use super::event::Refusal;
 use super::pace::Pace;
-use super::peer::Beat;
-use super::peer::Listed;
+use super::peer::ListedNode;
 use super::peer::NodeKind;
+use super::peer::PeerHeartbeat;
 use super::peer::Profile;
 use super::subset::Subset;
 use crate::ids::Incarnation;
@@ -30,35 +30,35 @@
 use crate::ids::PoolName;
 use crate::time::Time;
 
-/// How late a wake-up must be to count as a pause of this process.
-const PAUSE_MIN: Duration = Duration::from_millis(300);
+/// The minimum delay of a wake-up that counts as a pause of this process.
+const WAKE_DELAY_MIN: Duration = Duration::from_millis(300);
 
-/// How long nobody is judged by silence after a pause.
-const PAUSE_CALM: Duration = Duration::from_millis(700);
+/// How long after a pause no peer is judged by its silence.
+const SILENCE_GRACE: Duration = Duration::from_millis(700);
 
 /// The settings of a view.
 #[derive(Debug, Clone, Copy)]
 pub struct ViewSettings {
-    /// The bounds of timeouts.
-    pub timing: Timing,
+    /// The bounds of the failure detector's time-outs.
+    pub timeouts: TimeoutBounds,
     /// The pace of heartbeats.
     pub pace: Pace,
-    /// Links to other routers that a router dials.
+    /// The number of other routers to which a router links.
     pub routers: usize,
-    /// The most links held, dialed and accepted.
+    /// The maximum number of links, dialed and accepted.
     pub links_max: usize,
-    /// The time between two steps of rebalancing in one group.
+    /// The interval between rebalancing steps in one group.
     pub shift_period: Duration,
-    /// The time between two probes of nodes that aren't linked to.
+    /// The interval between probes of nodes without a link.
     pub probe_period: Duration,
-    /// How long a peer that was full isn't asked again.
+    /// How long a peer that was full isn't dialed again.
     pub full_pause: Duration,
 }
 
 impl Default for ViewSettings {
     fn default() -> Self {
         Self {
-            timing: Timing::default(),
+            timeouts: TimeoutBounds::default(),
             pace: Pace::default(),
             routers: 6,
             links_max: 512,
@@ -81,26 +81,26 @@
     Agents(Option<PoolName>),
 }
 
-/// When each kind of work is next due.
+/// The next run of each periodic task.
 ///
-/// Kept apart, since a heartbeat arrives every few milliseconds and must not
-/// cost a pass over all members.
+/// Separate timers, since a heartbeat arrives every few milliseconds and must
+/// not cost a pass over all members.
 #[derive(Debug, Clone, Copy, Default)]
-struct Due {
-    judge: Time,
+struct Timers {
+    check: Time,
     plan: Time,
     dial: Time,
     probe: Time,
-    beat: Time,
+    heartbeat: Time,
 }
 
-impl Due {
-    fn first(&self) -> Time {
-        self.judge.min(self.plan).min(self.dial).min(self.beat)
+impl Timers {
+    fn earliest(&self) -> Time {
+        self.check.min(self.plan).min(self.dial).min(self.heartbeat)
     }
 }
 
-/// The members that one node knows, and its links to them.
+/// The members known to one node, and its links to them.
 #[derive(Debug, Clone)]
 pub struct View {
     me: Profile,
@@ -114,14 +114,14 @@
     draining: bool,
     leaving: bool,
     changed: bool,
-    due: Due,
-    /// Until then nobody is judged by silence.
-    calm: Time,
+    timers: Timers,
+    /// No peer is judged by its silence before this time.
+    grace_until: Time,
     wake: Time,
 }
 
 impl View {
-    /// Starts a view that knows nobody.
+    /// Creates a view without members.
     #[must_use]
     pub fn new(me: Profile, incarnation: Incarnation, settings: ViewSettings) -> Self {
         Self {
@@ -136,8 +136,8 @@
             draining: false,
             leaving: false,
             changed: true,
-            due: Due::default(),
-            calm: Time::ZERO,
+            timers: Timers::default(),
+            grace_until: Time::ZERO,
             wake: Time::ZERO,
         }
     }
@@ -148,41 +148,42 @@
         &self.members
     }
 
-    /// Returns how many links stand.
+    /// Returns the number of established links.
     #[must_use]
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
-    /// Returns the interval between heartbeats at the present count of links.
+    /// Returns the heartbeat interval for the current number of links.
     #[must_use]
     pub fn interval(&self) -> Duration {
         self.settings.pace.interval(self.links.len())
     }
 
-    /// Counts the linked peers that may still send new work despite the drain.
+    /// Returns the number of linked peers that may still send new work despite
+    /// the drain.
     ///
-    /// A peer that echoes the first draining heartbeat has read it, and a link
-    /// keeps its order, so all that the peer sent before is here by then.
+    /// A peer that echoes the first draining heartbeat has read it. Links are
+    /// ordered, so everything that the peer sent earlier has arrived by then.
     #[must_use]
-    pub fn unaware(&self) -> usize {
+    pub fn unaware_of_drain(&self) -> usize {
         let unaware = |m: &&Member| {
-            let told = m.told.is_some_and(|t| m.detector.echoed() >= t);
-            m.link.is_some() && !m.is_gone() && !told
+            let informed = m.drain_seq.is_some_and(|t| m.detector.echoed_seq() >= t);
+            m.link.is_some() && !m.is_gone() && !informed
         };
         self.members.values().filter(unaware).count()
     }
 
-    /// Takes in an event and returns what to do.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let mut out = Vec::new();
         match event {
             Event::Seeds(seeds) => {
                 self.seeds = seeds.into_iter().collect();
                 self.changed = true;
             }
-            Event::HostList(listed) => self.on_list(now, listed, &mut out),
+            Event::HostList(listed) => self.on_host_list(now, listed, &mut out),
             Event::LinkUp {
                 link,
                 dialed,
@@ -190,15 +191,17 @@
                 incarnation,
             } => {
                 let node = profile.node.clone();
-                self.meet(&profile);
+                self.ensure_member(&profile);
                 let fresh = Link { node, dialed };
-                if self.on_link(now, link, fresh, incarnation, &mut out) {
+                if self.on_link_up(now, link, fresh, incarnation, &mut out) {
                     self.on_hello(now, profile);
                 }
             }
             Event::LinkDown { link, end } => self.on_link_down(now, link, end, &mut out),
             Event::DialFailed { address, end } => self.on_dial_failed(now, address, end, &mut out),
-            Event::Heard { link, beat } => self.on_beat(now, link, beat, &mut out),
+            Event::Heartbeat { link, heartbeat } => {
+                self.on_heartbeat(now, link, heartbeat, &mut out);
+            }
             Event::Goodbye { link, incarnation } => {
                 self.on_goodbye(now, link, incarnation, &mut out);
             }
@@ -211,19 +214,19 @@
         out
     }
 
-    /// Holds judgement after a pause of this very process.
+    /// Suspends time-outs after a pause of this process.
     ///
-    /// Heartbeats that came meanwhile still wait to be read. Judged before
-    /// them, every peer would look silent, and the node that slept would refuse
-    /// all work for want of endpoints.
-    fn notice_pause(&mut self, now: Time) {
-        let slept = self.wake > Time::ZERO && now.since(self.wake) > PAUSE_MIN;
-        if slept {
-            self.calm = now + PAUSE_CALM;
+    /// Heartbeats that arrived during the pause are still unread. Without the
+    /// grace period every peer would look silent, and this node would refuse
+    /// all work for lack of endpoints.
+    fn detect_pause(&mut self, now: Time) {
+        let paused = self.wake > Time::ZERO && now.since(self.wake) > WAKE_DELAY_MIN;
+        if paused {
+            self.grace_until = now + SILENCE_GRACE;
         }
     }
 
-    /// Applies `change` to a member and reports a change of its state.
+    /// Applies `change` to a member and emits an action if its state changes.
     fn update(&mut self, node: &NodeId, out: &mut Vec<Action>, change: impl FnOnce(&mut Member)) {
         let Some(member) = self.members.get_mut(node) else {
             return;
@@ -231,7 +234,7 @@
         let from = member.state();
         change(member);
         let to = member.state();
-        self.due.judge = self.due.judge.min(member.detector.next_check());
+        self.timers.check = self.timers.check.min(member.detector.next_check());
         if from != to {
             self.changed = true;
             out.push(Action::StateChanged {
@@ -242,7 +245,7 @@
         }
     }
 
-    fn on_list(&mut self, now: Time, listed: Vec<Listed>, out: &mut Vec<Action>) {
+    fn on_host_list(&mut self, now: Time, listed: Vec<ListedNode>, out: &mut Vec<Action>) {
         let named: BTreeSet<NodeId> = listed.iter().map(|l| l.profile.node.clone()).collect();
         let unnamed: Vec<NodeId> = self
             .members
@@ -254,13 +257,13 @@
             self.update(&node, out, |m| {
                 m.listed = false;
                 m.leaving = false;
-                m.detector.listed(now, false);
+                m.detector.set_listed(now, false);
             });
         }
         let me = self.me.host.clone();
         let leaving = listed.iter().any(|l| l.profile.host == me && l.leaving);
-        for hint in listed {
-            self.on_hint(now, hint, out);
+        for entry in listed {
+            self.on_listed_node(now, entry, out);
         }
         if leaving != self.leaving {
             self.leaving = leaving;
@@ -269,47 +272,47 @@
         self.changed = true;
     }
 
-    fn on_hint(&mut self, now: Time, hint: Listed, out: &mut Vec<Action>) {
-        let node = hint.profile.node.clone();
+    fn on_listed_node(&mut self, now: Time, entry: ListedNode, out: &mut Vec<Action>) {
+        let node = entry.profile.node.clone();
         if node == self.me.node {
             return;
         }
-        let timing = self.settings.timing;
-        let profile = hint.profile.clone();
+        let timeouts = self.settings.timeouts;
+        let profile = entry.profile.clone();
         self.members
             .entry(node.clone())
-            .or_insert_with(|| Member::new(profile, timing));
-        self.update(&node, out, |m| m.hint(now, hint));
+            .or_insert_with(|| Member::new(profile, timeouts));
+        self.update(&node, out, |m| m.apply_listed(now, entry));
     }
 
-    fn meet(&mut self, profile: &Profile) {
+    fn ensure_member(&mut self, profile: &Profile) {
         if profile.node == self.me.node {
             return;
         }
-        let timing = self.settings.timing;
-        let fresh = || Member::new(profile.clone(), timing);
+        let timeouts = self.settings.timeouts;
+        let fresh = || Member::new(profile.clone(), timeouts);
         self.members
             .entry(profile.node.clone())
             .or_insert_with(fresh);
     }
 
-    /// Believes a hello, which only a link that stays may bring.
+    /// Applies a hello, on links that are kept only.
     ///
-    /// The hello of an older process under the same name would otherwise lead
+    /// The hello of an older process with the same name would otherwise direct
     /// all later dials to that process's address.
     fn on_hello(&mut self, now: Time, profile: Profile) {
         let Some(member) = self.members.get_mut(&profile.node) else {
             return;
         };
-        member.probed = now;
+        member.last_probe = now;
         if member.profile != profile {
             member.profile = profile;
             self.changed = true;
         }
     }
 
-    /// Takes in a link and tells whether it stays.
-    fn on_link(
+    /// Handles a new link and returns whether it is kept.
+    fn on_link_up(
         &mut self,
         now: Time,
         id: LinkId,
@@ -322,7 +325,7 @@
         }
         let node = link.node.clone();
         if node == self.me.node {
-            // A seed may name this very node, or a second process has its name.
+            // A seed names this node itself, or another process uses its name.
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::SecondLink,
@@ -341,34 +344,37 @@
         };
         let known = member.incarnation();
         let same = member.link.filter(|_link| known == Some(incarnation));
-        if same.is_some_and(|old| !self.prefers(&link, old)) {
+        if same.is_some_and(|old| !self.replaces(&link, old)) {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::SecondLink,
             });
             return false;
         }
-        let mut heard = Heard::Superseded;
-        self.update(&node, out, |m| heard = m.detector.link_up(now, incarnation));
-        if heard == Heard::Superseded {
+        let mut verdict = HeartbeatVerdict::Superseded;
+        self.update(&node, out, |m| {
+            verdict = m.detector.on_link_up(now, incarnation);
+        });
+        if verdict == HeartbeatVerdict::Superseded {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::Superseded,
             });
             return false;
         }
-        self.replace_link(now, id, link, heard, out);
+        self.replace_link(now, id, link, verdict, out);
         true
     }
 
-    /// Tells whether a new link to a life should replace the old one.
+    /// Returns whether a new link to an incarnation should replace the old one.
     ///
-    /// Two nodes that dial each other at once would otherwise both keep, or
-    /// both end, a different link. The one dialed by the lesser name stays; of
-    /// two by the same dialer the newer, as the older one may be half open.
-    fn prefers(&self, new: &Link, old: LinkId) -> bool {
-        // A link that brings nothing may be half open: its peer has dialed anew
-        // because it gave that one up, and would be refused for good.
+    /// Two nodes that dial each other at the same time could otherwise each keep,
+    /// or each close, a different link. The link dialed by the node with the
+    /// lower name wins; of two by the same dialer the newer, as the older one may
+    /// be half open.
+    fn replaces(&self, new: &Link, old: LinkId) -> bool {
+        // A silent link may be half open: the peer has abandoned it and dials
+        // again. Keeping the old link would refuse that peer for good.
         let silent = |m: &Member| m.state() != PeerState::Alive;
         if self.members.get(&new.node).is_some_and(silent) {
             return true;
@@ -385,26 +391,26 @@
         now: Time,
         id: LinkId,
         link: Link,
-        heard: Heard,
+        verdict: HeartbeatVerdict,
         out: &mut Vec<Action>,
     ) {
         let node = link.node.clone();
         self.links.insert(id, link);
-        self.due.beat = now;
-        self.due.dial = Time::ZERO;
+        self.timers.heartbeat = now;
+        self.timers.dial = Time::ZERO;
         let mut old = None;
         self.update(&node, out, |m| {
             old = m.link.replace(id);
-            m.seq = 0;
-            m.told = None;
-            m.due = now;
+            m.sent_seq = 0;
+            m.drain_seq = None;
+            m.next_heartbeat = now;
             m.draining = false;
         });
         let Some(old) = old else {
             return;
         };
         self.links.remove(&old);
-        let restarted = matches!(heard, Heard::Restarted { .. });
+        let restarted = matches!(verdict, HeartbeatVerdict::Restarted { .. });
         let reason = if restarted {
             Refusal::Superseded
         } else {
@@ -420,7 +426,7 @@
         self.update(&link.node, out, |m| {
             if m.link == Some(id) {
                 m.link = None;
-                m.detector.link_down(now, end);
+                m.detector.on_link_down(now, end);
             }
         });
         self.changed = true;
@@ -434,7 +440,7 @@
         out: &mut Vec<Action>,
     ) {
         self.dials.failed(now, address);
-        self.due.dial = Time::ZERO;
+        self.timers.dial = Time::ZERO;
         let unlinked = |m: &&Member| m.profile.address == address && m.link.is_none();
         let nodes: Vec<NodeId> = self
             .members
@@ -443,27 +449,33 @@
             .map(|m| m.profile.node.clone())
             .collect();
         for node in nodes {
-            self.update(&node, out, |m| m.detector.link_down(now, end));
+            self.update(&node, out, |m| m.detector.on_link_down(now, end));
         }
     }
 
-    fn on_beat(&mut self, now: Time, id: LinkId, beat: Beat, out: &mut Vec<Action>) {
+    fn on_heartbeat(
+        &mut self,
+        now: Time,
+        id: LinkId,
+        heartbeat: PeerHeartbeat,
+        out: &mut Vec<Action>,
+    ) {
         let Some(node) = self.links.get(&id).map(|l| l.node.clone()) else {
             return;
         };
-        let mut heard = Heard::Repeated;
+        let mut verdict = HeartbeatVerdict::Repeated;
         let mut drained = false;
         let longest = self.settings.pace.longest;
         self.update(&node, out, |m| {
-            heard = m.detector.heard(now, beat);
-            if heard == Heard::Fresh {
-                drained = m.draining != beat.draining;
-                m.draining = beat.draining;
-                m.pace = beat.pace.min(longest);
+            verdict = m.detector.on_heartbeat(now, heartbeat);
+            if verdict == HeartbeatVerdict::Fresh {
+                drained = m.draining != heartbeat.draining;
+                m.draining = heartbeat.draining;
+                m.peer_interval = heartbeat.pace.min(longest);
             }
         });
         self.changed |= drained;
-        if heard == Heard::Superseded {
+        if verdict == HeartbeatVerdict::Superseded {
             out.push(Action::Disconnect {
                 link: id,
                 reason: Refusal::Superseded,
@@ -481,7 +493,7 @@
         let Some(node) = self.links.get(&id).map(|l| l.node.clone()) else {
             return;
         };
-        self.update(&node, out, |m| m.detector.goodbye(now, incarnation));
+        self.update(&node, out, |m| m.detector.on_goodbye(now, incarnation));
     }
 
     fn on_full(&mut self, now: Time, id: LinkId, out: &mut Vec<Action>) {
@@ -499,13 +511,13 @@
 
     fn on_draining(&mut self, now: Time, draining: bool) {
         self.draining = draining;
-        // Peers must know at once, not at the next beat, or they would send
-        // work that only comes back as not run.
+        // Notify peers immediately, not at the next heartbeat; until then they
+        // send work that is only refused as not run.
         for member in self.members.values_mut() {
-            member.due = now;
-            member.told = None;
+            member.next_heartbeat = now;
+            member.drain_seq = None;
         }
-        self.due.beat = now;
+        self.timers.heartbeat = now;
     }
 
     fn is_router(&self) -> bool {
--- a/lib/src/membership/view/plan.rs
+++ b/lib/src/membership/view/plan.rs
@@ -1,4 +1,4 @@
-//! What the view does as time passes: heartbeats, timeouts, links, dials.
+//! The view's periodic tasks: heartbeats, time-outs, links and dials.
 
 use core::net::SocketAddr;
 use std::collections::BTreeMap;
@@ -9,48 +9,48 @@
 use super::View;
 use crate::ids::NodeId;
 use crate::membership::Action;
-use crate::membership::Beat;
 use crate::membership::Candidate;
-use crate::membership::Change;
 use crate::membership::LinkId;
 use crate::membership::Member;
 use crate::membership::NodeKind;
+use crate::membership::NodeLocation;
+use crate::membership::PeerHeartbeat;
 use crate::membership::PeerState;
-use crate::membership::Place;
 use crate::membership::Refusal;
+use crate::membership::SubsetChange;
 use crate::membership::degree;
 use crate::time::Time;
 
-/// The longest that the view sleeps, so that a lost wake-up heals.
+/// The maximum time between wake-ups, which recovers from a lost one.
 const SLEEP_MAX: Duration = Duration::from_secs(1);
 
-/// The shortest sleep, so that work due at once can't spin.
-const WAKE_MIN: Duration = Duration::from_millis(1);
+/// The minimum time between wake-ups, so that overdue work can't spin.
+const SLEEP_MIN: Duration = Duration::from_millis(1);
 
 impl View {
     pub(super) fn advance(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.due.judge = self.due.judge.max(self.calm);
-        if now >= self.due.judge {
-            self.judge(now, out);
+        self.timers.check = self.timers.check.max(self.grace_until);
+        if now >= self.timers.check {
+            self.check_members(now, out);
         }
-        if self.changed || now >= self.due.plan {
+        if self.changed || now >= self.timers.plan {
             self.changed = false;
-            self.due.plan = now + self.settings.shift_period;
-            self.plan(now, out);
-            self.forget();
-            self.due.dial = Time::ZERO;
+            self.timers.plan = now + self.settings.shift_period;
+            self.plan_links(now, out);
+            self.remove_gone_members();
+            self.timers.dial = Time::ZERO;
         }
-        if now >= self.due.dial {
+        if now >= self.timers.dial {
             self.dial(now, out);
         }
-        if now >= self.due.beat {
-            self.beat(now, out);
+        if now >= self.timers.heartbeat {
+            self.send_heartbeats(now, out);
         }
-        self.wake = self.due.first().max(now + WAKE_MIN);
+        self.wake = self.timers.earliest().max(now + SLEEP_MIN);
     }
 
-    fn judge(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.due.judge = now + SLEEP_MAX;
+    fn check_members(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.timers.check = now + SLEEP_MAX;
         let due = |m: &&Member| m.detector.next_check() <= now || m.link.is_some();
         let due = self.members.values().filter(due);
         let nodes: Vec<NodeId> = due.map(|m| m.profile.node.clone()).collect();
@@ -61,49 +61,52 @@
         }
     }
 
-    fn beat(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn send_heartbeats(&mut self, now: Time, out: &mut Vec<Action>) {
         let own = self.interval();
-        // Links that are almost due go along, so that one wake-up serves many.
+        // Links that are almost due are included, so that one wake-up serves many.
         let almost = now + own / 8;
         let mut next = Time::NEVER;
         for (id, link) in &self.links {
             let Some(member) = self.members.get_mut(&link.node) else {
                 continue;
             };
-            if member.due > almost {
-                next = next.min(member.due);
+            if member.next_heartbeat > almost {
+                next = next.min(member.next_heartbeat);
                 continue;
             }
-            member.due = now + own.max(member.pace);
-            next = next.min(member.due);
-            member.seq += 1;
-            member.detector.sent(now, member.seq);
+            member.next_heartbeat = now + own.max(member.peer_interval);
+            next = next.min(member.next_heartbeat);
+            member.sent_seq += 1;
+            member.detector.on_heartbeat_sent(now, member.sent_seq);
             if self.draining {
-                member.told.get_or_insert(member.seq);
+                member.drain_seq.get_or_insert(member.sent_seq);
             }
-            let beat = Beat {
+            let heartbeat = PeerHeartbeat {
                 incarnation: self.incarnation,
-                seq: member.seq,
-                seen: member.detector.seen(),
+                seq: member.sent_seq,
+                seen: member.detector.seen_seq(),
                 draining: self.draining,
                 pace: own,
             };
-            out.push(Action::SendHeartbeat { link: *id, beat });
+            out.push(Action::SendHeartbeat {
+                link: *id,
+                heartbeat,
+            });
         }
-        self.due.beat = next;
+        self.timers.heartbeat = next;
     }
 
-    fn plan(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn plan_links(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.is_router() {
             return;
         }
         let mut groups = self.groups(now);
-        // A group whose members all left still has links to give up.
+        // A group without members may still have links to drop.
         for group in self.subsets.keys() {
             groups.entry(group.clone()).or_default();
         }
         let routers = self.routers_known();
-        let me = self.place();
+        let me = self.location();
         let period = self.settings.shift_period;
         let mut dropped = Vec::new();
         for (group, candidates) in groups {
@@ -114,13 +117,13 @@
             let subset = self.subsets.entry(group).or_default();
             let changes = subset.plan(now, &me, &candidates, count, period);
             dropped.extend(changes.into_iter().filter_map(|c| match c {
-                Change::Drop(node) => Some(node),
-                Change::Add(_) => None,
+                SubsetChange::Drop(node) => Some(node),
+                SubsetChange::Add(_) => None,
             }));
         }
         self.subsets.retain(|_, s| !s.links().is_empty());
-        self.give_up(now, &dropped, out);
-        self.give_up_probes(now, out);
+        self.drop_links(now, &dropped, out);
+        self.drop_probe_links(now, out);
     }
 
     fn groups(&self, now: Time) -> BTreeMap<Group, Vec<Candidate>> {
@@ -130,16 +133,16 @@
                 NodeKind::Router => Group::Routers,
                 NodeKind::Agent => Group::Agents(member.profile.pool.clone()),
             };
-            // An agent of unknown pool is probed for its hello, not chosen.
+            // An agent whose pool is unknown is probed for its hello, not chosen.
             if group == Group::Agents(None) {
                 continue;
             }
             let usable = member.may_link(now);
-            let place = member.place();
+            let location = member.location();
             groups
                 .entry(group)
                 .or_default()
-                .push(Candidate { place, usable });
+                .push(Candidate { location, usable });
         }
         groups
     }
@@ -149,26 +152,26 @@
         1 + self.members.values().filter(router).count()
     }
 
-    fn place(&self) -> Place {
-        Place {
+    fn location(&self) -> NodeLocation {
+        NodeLocation {
             node: self.me.node.clone(),
             domain: self.me.domain.clone(),
             region: self.me.region.clone(),
         }
     }
 
-    /// Ends links to nodes that are well but no longer chosen.
-    fn give_up(&mut self, now: Time, nodes: &[NodeId], out: &mut Vec<Action>) {
+    /// Closes links to healthy nodes that are no longer chosen.
+    fn drop_links(&mut self, now: Time, nodes: &[NodeId], out: &mut Vec<Action>) {
         for node in nodes {
             let Some(member) = self.members.get(node) else {
                 continue;
             };
-            // Work may still run at a node that drains or is slow; it ends the
-            // link itself when it is done, and timeouts end it otherwise.
+            // A draining or slow node may still run work; it closes the link
+            // when that is done, or a time-out does.
             if !member.may_link(now) {
                 continue;
             }
-            let Some(id) = member.link.filter(|id| self.is_ours(*id)) else {
+            let Some(id) = member.link.filter(|id| self.is_dialed_by_us(*id)) else {
                 continue;
             };
             self.links.remove(&id);
@@ -183,8 +186,8 @@
         }
     }
 
-    /// Ends links that were dialed only to learn who is there.
-    fn give_up_probes(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Closes links that were dialed only to obtain a node's hello.
+    fn drop_probe_links(&mut self, now: Time, out: &mut Vec<Action>) {
         let chosen = self.chosen();
         let idle: Vec<NodeId> = self
             .links
@@ -192,10 +195,10 @@
             .filter(|l| l.dialed.is_some() && !chosen.contains(&l.node))
             .map(|l| l.node.clone())
             .collect();
-        self.give_up(now, &idle, out);
+        self.drop_links(now, &idle, out);
     }
 
-    fn is_ours(&self, id: LinkId) -> bool {
+    fn is_dialed_by_us(&self, id: LinkId) -> bool {
         self.links.get(&id).is_some_and(|l| l.dialed.is_some())
     }
 
@@ -211,9 +214,9 @@
         if self.is_router() {
             wanted.extend(self.wanted_members());
         }
-        if self.is_router() && now >= self.due.probe {
-            self.due.probe = now + self.settings.probe_period;
-            wanted.extend(self.probe(now));
+        if self.is_router() && now >= self.timers.probe {
+            self.timers.probe = now + self.settings.probe_period;
+            wanted.extend(self.next_probe(now));
         }
         self.dials.retain(now, |a| wanted.contains(a));
         for address in wanted {
@@ -222,19 +225,19 @@
             }
         }
         let probe = if self.is_router() {
-            self.due.probe
+            self.timers.probe
         } else {
             Time::NEVER
         };
-        self.due.dial = self.dials.next().min(probe).min(now + SLEEP_MAX);
+        self.timers.dial = self.dials.next().min(probe).min(now + SLEEP_MAX);
     }
 
     fn wanted_seeds(&self) -> BTreeSet<SocketAddr> {
         let mut seeds = self.seeds.clone();
         seeds.remove(&self.me.address);
         for member in self.members.values() {
-            // A router chooses among those it has met; an agent stays with its
-            // seeds, so that routers that no list names to it can meet it.
+            // A router chooses among the nodes that it has met. An agent stays
+            // linked to its seeds, so that routers missing from its list meet it.
             let known =
                 member.link.is_some() || (self.is_router() && member.incarnation().is_some());
             if known {
@@ -254,24 +257,26 @@
             .collect()
     }
 
-    /// Picks the node whose state was not looked at for longest.
+    /// Returns the address of the node whose last probe is the oldest.
     ///
-    /// It is one that is gone, which may be back, or one of unknown pool. One
-    /// at a time, so that a partition of hundreds costs no more than of one.
-    fn probe(&mut self, now: Time) -> Option<SocketAddr> {
-        let open = |m: &&mut Member| m.probe(now).is_some();
+    /// Candidates are nodes that are gone and may have returned, agents of
+    /// unknown pool and nodes with a conflicting address. Only one node is
+    /// probed at a time, so that a partition of hundreds costs no more than that
+    /// of one.
+    fn next_probe(&mut self, now: Time) -> Option<SocketAddr> {
+        let probeable = |m: &&mut Member| m.probe_address(now).is_some();
         let oldest = self
             .members
             .values_mut()
-            .filter(open)
-            .min_by_key(|m| m.probed)?;
-        let address = oldest.probe(now);
-        oldest.probed = now;
+            .filter(probeable)
+            .min_by_key(|m| m.last_probe)?;
+        let address = oldest.probe_address(now);
+        oldest.last_probe = now;
         address
     }
 
-    /// Drops members that no hint names and that are gone.
-    fn forget(&mut self) {
+    /// Removes members that are gone and that neither the list nor a seed names.
+    fn remove_gone_members(&mut self) {
         let seeds = &self.seeds;
         self.members.retain(|_, m| {
             let ended = !matches!(m.state(), PeerState::Alive | PeerState::Slow);
--- a/lib/tests/test_config_fold.rs
+++ b/lib/tests/test_config_fold.rs
@@ -1,4 +1,4 @@
-//! The configuration under crossing changes, lost answers, outages and retention.
+//! Tests of the configuration with concurrent changes, lost responses, outages and retention.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::ids::Revision;
 use snipeyoke_lib::log::AppendEnd;
-use snipeyoke_lib::log::Followed;
+use snipeyoke_lib::log::FollowOutcome;
 use snipeyoke_lib::log::Follower;
 use snipeyoke_lib::log::Publisher;
 use snipeyoke_lib::log::ReadEnd;
@@ -32,31 +32,31 @@
 
 const READERS: usize = 3;
 
-/// Bytes of a snapshot's part: a few records make several parts.
-const SMALL: usize = 120;
+/// The size of a snapshot's part, so that a few records need several parts.
+const PART_BYTES: usize = 120;
 
-/// A second: longer than every pause of a publisher or follower.
-const LONG: Duration = Duration::from_secs(3);
+/// The time per step, longer than every pause of a publisher or follower.
+const STEP_DURATION: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Clone, Copy)]
 enum Op {
-    /// The operator at a reader changes what the reader shows.
+    /// An operator submits a change based on a reader's state.
     Submit { reader: usize, price: u8 },
-    /// An append is tried: it takes effect or not, and is answered or not.
+    /// An append is attempted: it takes effect or not, and is answered or not.
     Publish {
         reader: usize,
         effect: bool,
         answer: bool,
     },
-    /// A reader reads at most so many records, or fails to.
-    Read { reader: usize, most: usize },
+    /// A reader reads at most `max_records` records; with 0 the read fails.
+    Read { reader: usize, max_records: usize },
     /// A reader offers its snapshot to another.
     Offer { from: usize, to: usize },
     /// A reader begins to publish a snapshot, or publishes its next part.
     ///
-    /// After the last part, retention takes what the snapshot covers.
+    /// After the last part, retention removes the records that the snapshot covers.
     Snapshot { reader: usize },
-    /// A reader starts anew, without memory.
+    /// A reader restarts without state.
     Restart { reader: usize },
 }
 
@@ -66,7 +66,7 @@
         4 => (reader.clone(), 1..4_u8).prop_map(|(reader, price)| Op::Submit { reader, price }),
         6 => (reader.clone(), any::<bool>(), any::<bool>())
             .prop_map(|(reader, effect, answer)| Op::Publish { reader, effect, answer }),
-        6 => (reader.clone(), 0..6_usize).prop_map(|(reader, most)| Op::Read { reader, most }),
+        6 => (reader.clone(), 0..6_usize).prop_map(|(reader, max_records)| Op::Read { reader, max_records }),
         2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Op::Offer { from, to }),
         4 => reader.clone().prop_map(|reader| Op::Snapshot { reader }),
         1 => reader.prop_map(|reader| Op::Restart { reader }),
@@ -77,20 +77,20 @@
     fold: Fold,
     follower: Follower,
     publisher: Publisher,
-    /// The parts of a snapshot that it still has to publish.
+    /// The parts of a snapshot that it has not published yet.
     parts: VecDeque<Body>,
     /// The offset that this snapshot covers.
     covers: usize,
-    /// Restarted without memory: behind is where it began.
+    /// The highest position reached since the last restart.
     seen: (Offset, Revision),
 }
 
-struct Bench {
+struct Harness {
     guards: FoldGuards,
     now: Time,
     first: usize,
     log: Vec<Vec<u8>>,
-    truth: Fold,
+    reference: Fold,
     ids: u128,
     verdicts: BTreeMap<RecordId, Revision>,
     readers: Vec<Reader>,
@@ -107,14 +107,14 @@
     }
 }
 
-impl Bench {
+impl Harness {
     fn new(guards: FoldGuards) -> Self {
         Self {
             guards,
             now: Time::ZERO,
             first: 0,
             log: Vec::new(),
-            truth: Fold::with_guards(guards),
+            reference: Fold::with_guards(guards),
             ids: 0,
             verdicts: BTreeMap::new(),
             readers: (0..READERS).map(|i| reader(guards, i)).collect(),
@@ -130,10 +130,10 @@
         }
     }
 
-    /// Appends, and judges the record as the log's order has it.
+    /// Appends a record and checks its result in the log's order.
     fn append(&mut self, bytes: Vec<u8>) -> Result<(), String> {
         let record = Record::try_from(bytes.as_slice()).expect("own records are well-formed");
-        let applied = self.truth.apply(Offset(self.log.len() as u64), &record);
+        let applied = self.reference.apply(Offset(self.log.len() as u64), &record);
         self.log.push(bytes);
         let Body::ConfigChange { base, .. } = record.body else {
             return Ok(());
@@ -150,7 +150,7 @@
             Applied::Lost { .. } | Applied::Invalid(_)
                 if self.verdicts.contains_key(&record.id) =>
             {
-                return Err("the author of an accepted change is told that it lost".to_owned());
+                return Err("the author of an accepted change is notified that it lost".to_owned());
             }
             _ => {}
         }
@@ -158,7 +158,7 @@
     }
 
     fn run(&mut self, op: Op) -> Result<(), String> {
-        self.now = self.now + LONG;
+        self.now = self.now + STEP_DURATION;
         match op {
             Op::Submit { reader, price } => self.submit(reader, price),
             Op::Publish {
@@ -166,7 +166,10 @@
                 effect,
                 answer,
             } => self.publish(reader, effect, answer)?,
-            Op::Read { reader, most } => self.read(reader, most),
+            Op::Read {
+                reader,
+                max_records,
+            } => self.read(reader, max_records),
             Op::Offer { from, to } => {
                 let snapshot = self.readers[from].fold.snapshot();
                 let reader = &mut self.readers[to];
@@ -180,11 +183,11 @@
         self.check()
     }
 
-    /// Publishes as reader 0 a whole snapshot, as the others the next part.
+    /// Publishes a whole snapshot as reader 0, or the next part as another reader.
     fn snapshot(&mut self, reader: usize) -> Result<(), String> {
         if self.readers[reader].parts.is_empty() {
             let snapshot = self.readers[reader].fold.snapshot();
-            let parts = snapshot.parts(SMALL).into_iter();
+            let parts = snapshot.parts(PART_BYTES).into_iter();
             self.readers[reader].covers = usize::try_from(snapshot.next.0).expect("small");
             self.readers[reader].parts = match reader {
                 0 => [Body::Snapshot(snapshot)].into(),
@@ -229,18 +232,18 @@
             (true, false) => AppendEnd::NotDone { retry_after: None },
             (false, _) => AppendEnd::Unanswered,
         };
-        self.readers[reader].publisher.answered(now, &end);
+        self.readers[reader].publisher.on_append_end(now, &end);
         Ok(())
     }
 
-    fn read(&mut self, reader: usize, most: usize) {
+    fn read(&mut self, reader: usize, max_records: usize) {
         let (now, first, log) = (self.now, self.first, &self.log);
         let reader = &mut self.readers[reader];
         let Some(read) = reader.follower.poll(now) else {
             return;
         };
         let from = usize::try_from(read.from.0).expect("small");
-        let end = if most == 0 {
+        let end = if max_records == 0 {
             ReadEnd::Failed
         } else if from < first {
             ReadEnd::Gone {
@@ -250,10 +253,10 @@
             ReadEnd::Records {
                 first: Offset(first as u64),
                 end: Offset(log.len() as u64),
-                records: log.iter().skip(from).take(most).cloned().collect(),
+                records: log.iter().skip(from).take(max_records).cloned().collect(),
             }
         };
-        let Followed::Records { records, .. } = reader.follower.answered(now, end) else {
+        let FollowOutcome::Records { records, .. } = reader.follower.on_read_end(now, end) else {
             return;
         };
         for (offset, bytes) in records {
@@ -262,7 +265,7 @@
                 break;
             }
             if let Ok(record) = Record::try_from(bytes.as_slice()) {
-                reader.publisher.settled(record.id);
+                reader.publisher.on_read_back(record.id);
             }
         }
     }
@@ -272,27 +275,27 @@
             let at = (reader.fold.next(), reader.fold.revision());
             if at.0 < reader.seen.0 || at.1 < reader.seen.1 {
                 return Err(format!(
-                    "a reader went back from {:?} to {at:?}",
+                    "a reader moved back from {:?} to {at:?}",
                     reader.seen
                 ));
             }
             reader.seen = at;
-            if at.0 == self.truth.next() && reader.fold.config() != self.truth.config() {
+            if at.0 == self.reference.next() && reader.fold.config() != self.reference.config() {
                 return Err(format!("two readers at {} differ", at.0));
             }
         }
         Ok(())
     }
 
-    /// Lets every reader read to the end: all must agree.
+    /// Lets every reader read to the end, where all must agree.
     fn settle(&mut self) -> Result<(), String> {
         for index in 0..READERS {
             for _ in 0..8 {
-                self.now = self.now + LONG;
+                self.now = self.now + STEP_DURATION;
                 self.read(index, 1_000);
             }
         }
-        let behind = |r: &Reader| r.fold.next() != self.truth.next();
+        let behind = |r: &Reader| r.fold.next() != self.reference.next();
         if self.readers.iter().any(behind) {
             return Err("a reader did not catch up with the log".to_owned());
         }
@@ -301,11 +304,11 @@
 }
 
 fn run(ops: &[Op], guards: FoldGuards) -> Result<(), String> {
-    let mut bench = Bench::new(guards);
+    let mut harness = Harness::new(guards);
     for op in ops {
-        bench.run(*op)?;
+        harness.run(*op)?;
     }
-    bench.settle()
+    harness.settle()
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -319,9 +322,9 @@
 
 #[test]
 fn readers_agree_and_never_go_back() {
-    // Operators at three routers change the configuration at once, appends are
-    // lost or answered late, routers restart, read from snapshots and from each
-    // other. No accepted change is reverted, and all end with the same state.
+    // Accepted changes are reverted, or routers end with different states, when
+    // operators at 3 routers make concurrent changes, appends or their responses
+    // are lost, and routers restart and read from snapshots and from each other.
     let verdict = runner(3_000).run(&vec(op(), 1..80), |ops| {
         prop_assert_eq!(run(&ops, FoldGuards::ON), Ok(()));
         Ok(())
@@ -329,35 +332,35 @@
     verdict.expect("readers agree");
 }
 
-fn caught(name: &str, guards: FoldGuards) {
+fn assert_caught(name: &str, guards: FoldGuards) {
     let verdict = runner(3_000).run(&vec(op(), 1..80), |ops| {
         prop_assert_eq!(run(&ops, guards), Ok(()));
         Ok(())
     });
-    let fault = verdict.expect_err("the mutation breaks a promise");
+    let fault = verdict.expect_err("the mutation violates an invariant");
     println!("without {name}: {fault}");
 }
 
 #[test]
 fn needs_each_safeguard_of_the_fold() {
-    // Without its base check two crossing changes both stand; without ids an
-    // author hears that its accepted change lost; without the order of offsets
-    // a peer that was cut off takes everybody back.
-    caught(
+    // Without the base check, two concurrent changes are both accepted; without
+    // ids, an author is notified that its accepted change lost; without the order
+    // of offsets, a partitioned peer reverts the state of all others.
+    assert_caught(
         "base",
         FoldGuards {
             base: false,
             ..FoldGuards::ON
         },
     );
-    caught(
+    assert_caught(
         "repeat",
         FoldGuards {
             repeat: false,
             ..FoldGuards::ON
         },
     );
-    caught(
+    assert_caught(
         "order",
         FoldGuards {
             order: false,
--- a/lib/tests/test_config_parts.rs
+++ b/lib/tests/test_config_parts.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts: any order, repeated, lost, mixed and damaged.
+//! Tests of snapshot parts that arrive reordered, repeated, mixed, damaged or not at all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,13 +12,13 @@
 use proptest::test_runner::TestRunner;
 use snipeyoke_lib::config::Config;
 use snipeyoke_lib::config::Fold;
-use snipeyoke_lib::config::HELD_MAX;
-use snipeyoke_lib::config::PART_MAX;
-use snipeyoke_lib::config::Part;
-use snipeyoke_lib::config::PartSet;
+use snipeyoke_lib::config::INCOMPLETE_BYTES_MAX;
+use snipeyoke_lib::config::INCOMPLETE_SNAPSHOTS_MAX;
+use snipeyoke_lib::config::PART_BYTES_MAX;
 use snipeyoke_lib::config::Pool;
-use snipeyoke_lib::config::SETS_MAX;
 use snipeyoke_lib::config::Snapshot;
+use snipeyoke_lib::config::SnapshotId;
+use snipeyoke_lib::config::SnapshotPart;
 use snipeyoke_lib::ids::NodeId;
 use snipeyoke_lib::ids::Offset;
 use snipeyoke_lib::ids::Revision;
@@ -27,41 +27,41 @@
 use snipeyoke_lib::record::Record;
 use snipeyoke_lib::record::RecordId;
 
-/// Bytes of a part here, so that some dozens of pools make several.
-const SMALL: usize = 300;
+/// The size of a part, so that some dozens of pools need several parts.
+const PART_BYTES: usize = 300;
 
-/// Two publishers with states at each offset: they must never mix.
+/// The number of offsets, at each of which both publishers have a different state.
 const OFFSETS: u64 = 5;
 
-/// The offset of the first record of the topic that is read.
-const LOG: u64 = 20;
+/// The offset of the first record that is read from the topic.
+const LOG_START: u64 = 20;
 
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum Source {
     Offer,
     Log,
 }
 
-/// The part of a state that arrives, by which way and in what shape.
+/// The arrival of a part of a state.
 #[derive(Debug, Clone, Copy)]
 struct Step {
     state: usize,
     part: usize,
-    way: Way,
+    source: Source,
     damaged: bool,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let way = prop_oneof![Just(Way::Offer), Just(Way::Log)];
+    let source = prop_oneof![Just(Source::Offer), Just(Source::Log)];
     let damaged = prop::bool::weighted(0.05);
-    (0..2 * OFFSETS as usize, 0..64_usize, way, damaged).prop_map(|(state, part, way, damaged)| {
-        Step {
+    (0..2 * OFFSETS as usize, 0..64_usize, source, damaged).prop_map(
+        |(state, part, source, damaged)| Step {
             state,
             part,
-            way,
+            source,
             damaged,
-        }
-    })
+        },
+    )
 }
 
 fn state(offset: u64, price: f64) -> Snapshot {
@@ -87,7 +87,7 @@
     (1..=OFFSETS).flat_map(both).collect()
 }
 
-fn record(part: Part) -> Record {
+fn record(part: SnapshotPart) -> Record {
     let node: NodeId = "router-1".parse().expect("a name");
     Record {
         id: RecordId::default(),
@@ -96,24 +96,24 @@
     }
 }
 
-/// A reader, and what has arrived at it whole and undamaged.
-struct Bench {
+/// A reader, and the undamaged parts that it has received.
+struct Harness {
     states: Vec<Snapshot>,
-    parts: Vec<Vec<Part>>,
+    parts: Vec<Vec<SnapshotPart>>,
     fold: Fold,
-    arrived: BTreeMap<PartSet, BTreeSet<u32>>,
+    arrived: BTreeMap<SnapshotId, BTreeSet<u32>>,
     log: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let states = states();
         Self {
-            parts: states.iter().map(|s| s.parts(SMALL)).collect(),
+            parts: states.iter().map(|s| s.parts(PART_BYTES)).collect(),
             states,
             fold: Fold::new(),
             arrived: BTreeMap::new(),
-            log: LOG,
+            log: LOG_START,
         }
     }
 
@@ -122,16 +122,16 @@
         let mut part = parts[step.part % parts.len()].clone();
         let before = self.fold.next();
         if step.damaged {
-            // Still JSON when joined, so that nothing but the digest tells.
+            // The joined text is still JSON, so that only the digest reveals the damage.
             part.text = part.text.replace('1', "7") + " ";
         } else {
             self.arrived.entry(part.set).or_default().insert(part.index);
         }
-        match step.way {
-            Way::Offer => {
+        match step.source {
+            Source::Offer => {
                 self.fold.adopt_part(&part);
             }
-            Way::Log => {
+            Source::Log => {
                 self.log += 1;
                 self.fold.apply(Offset(self.log), &record(part));
             }
@@ -142,11 +142,11 @@
     fn check(&self, before: Offset) -> Result<(), String> {
         let next = self.fold.next();
         if next < before {
-            return Err(format!("the reader went back from {before} to {next}"));
+            return Err(format!("the reader moved back from {before} to {next}"));
         }
-        let most = SETS_MAX * 64 * SMALL;
-        if self.fold.held() > most {
-            return Err(format!("{} bytes are held", self.fold.held()));
+        let bytes_max = INCOMPLETE_SNAPSHOTS_MAX * 64 * PART_BYTES;
+        if self.fold.incomplete_bytes() > bytes_max {
+            return Err(format!("{} bytes are held", self.fold.incomplete_bytes()));
         }
         if next == before {
             return Ok(());
@@ -154,22 +154,22 @@
         let config = self.fold.config();
         let known = |s: &&Snapshot| s.next == next && s.config == config;
         let Some(state) = self.states.iter().find(known) else {
-            return Err(format!("the state at {next} is none that a publisher had"));
+            return Err(format!("no publisher had the state at {next}"));
         };
-        let set = state.parts(SMALL)[0].set;
+        let set = state.parts(PART_BYTES)[0].set;
         let arrived = self.arrived.get(&set).map_or(0, BTreeSet::len);
         if arrived < set.count as usize {
             return Err(format!(
-                "a state of {arrived} parts of {} was taken",
+                "a state with {arrived} of {} parts was adopted",
                 set.count
             ));
         }
         Ok(())
     }
 
-    /// Has the highest state arrive whole, in an order, twice over.
+    /// Delivers all parts of the highest state twice, in the given order.
     ///
-    /// Twice, since a damaged part may stand in for one until its set is dropped.
+    /// Twice, since a damaged part may occupy a slot until its set is dropped.
     fn settle(&mut self, order: &[usize]) -> Result<(), String> {
         let state = self.states.len() - 1;
         let count = self.parts[state].len();
@@ -179,26 +179,26 @@
                 self.run(Step {
                     state,
                     part,
-                    way: Way::Offer,
+                    source: Source::Offer,
                     damaged: false,
                 })?;
             }
         }
         if self.fold.next() != Offset(OFFSETS) {
-            return Err("the highest state was not taken".to_owned());
+            return Err("the highest state was not adopted".to_owned());
         }
-        if self.fold.held() > 0 {
-            return Err("parts are held that nobody needs".to_owned());
+        if self.fold.incomplete_bytes() > 0 {
+            return Err("obsolete parts are held".to_owned());
         }
         Ok(())
     }
 }
 
 #[test]
-fn a_state_is_taken_whole_or_not_at_all() {
-    // A process is put in force a configuration that no operator made: parts
-    // of several states and publishers come mixed, repeated, damaged or not at
-    // all, by offers and from the log, and a wrong set of them is joined.
+fn a_state_is_adopted_completely_or_not_at_all() {
+    // A process could run a configuration that no operator made, if it joined a
+    // wrong set of parts: those of several states and publishers arrive mixed,
+    // repeated, damaged or not at all, from offers and from the log.
     let config = Runs {
         cases: 2_000,
         failure_persistence: None,
@@ -207,51 +207,55 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let steps = (vec(step(), 0..150), vec(0..64_usize, 1..20));
     let verdict = TestRunner::new_with_rng(config, rng).run(&steps, |(steps, order)| {
-        let mut bench = Bench::new();
+        let mut harness = Harness::new();
         for step in steps {
-            prop_assert_eq!(bench.run(step), Ok(()));
+            prop_assert_eq!(harness.run(step), Ok(()));
         }
-        prop_assert_eq!(bench.settle(&order), Ok(()));
+        prop_assert_eq!(harness.settle(&order), Ok(()));
         Ok(())
     });
-    verdict.expect("states are taken whole");
+    verdict.expect("states are adopted completely");
 }
 
 #[test]
-fn parts_that_never_come_whole_are_bounded() {
-    // A reader runs out of memory: publishers stop half-way again and again,
-    // and each leaves a large part that nothing ever completes.
+fn incomplete_snapshots_are_bounded() {
+    // A reader could run out of memory when many publishers stop half-way and
+    // each leaves large parts of a snapshot that is never completed.
     let mut fold = Fold::new();
     for n in 1..1_000 {
-        let set = PartSet {
+        let set = SnapshotId {
             next: Offset(n),
             count: 100,
             digest: n,
         };
-        let text = "x".repeat(PART_MAX);
+        let text = "x".repeat(PART_BYTES_MAX);
         for index in 0..30 {
             let text = text.clone();
-            fold.adopt_part(&Part { set, index, text });
+            fold.adopt_part(&SnapshotPart { set, index, text });
         }
-        assert!(fold.held() <= HELD_MAX, "{} bytes are held", fold.held());
+        assert!(
+            fold.incomplete_bytes() <= INCOMPLETE_BYTES_MAX,
+            "{} bytes are held",
+            fold.incomplete_bytes()
+        );
     }
     let state = Snapshot {
         next: Offset(2_000),
         ..state(40, 1.0)
     };
-    let parts = state.parts(SMALL);
+    let parts = state.parts(PART_BYTES);
     let (last, others) = parts.split_last().expect("there are parts");
     for part in others {
         assert!(!fold.adopt_part(part));
     }
-    assert!(fold.adopt_part(last), "a later state is taken");
-    assert_eq!(fold.held(), 0);
+    assert!(fold.adopt_part(last), "a later state is adopted");
+    assert_eq!(fold.incomplete_bytes(), 0);
 }
 
 #[test]
 fn every_record_of_a_snapshot_is_bounded() {
-    // The log refuses a record, and nobody gets a snapshot any more: text that
-    // JSON has to escape twice makes the record larger than the text.
+    // The log refuses a record that is too large, so readers get no snapshots:
+    // text that JSON escapes twice makes the record larger than the text.
     let pools = (0..20_000).map(|n| {
         let path = Some(format!("/\"\\\u{1}æ{n}"));
         let pool = Pool { price: 1.0, path };
@@ -269,8 +273,8 @@
     let mut fold = Fold::new();
     for record in records.iter().rev() {
         let bytes = record.encode();
-        assert!(bytes.len() <= PART_MAX, "{} bytes", bytes.len());
-        fold.apply_bytes(Offset(LOG), &bytes);
+        assert!(bytes.len() <= PART_BYTES_MAX, "{} bytes", bytes.len());
+        fold.apply_bytes(Offset(LOG_START), &bytes);
     }
     assert_eq!(fold.config(), snapshot.config);
 }
--- a/lib/tests/test_journal.rs
+++ b/lib/tests/test_journal.rs
@@ -1,4 +1,4 @@
-//! Property tests of the journal: bounded, never wrong about what it keeps.
+//! Property tests of the journal: its memory bound and its recorded outcomes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use snipeyoke_lib::units::Bytes;
 use uuid::Uuid;
 
-/// The sequences tried.
+/// The number of generated sequences.
 const CASES: u32 = 256;
 
 /// The journal's limit: room for a few dozen requests.
@@ -78,11 +78,9 @@
 
 #[test]
 fn keeps_its_bound_and_the_first_outcome() {
-    // A flood of requests must not take the router's memory, and an operator
-    // must never be told a second outcome of one request.
-    // Accept, send, end and finish come in any order, also twice or without
-    // what should precede them. After each step the estimate stays within the
-    // limit, running requests are all there, and the first outcome stands.
+    // A flood of requests must not exhaust the router's memory, and an operator
+    // must never see a second outcome of a request. Steps come in any order, also
+    // twice or without their predecessors.
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -95,19 +93,19 @@
             check(&steps);
             Ok(())
         })
-        .expect("the journal keeps its promises");
+        .expect("the journal stays bounded and keeps first outcomes");
 }
 
 fn check(steps: &[Step]) {
     let mut journal = Journal::new(LIMIT);
-    let mut first: BTreeMap<RequestId, Outcome> = BTreeMap::new();
+    let mut outcomes: BTreeMap<RequestId, Outcome> = BTreeMap::new();
     for (at, step) in steps.iter().enumerate() {
         let now = Time::from_millis(at as u64);
         match *step {
             Step::Accept(number) => {
-                // A request that was forgotten may come as a new one.
+                // An evicted request may be accepted as a new one.
                 if journal.get(id(number)).is_none() {
-                    first.remove(&id(number));
+                    outcomes.remove(&id(number));
                 }
                 journal.on_accept(now, accepted(number));
             }
@@ -123,7 +121,7 @@
                     Outcome::Unknown
                 };
                 if journal.get(id(number)).is_some() {
-                    first.entry(id(number)).or_insert(outcome);
+                    outcomes.entry(id(number)).or_insert(outcome);
                 }
                 journal.on_finish(now, id(number), outcome, None);
             }
@@ -135,8 +133,8 @@
         );
     }
     for request in journal.requests() {
-        let told = request.finish.map(|f| f.outcome);
-        assert_eq!(told, first.get(&request.accepted.id).copied());
+        let recorded = request.finish.map(|f| f.outcome);
+        assert_eq!(recorded, outcomes.get(&request.accepted.id).copied());
     }
     let paged: Vec<_> = pages(&journal);
     let whole: Vec<_> = journal.requests().map(|r| r.accepted.id).collect();
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,4 +1,4 @@
-//! Tests of failure detection, the choice of peers and the membership view.
+//! Tests of failure detection, peer selection and the membership view.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,15 +15,15 @@
 use proptest::test_runner::TestRunner;
 use snipeyoke_lib::ids::Incarnation;
 use snipeyoke_lib::ids::NodeId;
-use snipeyoke_lib::membership::Beat;
 use snipeyoke_lib::membership::Candidate;
 use snipeyoke_lib::membership::Detector;
+use snipeyoke_lib::membership::NodeLocation;
+use snipeyoke_lib::membership::PeerHeartbeat;
 use snipeyoke_lib::membership::PeerState;
-use snipeyoke_lib::membership::Place;
 use snipeyoke_lib::membership::Profile;
-use snipeyoke_lib::membership::Timing;
+use snipeyoke_lib::membership::TimeoutBounds;
 use snipeyoke_lib::membership::ViewSettings;
-use snipeyoke_lib::membership::choose;
+use snipeyoke_lib::membership::choose_peers;
 use snipeyoke_lib::membership::degree;
 use snipeyoke_lib::time::Time;
 use snipeyoke_testutils::mesh::Mesh;
@@ -137,7 +137,7 @@
     let view = mesh.view(by).expect("the node runs");
     let mut text = String::new();
     for (node, member) in view.members() {
-        let work = if member.takes_work() {
+        let work = if member.accepts_work() {
             "takes-work"
         } else {
             "no-work"
@@ -177,15 +177,15 @@
     ]
 }
 
-/// What really is, against what the views say.
-struct Truth {
+/// The actual state of the nodes, to compare with the routers' views.
+struct Model {
     mesh: Mesh,
     names: Vec<String>,
-    lives: BTreeMap<String, u64>,
+    incarnations: BTreeMap<String, u64>,
     paused: BTreeSet<String>,
 }
 
-impl Truth {
+impl Model {
     fn apply(&mut self, op: &Op) {
         let agent = |i: &usize| format!("a{i}");
         match op {
@@ -211,25 +211,25 @@
 
     fn end(&mut self, name: &str, how: fn(&mut Mesh, SocketAddr)) {
         how(&mut self.mesh, address(name));
-        self.lives.remove(name);
+        self.incarnations.remove(name);
     }
 
     fn restart(&mut self, name: &str) {
         self.mesh.kill(address(name));
-        let life = 10 + self.mesh.now.as_micros();
-        self.lives.insert(name.to_owned(), life);
-        self.mesh.start(profile(name, POOLS), life);
+        let incarnation = 10 + self.mesh.now.as_micros();
+        self.incarnations.insert(name.to_owned(), incarnation);
+        self.mesh.start(profile(name, POOLS), incarnation);
     }
 
-    /// Starts an older process under a living node's name, which dials a router.
+    /// Starts an older process with the name of a running node; it dials a router.
     fn duplicate(&mut self, name: &str) {
-        if !self.lives.contains_key(name) {
+        if !self.incarnations.contains_key(name) {
             return;
         }
-        let mut twin = profile(name, POOLS);
-        twin.address.set_port(7001);
-        let at = twin.address;
-        self.mesh.start(twin, 0);
+        let mut duplicate = profile(name, POOLS);
+        duplicate.address.set_port(7001);
+        let at = duplicate.address;
+        self.mesh.start(duplicate, 0);
         let seeds = vec![address("r0")];
         self.mesh
             .give(at, snipeyoke_lib::membership::Event::Seeds(seeds));
@@ -240,8 +240,9 @@
         for router in ["r0", "r1", "r2"].into_iter().filter(awake) {
             for name in self.names.iter().filter(|n| n.starts_with('a')) {
                 let node: NodeId = name.parse().expect("a node's name");
-                let twin = SocketAddr::new(address(name).ip(), 7001);
-                let gone = !self.lives.contains_key(name) && self.mesh.view(twin).is_none();
+                let duplicate = SocketAddr::new(address(name).ip(), 7001);
+                let gone =
+                    !self.incarnations.contains_key(name) && self.mesh.view(duplicate).is_none();
                 let state = self.mesh.state(address(router), &node);
                 assert!(
                     !gone || state != PeerState::Alive,
@@ -253,48 +254,46 @@
 
     fn check_alive(&self) {
         for router in ["r0", "r1", "r2"] {
-            for (name, life) in &self.lives {
+            for (name, incarnation) in &self.incarnations {
                 let node: NodeId = name.parse().expect("a node's name");
                 let view = self.mesh.view(address(router)).expect("routers run");
                 let member = view.members().get(&node).expect("listed");
                 assert_eq!(member.state(), PeerState::Alive, "{router} sees {name}");
                 let known = member.incarnation().map(|i| i.0);
-                assert_eq!(known, Some(*life), "{router} heeds the newest {name}");
+                assert_eq!(known, Some(*incarnation), "{router} uses the newest {name}");
             }
         }
     }
 }
 
 #[test]
-fn neither_lets_the_dead_live_nor_keeps_the_living_out() {
-    // The caller sees timeouts if a dead agent stays alive in a router's view,
-    // and refusals if a live one stays out of it. Agents die, lose power,
-    // restart, pause, have elder twins and lose one direction, in any order and
-    // together; then the network heals. Only heartbeats and refusals count as
-    // evidence, and all that is gone is probed again, so both must end.
+fn drops_failed_agents_and_readmits_live_ones() {
+    // Callers see time-outs if a router's view keeps a dead agent, and refusals
+    // if it excludes a live one. Agents crash, lose power, restart, pause, get an
+    // older duplicate or lose one direction, in any order; then the network heals.
     let ops = prop::collection::vec(op(), 1..25);
     let check = |(seed, ops): (u64, Vec<Op>)| {
         let names = names(3, 6);
-        let lives = (0..6).map(|i| (format!("a{i}"), 1)).collect();
-        let mut truth = Truth {
+        let incarnations = (0..6).map(|i| (format!("a{i}"), 1)).collect();
+        let mut model = Model {
             mesh: mesh(seed, 3, 6),
             names,
-            lives,
+            incarnations,
             paused: BTreeSet::new(),
         };
-        truth.mesh.run(Duration::from_secs(5));
+        model.mesh.run(Duration::from_secs(5));
         for op in &ops {
-            truth.apply(op);
+            model.apply(op);
         }
-        truth.mesh.run(Duration::from_secs(16));
-        truth.check_dead();
-        truth.mesh.heal();
-        for i in 0..truth.names.len() {
-            truth.apply(&Op::Resume(i));
+        model.mesh.run(Duration::from_secs(16));
+        model.check_dead();
+        model.mesh.heal();
+        for i in 0..model.names.len() {
+            model.apply(&Op::Resume(i));
         }
-        truth.mesh.run(Duration::from_secs(90));
-        truth.check_dead();
-        truth.check_alive();
+        model.mesh.run(Duration::from_secs(90));
+        model.check_dead();
+        model.check_alive();
         Ok(())
     };
     runner(64)
@@ -303,11 +302,10 @@
 }
 
 #[test]
-fn flaps_no_more_than_the_penalty_allows() {
-    // The caller sees its prefix caches lost and its work moved each time a
-    // peer flaps. A network that loses one frame in ten delays heartbeats by up
-    // to a second, at random, for ten minutes. Timeouts adapt to it and each
-    // loss of "alive" makes the return dearer, so flaps stay few.
+fn flap_penalty_bounds_flapping() {
+    // Each flap of a peer moves work and loses prefix caches. For 10 minutes the
+    // network loses one frame in ten, which delays heartbeats by up to a second.
+    // Time-outs adapt and the flap penalty grows, so flaps stay rare.
     let mut mesh = mesh(7, 2, 4);
     mesh.run(Duration::from_secs(5));
     mesh.loss = 0.1;
@@ -328,22 +326,22 @@
     names
         .map(|n| {
             let profile = profile(&n, pools);
-            let place = Place {
+            let location = NodeLocation {
                 node: profile.node,
                 domain: profile.domain,
                 region: profile.region,
             };
             Candidate {
-                place,
+                location,
                 usable: true,
             }
         })
         .collect()
 }
 
-fn place(name: &str) -> Place {
+fn location(name: &str) -> NodeLocation {
     let profile = profile(name, POOLS);
-    Place {
+    NodeLocation {
         node: profile.node,
         domain: profile.domain,
         region: profile.region,
@@ -351,22 +349,22 @@
 }
 
 #[test]
-fn subsets_stay_bounded_at_the_size_to_design_for() {
-    // At 340 routers and 680 agents of 17 pools, every router must reach every
-    // pool, over two failure domains at least, with links bounded on both ends.
+fn subsets_stay_bounded_at_design_size() {
+    // With 340 routers and 680 agents in 17 pools, every router must reach every
+    // pool in at least two failure domains, with bounded links on both ends.
     let (routers, agents, pools) = (340, 680, 17);
     let mut degrees: BTreeMap<NodeId, usize> = BTreeMap::new();
     for router in 0..routers {
-        let me = place(&format!("r{router}"));
+        let me = location(&format!("r{router}"));
         let mut out = 0;
         for pool in 0..pools {
             let candidates = candidates(agents, pools, pool);
-            let chosen = choose(&me, &candidates, degree(candidates.len(), routers));
-            let of = |c: &&Candidate| chosen.contains(&c.place.node);
+            let chosen = choose_peers(&me, &candidates, degree(candidates.len(), routers));
+            let of = |c: &&Candidate| chosen.contains(&c.location.node);
             let domains: BTreeSet<_> = candidates
                 .iter()
                 .filter(of)
-                .map(|c| &c.place.domain)
+                .map(|c| &c.location.domain)
                 .collect();
             assert!(
                 domains.len() >= 2,
@@ -379,24 +377,24 @@
         }
         assert!(out <= 96, "router {router} has {out} links");
     }
-    assert_eq!(degrees.len(), agents, "some agent is nobody's choice");
+    assert_eq!(degrees.len(), agents, "some agent is in no subset");
     let most = degrees.values().max().copied().unwrap_or_default();
     assert!(most <= 2 * 32, "an agent has {most} links");
 }
 
 #[test]
-fn subsets_change_no_more_than_they_must() {
-    // One node of a pool goes: only sets that held it change, by one node, or
-    // by two where the bound on a failure domain moves another one along.
+fn losing_a_node_changes_few_subset_members() {
+    // When a node of a pool leaves, only the subsets that contained it change:
+    // by one node, or by two if the bound per failure domain moves another.
     let strategy = (0usize..340, 0usize..40, 1usize..12);
     let check = |(router, gone, degree): (usize, usize, usize)| {
-        let me = place(&format!("r{router}"));
+        let me = location(&format!("r{router}"));
         let mut candidates = candidates(680, 17, 3);
-        let before = choose(&me, &candidates, degree);
+        let before = choose_peers(&me, &candidates, degree);
         candidates[gone].usable = false;
-        let after = choose(&me, &candidates, degree);
+        let after = choose_peers(&me, &candidates, degree);
         let lost = before.difference(&after).count();
-        let held = before.contains(&candidates[gone].place.node);
+        let held = before.contains(&candidates[gone].location.node);
         assert!(lost <= usize::from(held) * 2, "{lost} of {degree} changed");
         Ok(())
     };
@@ -404,9 +402,9 @@
 }
 
 #[test]
-fn probes_spread_the_return_of_many() {
-    // A failure domain is away for an hour and comes back at once. Routers
-    // must meet all of it again soon, without a storm of dials.
+fn probes_find_a_returning_failure_domain() {
+    // A failure domain is unreachable for an hour and then returns all at once.
+    // Routers must link to all of its agents again soon, without a dial storm.
     let mut mesh = mesh(3, 2, 12);
     mesh.run(Duration::from_secs(5));
     let cut: Vec<SocketAddr> = (0..6).map(|i| address(&format!("a{i}"))).collect();
@@ -420,14 +418,14 @@
     mesh.heal();
     let healed = mesh.now;
     mesh.run(Duration::from_secs(20));
-    let back: Vec<Time> = mesh
+    let returns: Vec<Time> = mesh
         .seen
         .iter()
         .filter(|s| s.at > healed && s.to == PeerState::Alive && !cut.contains(&s.by))
         .map(|s| s.at)
         .collect();
-    assert_eq!(back.len(), 12, "each of two routers meets six agents");
-    let last = back.iter().max().expect("some came back").since(healed);
+    assert_eq!(returns.len(), 12, "each of two routers meets six agents");
+    let last = returns.iter().max().expect("some came back").since(healed);
     assert!(
         last < Duration::from_secs(15),
         "the last came back after {last:?}"
@@ -435,27 +433,26 @@
 }
 
 #[test]
-fn a_peer_that_no_longer_hears_us_is_cut_off_although_we_hear_it() {
-    // The caller waits for calls that never arrive. The network loses what goes
-    // to the agent and delivers what comes from it, on a link that stays open.
-    // Its heartbeats stop echoing ours, which alone bars it; it returns when the
-    // echo does.
-    let mut detector = Detector::new(Timing::default());
-    let life = Incarnation(1);
-    let beat = |seq, seen| Beat {
-        incarnation: life,
+fn a_peer_that_stops_echoing_is_unreachable_although_it_sends() {
+    // Callers wait for calls that never arrive: on an open link the network loses
+    // frames to the agent but delivers those from it. Only the missing echo shows
+    // this, and the peer is alive again once the echo returns.
+    let mut detector = Detector::new(TimeoutBounds::default());
+    let incarnation = Incarnation(1);
+    let heartbeat = |seq, seen| PeerHeartbeat {
+        incarnation,
         seq,
         seen,
         draining: false,
         pace: Duration::ZERO,
     };
     let mut states = Vec::new();
-    detector.link_up(Time::ZERO, life);
+    detector.on_link_up(Time::ZERO, incarnation);
     for seq in 1..=60u64 {
         let now = Time::from_millis(seq * 500);
-        detector.sent(now, seq);
+        detector.on_heartbeat_sent(now, seq);
         let heard_by_peer = if (10..40).contains(&seq) { 10 } else { seq };
-        detector.heard(now, beat(seq, heard_by_peer));
+        detector.on_heartbeat(now, heartbeat(seq, heard_by_peer));
         if states.last() != Some(&detector.state()) {
             states.push(detector.state());
         }
--- a/router/src/connect.rs
+++ b/router/src/connect.rs
@@ -23,9 +23,9 @@
 use snipeyoke_lib::ids::PoolName;
 use snipeyoke_lib::ids::Region;
 use snipeyoke_lib::membership;
-use snipeyoke_lib::membership::Beat;
 use snipeyoke_lib::membership::Event;
 use snipeyoke_lib::membership::LinkEnd;
+use snipeyoke_lib::membership::PeerHeartbeat;
 use snipeyoke_lib::membership::Profile;
 use snipeyoke_lib::once::KeySlot;
 use snipeyoke_lib::routing::CacheUpdate;
@@ -331,9 +331,9 @@
         match reader.next().await? {
             Some(Body::Heartbeat(heartbeat)) => {
                 let beat = to_beat(&heartbeat);
-                node.members.notify(Event::Heard {
+                node.members.notify(Event::Heartbeat {
                     link: entry.link,
-                    beat,
+                    heartbeat: beat,
                 });
                 if let Some(peer) = peer {
                     handle_heartbeat(node, peer, link, &heartbeat);
@@ -364,8 +364,8 @@
     }
 }
 
-fn to_beat(heartbeat: &Heartbeat) -> Beat {
-    Beat {
+fn to_beat(heartbeat: &Heartbeat) -> PeerHeartbeat {
+    PeerHeartbeat {
         incarnation: Incarnation(heartbeat.incarnation),
         seq: heartbeat.seq,
         seen: heartbeat.seen_seq,
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -117,7 +117,7 @@
             AppendEnd::NotDone { .. } => before,
             AppendEnd::Unanswered => Append::Unanswered,
         };
-        publisher.answered(node.clock.now(), &end);
+        publisher.on_append_end(node.clock.now(), &end);
     }
     waiter.applied().await
 }
--- a/router/src/control/records.rs
+++ b/router/src/control/records.rs
@@ -51,7 +51,7 @@
 impl Records {
     /// Records a request that is about to be driven; `stop` ends it.
     pub(crate) fn begin(&self, now: Time, spec: &RequestSpec, stop: Flag) {
-        let accepted = Accepted::of(now, spec, None);
+        let accepted = Accepted::from_spec(now, spec, None);
         self.journal().on_accept(now, accepted);
         let running = Running {
             account: spec.account.clone(),
@@ -62,7 +62,7 @@
 
     /// Records a decision of a request's chain.
     pub(crate) fn on_decision(&self, now: Time, spec: &RequestSpec, decision: &Decision) {
-        self.journal().on_route(now, spec, decision);
+        self.journal().on_chain_decision(now, spec, decision);
     }
 
     /// Records the end of an attempt.
@@ -98,7 +98,7 @@
         let mut journal = self.journal();
         journal.on_finish(now, id, outcome, reason);
         metrics::gauge!("snipeyoke_journal_bytes").set(journal.used().0 as f64);
-        metrics::counter!("snipeyoke_journal_forgotten_total").absolute(journal.forgotten());
+        metrics::counter!("snipeyoke_journal_forgotten_total").absolute(journal.evicted());
         metrics::counter!("snipeyoke_journal_skipped_total").absolute(journal.skipped());
         let Some(request) = journal.get(id) else {
             return;
@@ -172,7 +172,7 @@
     let found = found.next()?;
     let stage = found.decision.stage.to_string();
     let pipeline = request.accepted.pipeline.to_string();
-    Some((stage, pipeline, found.actual(now).as_secs_f64()))
+    Some((stage, pipeline, found.elapsed(now).as_secs_f64()))
 }
 
 const fn end_label(end: &AttemptEnd) -> &'static str {
--- a/router/src/follow.rs
+++ b/router/src/follow.rs
@@ -10,7 +10,7 @@
 use snipeyoke_lib::config::Applied;
 use snipeyoke_lib::config::Fold;
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::log::Followed;
+use snipeyoke_lib::log::FollowOutcome;
 use snipeyoke_lib::log::Follower;
 use snipeyoke_lib::log::LogStore;
 use snipeyoke_lib::log::Topic;
@@ -57,8 +57,8 @@
         let Some(end) = answered.or(stopped).await else {
             return;
         };
-        let read_result = follower.answered(node.clock.now(), end);
-        let read = !matches!(read_result, Followed::Failed);
+        let read_result = follower.on_read_end(node.clock.now(), end);
+        let read = !matches!(read_result, FollowOutcome::Failed);
         apply_read(&node, &mut follower, read_result);
         if read && !holds {
             let jitter: f64 = node.shared().rng.random_range(0.5..1.5);
@@ -85,18 +85,18 @@
     pause.or(node.board.stop.wait()).await;
 }
 
-fn apply_read(node: &Node, follower: &mut Follower, read_result: Followed) {
+fn apply_read(node: &Node, follower: &mut Follower, read_result: FollowOutcome) {
     let records = match read_result {
-        Followed::Records { records, end, .. } => {
+        FollowOutcome::Records { records, end, .. } => {
             let state = *node.log_state.get();
             node.log_state.set(LogState { end, ..state });
             records
         }
-        Followed::Behind { first } => {
+        FollowOutcome::Behind { first } => {
             log::warn!(event = "config-behind", first = first.0, remedy = "wait for a snapshot"; "");
             return;
         }
-        Followed::Failed => {
+        FollowOutcome::Failed => {
             log::info!(event = "config-read-failed", remedy = "check the log service"; "");
             return;
         }
