--- a/cli/src/report.rs
+++ b/cli/src/report.rs
@@ -8,9 +8,9 @@
 use serde_json::Value as Json;
 use serde_json::json;
 use snipeyoke_lib::ids::Revision;
+use snipeyoke_lib::query::AnswerLine;
 use snipeyoke_lib::query::ChangeAnswer;
 use snipeyoke_lib::query::Kind;
-use snipeyoke_lib::query::Line;
 use snipeyoke_lib::query::Row;
 use snipeyoke_lib::query::Table;
 use snipeyoke_lib::query::Value;
@@ -59,12 +59,12 @@
     }
 
     /// Takes one router's answer in.
-    pub fn take(&mut self, address: SocketAddr, answer: Result<Vec<Line>, AskError>) {
+    pub fn take(&mut self, address: SocketAddr, answer: Result<Vec<AnswerLine>, AskError>) {
         let lines = match answer {
             Ok(lines) => lines,
             Err(error) => return self.unheard.push(Unheard { address, error }),
         };
-        let Some(Line::End {
+        let Some(AnswerLine::End {
             router, revision, ..
         }) = lines.last()
         else {
--- a/cli/src/router.rs
+++ b/cli/src/router.rs
@@ -14,7 +14,7 @@
 use hyper::Method;
 use hyper::StatusCode;
 use hyper::header::AUTHORIZATION;
-use snipeyoke_lib::query::Line;
+use snipeyoke_lib::query::AnswerLine;
 use snipeyoke_runtime::http::Client;
 use snipeyoke_runtime::http::ClientError;
 use snipeyoke_runtime::http::collect;
@@ -66,7 +66,7 @@
 }
 
 /// A question on its way.
-pub type Asking<'a> = Pin<Box<dyn Future<Output = Result<Vec<Line>, AskError>> + Send + 'a>>;
+pub type Asking<'a> = Pin<Box<dyn Future<Output = Result<Vec<AnswerLine>, AskError>> + Send + 'a>>;
 
 /// Asks routers; a test puts a script in its place.
 pub trait Ask: Debug + Send + Sync {
@@ -108,7 +108,7 @@
         &self,
         router: SocketAddr,
         request: hyper::Request<Full<Bytes>>,
-    ) -> Result<Vec<Line>, AskError> {
+    ) -> Result<Vec<AnswerLine>, AskError> {
         let timeout = async {
             Timer::after(self.settings.timeout).await;
             let what = format!("silent for {:?}", self.settings.timeout);
@@ -121,7 +121,7 @@
         &self,
         router: SocketAddr,
         request: hyper::Request<Full<Bytes>>,
-    ) -> Result<Vec<Line>, AskError> {
+    ) -> Result<Vec<AnswerLine>, AskError> {
         let sent = self.client.send(router, request).await;
         let (response, kept) = sent.map_err(|error| unsent(&error))?;
         if response.status() == StatusCode::UNAUTHORIZED {
@@ -131,10 +131,10 @@
         let body = body.map_err(|error| unanswered(&error))?;
         self.client.keep(kept);
         let text = std::str::from_utf8(&body).map_err(|error| unanswered(&error))?;
-        let lines = Line::read(text).map_err(|error| unanswered(&error))?;
+        let lines = AnswerLine::from_json(text).map_err(|error| unanswered(&error))?;
         // An answer that broke off would pass for one with fewer rows, and the
         // operator would take what is missing for what is not there.
-        if !matches!(lines.last(), Some(Line::End { .. })) {
+        if !matches!(lines.last(), Some(AnswerLine::End { .. })) {
             return Err(unanswered(&"the answer broke off"));
         }
         Ok(lines)
--- a/cli/src/session.rs
+++ b/cli/src/session.rs
@@ -7,14 +7,14 @@
 use futures_util::StreamExt;
 use futures_util::stream;
 use snipeyoke_lib::ids::Revision;
+use snipeyoke_lib::query::AnswerLine;
 use snipeyoke_lib::query::ChangeAnswer;
 use snipeyoke_lib::query::ChangeCommand;
 use snipeyoke_lib::query::Command;
-use snipeyoke_lib::query::Line;
 use snipeyoke_lib::query::Merge;
 use snipeyoke_lib::query::Query;
+use snipeyoke_lib::query::RouterTable;
 use snipeyoke_lib::query::Row;
-use snipeyoke_lib::query::Sourced;
 use snipeyoke_lib::query::Statement;
 use snipeyoke_lib::query::Subject;
 use snipeyoke_lib::query::Table;
@@ -46,7 +46,7 @@
 
 struct Heard {
     address: SocketAddr,
-    answer: Result<Vec<Line>, AskError>,
+    answer: Result<Vec<AnswerLine>, AskError>,
 }
 
 impl Session {
@@ -110,7 +110,7 @@
             report
                 .errors
                 .extend(errors.into_iter().map(|e| (router.clone(), e)));
-            tables.extend(table.map(|table| Sourced { router, table }));
+            tables.extend(table.map(|table| RouterTable { router, table }));
         }
         let (merge, limit) = merging(query);
         report.table = (!tables.is_empty()).then(|| Table::merge(&tables, merge, limit));
@@ -131,7 +131,7 @@
                 continue;
             };
             let router = report.routers.last().cloned().unwrap_or_default();
-            let stopped = |l: &Line| matches!(l, Line::Stop { stopped: true });
+            let stopped = |l: &AnswerLine| matches!(l, AnswerLine::Stop { stopped: true });
             if lines.iter().any(stopped) {
                 report
                     .notes
@@ -187,9 +187,9 @@
             };
             for line in &lines {
                 match line {
-                    Line::Change { answer } => report.change = Some(answer.clone()),
-                    Line::Note { text } => report.notes.push(text.clone()),
-                    Line::Error { text } => report.errors.push((String::new(), text.clone())),
+                    AnswerLine::Change { answer } => report.change = Some(answer.clone()),
+                    AnswerLine::Note { text } => report.notes.push(text.clone()),
+                    AnswerLine::Error { text } => report.errors.push((String::new(), text.clone())),
                     _ => {}
                 }
             }
@@ -224,8 +224,8 @@
         }
     }
 
-    fn see(&mut self, lines: &[Line]) {
-        if let Some(Line::End { revision, .. }) = lines.last() {
+    fn see(&mut self, lines: &[AnswerLine]) {
+        if let Some(AnswerLine::End { revision, .. }) = lines.last() {
             self.seen = self.seen.max(Some(*revision));
         }
     }
@@ -234,26 +234,26 @@
 /// Tells how the answers to a question belong together.
 fn merging(query: &Query) -> (Merge, Option<usize>) {
     match query {
-        Query::Show(show) if show.subject == Subject::Requests => (Merge::Own, show.limit),
+        Query::Show(show) if show.subject == Subject::Requests => (Merge::PerRouter, show.limit),
         Query::Show(show) => (Merge::Shared, show.limit),
         Query::Explain(_) | Query::Config(_) => (Merge::Shared, None),
     }
 }
 
-fn sort(lines: Vec<Line>) -> (Option<Table>, Vec<String>) {
+fn sort(lines: Vec<AnswerLine>) -> (Option<Table>, Vec<String>) {
     let mut table: Option<Table> = None;
     let mut errors = Vec::new();
     for line in lines {
         match (line, &mut table) {
-            (Line::Columns { columns }, _) => {
+            (AnswerLine::Columns { columns }, _) => {
                 table = Some(Table {
                     columns,
                     ..Table::default()
                 });
             }
-            (Line::Row { cells }, Some(table)) => fill(table, cells),
-            (Line::End { omitted, .. }, Some(table)) => table.omitted = omitted,
-            (Line::Error { text }, _) => errors.push(text),
+            (AnswerLine::Row { cells }, Some(table)) => fill(table, cells),
+            (AnswerLine::End { omitted, .. }, Some(table)) => table.omitted = omitted,
+            (AnswerLine::Error { text }, _) => errors.push(text),
             _ => {}
         }
     }
@@ -274,12 +274,12 @@
     fn take(
         &mut self,
         address: SocketAddr,
-        answer: Result<Vec<Line>, AskError>,
-    ) -> Option<Vec<Line>> {
+        answer: Result<Vec<AnswerLine>, AskError>,
+    ) -> Option<Vec<AnswerLine>> {
         match answer {
             Ok(lines) => {
                 let name = match lines.last() {
-                    Some(Line::End { router, .. }) => router.to_string(),
+                    Some(AnswerLine::End { router, .. }) => router.to_string(),
                     _ => address.to_string(),
                 };
                 self.routers.push(name);
--- a/cli/tests/session.rs
+++ b/cli/tests/session.rs
@@ -16,7 +16,7 @@
 use snipeyoke::router::Asking;
 use snipeyoke::session::Session;
 use snipeyoke::shell::Words;
-use snipeyoke_lib::query::Line;
+use snipeyoke_lib::query::AnswerLine;
 use snipeyoke_lib::query::parse_one;
 use uuid::Uuid;
 
@@ -37,7 +37,9 @@
         let mut asked = self.asked.lock().expect("no test panics with it");
         asked.push((port, text, change));
         let answer = match self.answers.get(&port) {
-            Some(Some(lines)) => Ok(Line::read(lines).expect("the script's lines are right")),
+            Some(Some(lines)) => {
+                Ok(AnswerLine::from_json(lines).expect("the script's lines are right"))
+            }
             Some(None) => Err(AskError::Unanswered {
                 what: "silent for 3s".to_owned(),
             }),
@@ -50,7 +52,7 @@
 
     fn revision(&self, router: SocketAddr) -> Asking<'_> {
         let lines = self.revisions.get(&router.port());
-        let answer = lines.map(|l| Line::read(l).expect("the script's lines are right"));
+        let answer = lines.map(|l| AnswerLine::from_json(l).expect("the script's lines are right"));
         let missing = AskError::Unreached {
             what: "connection refused".to_owned(),
         };
--- a/lib/src/query/answer.rs
+++ b/lib/src/query/answer.rs
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "kebab-case")]
-pub enum Line {
+pub enum AnswerLine {
     /// The columns of the rows that follow.
     Columns {
         /// The columns.
@@ -118,10 +118,10 @@
     },
 }
 
-impl Line {
+impl AnswerLine {
     /// Splits a table into lines.
     #[must_use]
-    pub fn table(table: Table) -> Vec<Self> {
+    pub fn from_table(table: Table) -> Vec<Self> {
         let columns = Self::Columns {
             columns: table.columns,
         };
@@ -136,7 +136,7 @@
     /// Panics if a line has no JSON form, which would be a bug: it has text
     /// keys only.
     #[must_use]
-    pub fn write(lines: &[Self]) -> String {
+    pub fn to_json(lines: &[Self]) -> String {
         let mut text = String::new();
         for line in lines {
             let json = serde_json::to_string(line).expect("a line has a JSON form");
@@ -146,12 +146,12 @@
         text
     }
 
-    /// Reads lines that [`Line::write`] wrote.
+    /// Reads lines that [`AnswerLine::to_json`] wrote.
     ///
     /// # Errors
     ///
     /// Returns the error of the first line that is malformed.
-    pub fn read(text: &str) -> Result<Vec<Self>, serde_json::Error> {
+    pub fn from_json(text: &str) -> Result<Vec<Self>, serde_json::Error> {
         text.lines().map(serde_json::from_str).collect()
     }
 }
--- a/lib/src/query/apply.rs
+++ b/lib/src/query/apply.rs
@@ -82,7 +82,7 @@
     /// # Errors
     ///
     /// Returns an [`EditError`] if the change does not fit.
-    pub fn change(&self, config: &Config) -> Result<Change, EditError> {
+    pub fn resolve(&self, config: &Config) -> Result<Change, EditError> {
         let change = self.raw_change(config)?;
         change.apply(config)?;
         Ok(change)
@@ -235,7 +235,7 @@
 
 /// Lists what differs between two configurations, `-` before `+`.
 #[must_use]
-pub fn difference(old: &Config, new: &Config) -> Vec<String> {
+pub fn config_diff(old: &Config, new: &Config) -> Vec<String> {
     let before: BTreeSet<_> = statements(old).into_iter().collect();
     let after: BTreeSet<_> = statements(new).into_iter().collect();
     let gone = before.difference(&after).map(|l| format!("- {l}"));
--- a/lib/src/query/error.rs
+++ b/lib/src/query/error.rs
@@ -76,7 +76,7 @@
 
 /// Where in a text a problem was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct ErrorLocation {
     /// The line, from 1.
     pub line: usize,
     /// The column, from 1.
@@ -90,13 +90,13 @@
 /// A problem with the place where it was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
-#[display("{}:{}: {problem}\n{}", place.line, place.column, pointer(place))]
+#[display("{}:{}: {problem}\n{}", location.line, location.column, pointer(location))]
 pub struct QueryError {
     /// What is wrong.
     #[error(not(source))]
     pub problem: QueryProblem,
     /// Where it is wrong.
-    pub place: Box<Place>,
+    pub location: Box<ErrorLocation>,
 }
 
 impl QueryError {
@@ -107,8 +107,8 @@
     }
 }
 
-fn pointer(place: &Place) -> String {
-    let before = " ".repeat(place.column.saturating_sub(1));
-    let under = "^".repeat(place.width);
-    format!("  {}\n  {before}{under}", place.text)
+fn pointer(location: &ErrorLocation) -> String {
+    let before = " ".repeat(location.column.saturating_sub(1));
+    let under = "^".repeat(location.width);
+    format!("  {}\n  {before}{under}", location.text)
 }
--- a/lib/src/query/evaluate.rs
+++ b/lib/src/query/evaluate.rs
@@ -181,7 +181,7 @@
         Subject::Bindings => bindings(rows, &config),
         _ => {
             for (name, account) in &config.accounts {
-                let active = facts.active(name);
+                let active = facts.active_requests(name);
                 rows.take(&AccountFact {
                     name,
                     account,
--- a/lib/src/query/facts.rs
+++ b/lib/src/query/facts.rs
@@ -47,7 +47,7 @@
     fn config(&self, at: Option<Revision>) -> Result<ConfigFact, FactError>;
 
     /// Returns the requests in flight of an account at this router.
-    fn active(&self, account: &ClientAccount) -> u32;
+    fn active_requests(&self, account: &ClientAccount) -> u32;
 
     /// Returns the endpoints that the router sees.
     fn endpoints(&self) -> Vec<EndpointFact>;
@@ -92,10 +92,10 @@
         remedy: &'static str,
     },
     /// A revision is not remembered.
-    #[display("revision {asked} is not remembered: ask for one of {first} to {last}")]
+    #[display("revision {requested} is not remembered: ask for one of {first} to {last}")]
     NoRevision {
         /// The revision asked for.
-        asked: Revision,
+        requested: Revision,
         /// The first one remembered.
         first: Revision,
         /// The revision in force.
@@ -134,7 +134,7 @@
     /// Tokens that wait or are at work.
     pub pending: u64,
     /// The age of its last report.
-    pub report: Duration,
+    pub report_age: Duration,
     /// Whether the report is fresh enough for new work.
     pub fresh: bool,
     /// Whether the endpoint answered its last health probe.
@@ -176,7 +176,7 @@
     /// The revision in force there, as last heard.
     pub revision: Option<Revision>,
     /// The age of its last heartbeat.
-    pub report: Duration,
+    pub report_age: Duration,
     /// Whether the heartbeat is fresh enough for new work.
     pub fresh: bool,
     /// Whether it is leaving.
@@ -193,7 +193,7 @@
     /// The fencing number.
     pub fence: FencingNumber,
     /// The time that it has left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Held, waited out or free.
     pub state: String,
 }
@@ -353,7 +353,7 @@
             Field::Queued => number(self.queued),
             Field::Slots => number(self.slots),
             Field::Pending => Value::count(self.pending),
-            Field::Report => self.report.into(),
+            Field::Report => self.report_age.into(),
             Field::Fresh => self.fresh.into(),
             Field::Healthy => self.healthy.into(),
             Field::Draining => self.draining.into(),
@@ -411,7 +411,7 @@
             Field::Domain => text(&self.domain),
             Field::Address => text(&self.address),
             Field::Revision => Value::some(self.revision.map(|r| Value::count(r.0))),
-            Field::Report => self.report.into(),
+            Field::Report => self.report_age.into(),
             Field::Fresh => self.fresh.into(),
             Field::Draining => self.draining.into(),
             _ => Value::Absent,
@@ -425,7 +425,7 @@
             Field::Lease => text(&self.lease),
             Field::Holder => Value::some(self.holder.as_ref().map(text)),
             Field::Fence => Value::count(self.fence.0),
-            Field::Left => self.left.into(),
+            Field::Left => self.remaining.into(),
             Field::State => text(&self.state),
             _ => Value::Absent,
         }
--- a/lib/src/query/history.rs
+++ b/lib/src/query/history.rs
@@ -75,18 +75,22 @@
     /// # Errors
     ///
     /// Returns a [`FactError`] if the revision is too old or not yet made.
-    pub fn at(&self, revision: Option<Revision>) -> Result<ConfigFact, FactError> {
-        let asked = revision.unwrap_or_else(|| self.last());
+    pub fn config_at(&self, revision: Option<Revision>) -> Result<ConfigFact, FactError> {
+        let requested = revision.unwrap_or_else(|| self.last());
         let (first, last) = (self.base.revision, self.last());
-        if asked < first || asked > last {
-            return Err(FactError::NoRevision { asked, first, last });
+        if requested < first || requested > last {
+            return Err(FactError::NoRevision {
+                requested,
+                first,
+                last,
+            });
         }
         let mut config = Arc::clone(&self.base.config);
-        for winner in self.changes.iter().take_while(|w| w.revision <= asked) {
+        for winner in self.changes.iter().take_while(|w| w.revision <= requested) {
             config = applied(&config, &winner.change);
         }
         Ok(ConfigFact {
-            revision: asked,
+            revision: requested,
             config,
         })
     }
--- a/lib/src/query/parse.rs
+++ b/lib/src/query/parse.rs
@@ -16,7 +16,7 @@
 use super::ast::Query;
 use super::ast::Show;
 use super::ast::Statement;
-use super::error::Place;
+use super::error::ErrorLocation;
 use super::error::QueryError;
 use super::error::QueryProblem;
 use super::field::Field;
@@ -32,7 +32,7 @@
 /// The longest text that is parsed, in bytes.
 ///
 /// A configuration of 34 pipelines written out has about 20 KB.
-pub const TEXT_MAX: usize = 256 << 10;
+pub const TEXT_MAX_BYTES: usize = 256 << 10;
 
 /// The deepest nesting of brackets and `not` that is parsed.
 ///
@@ -89,8 +89,8 @@
 }
 
 fn check_size(text: &str) -> Parsed<()> {
-    if text.len() > TEXT_MAX {
-        let problem = format!("the text has over {TEXT_MAX} bytes: send it in parts");
+    if text.len() > TEXT_MAX_BYTES {
+        let problem = format!("the text has over {TEXT_MAX_BYTES} bytes: send it in parts");
         return Err(whole("", QueryProblem::Value(problem)));
     }
     if text
@@ -121,7 +121,7 @@
 
 fn whole(text: &str, problem: QueryProblem) -> QueryError {
     let text = text.lines().next().unwrap_or_default().to_owned();
-    let place = Place {
+    let location = ErrorLocation {
         line: 1,
         column: 1,
         width: text.chars().count().max(1),
@@ -129,7 +129,7 @@
     };
     QueryError {
         problem,
-        place: Box::new(place),
+        location: Box::new(location),
     }
 }
 
@@ -138,7 +138,7 @@
     let span = pair.as_span();
     let (line, column) = span.start_pos().line_col();
     let text = span.start_pos().line_of().trim_end().to_owned();
-    let place = Place {
+    let location = ErrorLocation {
         line,
         column,
         width: pair.as_str().chars().count().max(1),
@@ -146,7 +146,7 @@
     };
     QueryError {
         problem,
-        place: Box::new(place),
+        location: Box::new(location),
     }
 }
 
@@ -168,7 +168,7 @@
     } else {
         format!("{word:?}")
     };
-    let place = Place {
+    let location = ErrorLocation {
         line,
         column,
         width: word.chars().count().max(1),
@@ -176,7 +176,7 @@
     };
     QueryError {
         problem: QueryProblem::Syntax { found, expected },
-        place: Box::new(place),
+        location: Box::new(location),
     }
 }
 
--- a/lib/src/query/table.rs
+++ b/lib/src/query/table.rs
@@ -29,7 +29,7 @@
 
 /// A table with the router that gave it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Sourced {
+pub struct RouterTable {
     /// The router.
     pub router: String,
     /// Its answer.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
     /// Each router has rows of its own, such as its requests.
-    Own,
+    PerRouter,
     /// All routers tell of the same things, such as endpoints.
     Shared,
 }
@@ -63,21 +63,21 @@
     /// appears once, as the one with the freshest report tells it, with the
     /// routers that gave it; where they disagree, each view has its row.
     #[must_use]
-    pub fn merge(answers: &[Sourced], merge: Merge, limit: Option<usize>) -> Self {
+    pub fn merge(answers: &[RouterTable], merge: Merge, limit: Option<usize>) -> Self {
         let columns = answers.first().map(|a| a.table.columns.clone());
         let Some(columns) = columns else {
             return Self::default();
         };
-        if merge == Merge::Own && columns.len() == 2 && columns[1] == Field::Count {
+        if merge == Merge::PerRouter && columns.len() == 2 && columns[1] == Field::Count {
             return Self::add_counts(columns, answers);
         }
         let mut table = Self::join(columns, answers);
         let omitted = answers.iter().map(|a| a.table.omitted);
         table.omitted = match merge {
-            Merge::Own => omitted.sum(),
+            Merge::PerRouter => omitted.sum(),
             Merge::Shared => omitted.max().unwrap_or_default(),
         };
-        if merge == Merge::Own {
+        if merge == Merge::PerRouter {
             table.sort_by_age();
         }
         let limit = limit.unwrap_or(usize::MAX);
@@ -86,7 +86,7 @@
         table
     }
 
-    fn join(columns: Vec<Field>, answers: &[Sourced]) -> Self {
+    fn join(columns: Vec<Field>, answers: &[RouterTable]) -> Self {
         let mut rows: Vec<(Row, Vec<&str>)> = Vec::new();
         let mut seen: BTreeMap<String, usize> = BTreeMap::new();
         for answer in answers {
@@ -127,7 +127,7 @@
             .sort_by(|a, b| order(a, b).unwrap_or(Ordering::Equal));
     }
 
-    fn add_counts(columns: Vec<Field>, answers: &[Sourced]) -> Self {
+    fn add_counts(columns: Vec<Field>, answers: &[RouterTable]) -> Self {
         let mut counts: Vec<(Value, f64)> = Vec::new();
         for row in answers.iter().flat_map(|a| &a.table.rows) {
             let [key, Value::Number(count)] = row.0.as_slice() else {
--- a/lib/tests/test_boundaries.rs
+++ b/lib/tests/test_boundaries.rs
@@ -16,7 +16,7 @@
 use proptest::test_runner::TestRunner;
 use snipeyoke_lib::config::Fold;
 use snipeyoke_lib::ids::Offset;
-use snipeyoke_lib::query::Line;
+use snipeyoke_lib::query::AnswerLine;
 use snipeyoke_lib::query::parse;
 use snipeyoke_lib::record::Record;
 
@@ -70,9 +70,12 @@
         }
         Err(error) => {
             // The pointer must lie in the text: an operator looks there.
-            let place = &error.place;
-            assert!(place.line >= 1 && place.column >= 1, "{error}");
-            assert!(place.column <= place.text.chars().count() + 1, "{error}");
+            let location = &error.location;
+            assert!(location.line >= 1 && location.column >= 1, "{error}");
+            assert!(
+                location.column <= location.text.chars().count() + 1,
+                "{error}"
+            );
         }
     }
 }
@@ -142,8 +145,9 @@
     let inputs = mutated(corpus("answers"));
     let outcome = runner().run(&inputs, |bytes| {
         let text = String::from_utf8_lossy(&bytes);
-        if let Ok(lines) = Line::read(&text) {
-            let again = Line::read(&Line::write(&lines)).expect("what was written is read");
+        if let Ok(lines) = AnswerLine::from_json(&text) {
+            let again = AnswerLine::from_json(&AnswerLine::to_json(&lines))
+                .expect("what was written is read");
             assert_eq!(again, lines);
         }
         Ok(())
--- a/lib/tests/test_query.rs
+++ b/lib/tests/test_query.rs
@@ -60,20 +60,20 @@
 
     fn config(&self, at: Option<Revision>) -> Result<ConfigFact, FactError> {
         let last = Revision(self.configs.len() as u64 - 1);
-        let asked = at.unwrap_or(last);
-        let config = self.configs.get(asked.0 as usize);
+        let requested = at.unwrap_or(last);
+        let config = self.configs.get(requested.0 as usize);
         let config = config.cloned().ok_or(FactError::NoRevision {
-            asked,
+            requested,
             first: Revision(0),
             last,
         })?;
         Ok(ConfigFact {
-            revision: asked,
+            revision: requested,
             config,
         })
     }
 
-    fn active(&self, account: &ClientAccount) -> u32 {
+    fn active_requests(&self, account: &ClientAccount) -> u32 {
         let mine = |r: &&Request| r.is_running() && r.accepted.account == *account;
         self.journal.requests().filter(mine).count() as u32
     }
@@ -201,7 +201,7 @@
             queued: words.named["queued"].parse().expect("a count"),
             slots: 4,
             pending: 0,
-            report: words.time("report"),
+            report_age: words.time("report"),
             fresh: words.named["fresh"] == "yes",
             healthy: true,
             draining: false,
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -14,7 +14,7 @@
 use snipeyoke_lib::query::ChangeAnswer;
 use snipeyoke_lib::query::ChangeCommand;
 use snipeyoke_lib::query::Facts;
-use snipeyoke_lib::query::difference;
+use snipeyoke_lib::query::config_diff;
 use snipeyoke_lib::record::Author;
 use snipeyoke_lib::record::Body;
 use snipeyoke_lib::record::Record;
@@ -53,12 +53,12 @@
         Ok(seen) => seen.config,
         Err(error) => return invalid(&error),
     };
-    let change = match command.edit.change(&seen) {
+    let change = match command.edit.resolve(&seen) {
         Ok(change) => change,
         Err(error) => return invalid(&error),
     };
     if command.dry_run {
-        let diff = change.apply(&seen).map(|next| difference(&seen, &next));
+        let diff = change.apply(&seen).map(|next| config_diff(&seen, &next));
         return match diff {
             Ok(diff) => ChangeAnswer::Planned { base, diff },
             Err(error) => invalid(&error),
--- a/router/src/control/facts.rs
+++ b/router/src/control/facts.rs
@@ -43,10 +43,10 @@
                 config: std::sync::Arc::clone(&in_force.config),
             });
         }
-        self.0.control.history().at(at)
+        self.0.control.history().config_at(at)
     }
 
-    fn active(&self, account: &ClientAccount) -> u32 {
+    fn active_requests(&self, account: &ClientAccount) -> u32 {
         self.0.control.records.active(account)
     }
 
@@ -92,7 +92,7 @@
         domain: own.domain.clone(),
         address: own.listen.control.to_string(),
         revision: Some(node.board.config.get().revision),
-        report: Duration::ZERO,
+        report_age: Duration::ZERO,
         fresh: true,
         draining: node.board.drain.is_set(),
     }
--- a/router/src/control/peers.rs
+++ b/router/src/control/peers.rs
@@ -69,7 +69,7 @@
         Some(hosts)
     }
 
-    /// Returns the other routers; `report` is the age of their present state.
+    /// Returns the other routers; `report_age` is the age of their present state.
     pub(crate) fn routers(&self, now: Time) -> Vec<NodeFact> {
         let fact = |(profile, state, since): &(Profile, PeerState, Time)| NodeFact {
             node: profile.node.clone(),
@@ -78,7 +78,7 @@
             domain: profile.domain.clone(),
             address: profile.address.to_string(),
             revision: None,
-            report: now.since(*since),
+            report_age: now.since(*since),
             fresh: *state == PeerState::Alive,
             draining: false,
         };
--- a/router/src/control/port.rs
+++ b/router/src/control/port.rs
@@ -13,13 +13,13 @@
 use hyper::header::HeaderValue;
 use snipeyoke_lib::ids::Operator;
 use snipeyoke_lib::log::LogStore;
+use snipeyoke_lib::query::AnswerLine;
 use snipeyoke_lib::query::ChangeCommand;
 use snipeyoke_lib::query::Command;
 use snipeyoke_lib::query::Edit;
-use snipeyoke_lib::query::Line;
 use snipeyoke_lib::query::Query;
 use snipeyoke_lib::query::Statement;
-use snipeyoke_lib::query::TEXT_MAX;
+use snipeyoke_lib::query::TEXT_MAX_BYTES;
 use snipeyoke_lib::query::evaluate;
 use snipeyoke_lib::query::parse_one;
 use snipeyoke_lib::record::RecordId;
@@ -59,14 +59,18 @@
             metrics::counter!("snipeyoke_control_denied_total").increment(1);
             log::warn!(target: "control", event = "operator-unknown", path = request.uri().path(); "");
             let text = "the key is missing or unknown: nothing was done".to_owned();
-            return self.reply(StatusCode::UNAUTHORIZED, vec![Line::Error { text }], 0);
+            return self.reply(
+                StatusCode::UNAUTHORIZED,
+                vec![AnswerLine::Error { text }],
+                0,
+            );
         };
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/control/query") => self.statement(operator, request).await,
             (&Method::GET, "/control/revision") => self.reply(StatusCode::OK, Vec::new(), 0),
             (method, path) => {
                 let text = format!("{method} {path} is unknown: POST to /control/query");
-                self.reply(StatusCode::NOT_FOUND, vec![Line::Error { text }], 0)
+                self.reply(StatusCode::NOT_FOUND, vec![AnswerLine::Error { text }], 0)
             }
         }
     }
@@ -88,7 +92,7 @@
             Statement::Help => self.bad("ask the tool for help".to_owned()),
             Statement::Command(Command::Stop(id)) => {
                 let stopped = self.node.control.records.stop(id);
-                self.reply(StatusCode::OK, vec![Line::Stop { stopped }], 0)
+                self.reply(StatusCode::OK, vec![AnswerLine::Stop { stopped }], 0)
             }
             Statement::Command(Command::Change(change)) => self.change(operator, id, &change).await,
         }
@@ -96,7 +100,7 @@
 
     async fn text(&self, request: Request) -> Result<String, String> {
         let read = async {
-            let body = collect(request.into_body(), TEXT_MAX).await;
+            let body = collect(request.into_body(), TEXT_MAX_BYTES).await;
             body.map_err(|error| error.to_string())
         };
         let timeout = async {
@@ -111,11 +115,11 @@
         match evaluate(query, &NodeFacts(&self.node)) {
             Ok(table) => {
                 let omitted = table.omitted;
-                self.reply(StatusCode::OK, Line::table(table), omitted)
+                self.reply(StatusCode::OK, AnswerLine::from_table(table), omitted)
             }
             Err(error) => {
                 let text = error.to_string();
-                self.reply(StatusCode::OK, vec![Line::Error { text }], 0)
+                self.reply(StatusCode::OK, vec![AnswerLine::Error { text }], 0)
             }
         }
     }
@@ -125,32 +129,32 @@
         let log = self.log.as_ref();
         let answer = changes::change(&self.node, log, operator.clone(), id, change).await;
         log::info!(target: "control", event = "change", operator = operator.as_str(), record = id.to_string().as_str(), change = change.to_string().as_str(), answer = answer.to_string().as_str(); "");
-        lines.push(Line::Change { answer });
+        lines.push(AnswerLine::Change { answer });
         self.reply(StatusCode::OK, lines, 0)
     }
 
     // A drain with a mistyped name would be accepted and drain nothing.
-    fn unseen(&self, edit: &Edit) -> Option<Line> {
+    fn unseen(&self, edit: &Edit) -> Option<AnswerLine> {
         let Edit::Drain(target) = edit else {
             return None;
         };
         let known = NodeFacts(&self.node);
-        (!super::drains::is_seen(&known, target)).then(|| Line::Note {
+        (!super::drains::is_seen(&known, target)).then(|| AnswerLine::Note {
             text: format!("{target} is not seen by this router: check its name with 'show'"),
         })
     }
 
     fn bad(&self, text: String) -> Reply {
-        self.reply(StatusCode::BAD_REQUEST, vec![Line::Error { text }], 0)
+        self.reply(StatusCode::BAD_REQUEST, vec![AnswerLine::Error { text }], 0)
     }
 
-    fn reply(&self, status: StatusCode, mut lines: Vec<Line>, omitted: u64) -> Reply {
-        lines.push(Line::End {
+    fn reply(&self, status: StatusCode, mut lines: Vec<AnswerLine>, omitted: u64) -> Reply {
+        lines.push(AnswerLine::End {
             router: self.node.settings.node.clone(),
             revision: self.node.board.config.get().revision,
             omitted,
         });
-        let mut reply = Reply::new(full(Line::write(&lines)));
+        let mut reply = Reply::new(full(AnswerLine::to_json(&lines)));
         *reply.status_mut() = status;
         let kind = HeaderValue::from_static("application/jsonl");
         reply.headers_mut().insert(CONTENT_TYPE, kind);
--- a/router/src/control/sight.rs
+++ b/router/src/control/sight.rs
@@ -109,7 +109,7 @@
             queued: self.load.queued,
             slots: self.load.slots,
             pending: self.load.pending,
-            report: self.report_age(now),
+            report_age: self.report_age(now),
             fresh: self.is_fresh(now),
             healthy: self.load.healthy,
             draining: self.load.draining,
@@ -128,7 +128,7 @@
             domain: hello.domain.parse().ok()?,
             address: hello.address.clone(),
             revision: (self.revision > 0).then_some(snipeyoke_lib::ids::Revision(self.revision)),
-            report: now.since(self.heard),
+            report_age: now.since(self.heard),
             fresh: self.is_fresh(now),
             draining: self.load.draining,
         })
