--- a/lib/src/query/apply.rs
+++ b/lib/src/query/apply.rs
@@ -44,13 +44,13 @@
         what: String,
     },
     /// Something is in use.
-    #[display("{what} is in use by {user}: change or drop that first")]
+    #[display("{what} is in use by {used_by}: change or drop that first")]
     #[from(ignore)]
     InUse {
         /// What is in use.
         what: String,
         /// What uses it.
-        user: String,
+        used_by: String,
     },
     /// A new account lacks a limit.
     #[display("the new account has no limit for {key}: add '{key} NUMBER'")]
@@ -67,7 +67,7 @@
 impl EditError {
     /// Tells whether the name is taken.
     #[must_use]
-    pub const fn is_exists(&self) -> bool {
+    pub const fn is_name_taken(&self) -> bool {
         matches!(self, Self::Exists { .. })
     }
 }
@@ -83,48 +83,48 @@
     ///
     /// Returns an [`EditError`] if the change does not fit.
     pub fn resolve(&self, config: &Config) -> Result<Change, EditError> {
-        let change = self.raw_change(config)?;
+        let change = self.unchecked_change(config)?;
         change.apply(config)?;
         Ok(change)
     }
 
-    fn raw_change(&self, config: &Config) -> Result<Change, EditError> {
+    fn unchecked_change(&self, config: &Config) -> Result<Change, EditError> {
         Ok(match self.clone() {
             Self::CreatePipeline { name, clauses } => {
-                absent(config.pipelines.contains_key(&name), "pipeline", &name)?;
-                let pipeline = altered(empty_pipeline(), &clauses);
+                check_absent(config.pipelines.contains_key(&name), "pipeline", &name)?;
+                let pipeline = with_clauses(empty_pipeline(), &clauses);
                 Change::SetPipeline { name, pipeline }
             }
             Self::AlterPipeline { name, clauses } => {
                 let found = config.pipelines.get(&name).cloned();
-                let found = found.ok_or_else(|| missing("pipeline", &name))?;
-                let pipeline = altered(found, &clauses);
+                let found = found.ok_or_else(|| missing_error("pipeline", &name))?;
+                let pipeline = with_clauses(found, &clauses);
                 Change::SetPipeline { name, pipeline }
             }
             Self::DropPipeline(name) => {
-                let user = binding_of(config, &name);
-                unused("pipeline", &name, user)?;
+                let used_by = find_binding(config, &name);
+                check_unused("pipeline", &name, used_by)?;
                 Change::DropPipeline { name }
             }
             Self::CreateAccount { name, keys, limits } => {
-                absent(config.accounts.contains_key(&name), "account", &name)?;
+                check_absent(config.accounts.contains_key(&name), "account", &name)?;
                 let mut account = Account {
                     keys,
-                    limits: complete(&limits)?,
+                    limits: initial_limits(&limits)?,
                     share: 1.0,
                 };
-                limit(&mut account, &limits);
+                apply_limits(&mut account, &limits);
                 Change::SetAccount { name, account }
             }
             Self::DropAccount(name) => Change::DropAccount { name },
             Self::CreatePool { name, price, path } => {
-                absent(config.pools.contains_key(&name), "pool", &name)?;
+                check_absent(config.pools.contains_key(&name), "pool", &name)?;
                 let pool = Pool { price, path };
                 Change::SetPool { name, pool }
             }
             Self::DropPool(name) => {
-                let user = pipeline_of(config, &name);
-                unused("pool", &name, user)?;
+                let used_by = find_pipeline(config, &name);
+                check_unused("pool", &name, used_by)?;
                 Change::DropPool { name }
             }
             Self::Bind {
@@ -139,8 +139,8 @@
             Self::Unbind { account, kind } => Change::Unbind { account, kind },
             Self::SetLimit { account, limits } => {
                 let found = config.accounts.get(&account).cloned();
-                let mut found = found.ok_or_else(|| missing("account", &account))?;
-                limit(&mut found, &limits);
+                let mut found = found.ok_or_else(|| missing_error("account", &account))?;
+                apply_limits(&mut found, &limits);
                 Change::SetAccount {
                     name: account,
                     account: found,
@@ -152,35 +152,40 @@
     }
 }
 
-fn absent(taken: bool, what: &str, name: &impl ToString) -> Result<(), EditError> {
-    if taken {
+fn check_absent(exists: bool, what: &str, name: &impl ToString) -> Result<(), EditError> {
+    if exists {
         let what = format!("{what} {}", name.to_string());
         return Err(EditError::Exists { what });
     }
     Ok(())
 }
 
-fn binding_of(config: &Config, name: &PipelineName) -> Option<String> {
-    let all = config.bindings.iter();
-    let mut all = all.flat_map(|(account, kinds)| kinds.iter().map(move |k| (account, k)));
-    let found = all.find(|(_, (_, bound))| *bound == name);
+fn find_binding(config: &Config, name: &PipelineName) -> Option<String> {
+    let bindings = config.bindings.iter();
+    let mut bindings =
+        bindings.flat_map(|(account, kinds)| kinds.iter().map(move |k| (account, k)));
+    let found = bindings.find(|(_, (_, bound))| *bound == name);
     found.map(|(account, (kind, _))| format!("the binding of {account} {kind}"))
 }
 
-fn pipeline_of(config: &Config, name: &PoolName) -> Option<String> {
+fn find_pipeline(config: &Config, name: &PoolName) -> Option<String> {
     let mut pipelines = config.pipelines.iter();
     let found = pipelines.find(|(_, p)| p.stages.iter().any(|s| s.pool == *name));
     found.map(|(pipeline, _)| format!("pipeline {pipeline}"))
 }
 
-fn unused(what: &str, name: &impl ToString, user: Option<String>) -> Result<(), EditError> {
-    user.map_or(Ok(()), |user| {
+fn check_unused(
+    what: &str,
+    name: &impl ToString,
+    used_by: Option<String>,
+) -> Result<(), EditError> {
+    used_by.map_or(Ok(()), |used_by| {
         let what = format!("{what} {}", name.to_string());
-        Err(EditError::InUse { what, user })
+        Err(EditError::InUse { what, used_by })
     })
 }
 
-fn missing(what: &str, name: &impl ToString) -> EditError {
+fn missing_error(what: &str, name: &impl ToString) -> EditError {
     let what = format!("{what} {}", name.to_string());
     EditError::Missing { what }
 }
@@ -193,7 +198,7 @@
     }
 }
 
-fn altered(mut pipeline: Pipeline, clauses: &[Clause]) -> Pipeline {
+fn with_clauses(mut pipeline: Pipeline, clauses: &[Clause]) -> Pipeline {
     for clause in clauses {
         match clause {
             Clause::Deadline(deadline) => pipeline.deadline_ms = deadline.millis() as u64,
@@ -207,9 +212,9 @@
     pipeline
 }
 
-fn complete(limits: &[LimitEdit]) -> Result<Limits, EditError> {
-    let needed = [LimitKey::Requests, LimitKey::Tokens, LimitKey::Concurrency];
-    for key in needed {
+fn initial_limits(limits: &[LimitEdit]) -> Result<Limits, EditError> {
+    let required = [LimitKey::Requests, LimitKey::Tokens, LimitKey::Concurrency];
+    for key in required {
         if !limits.iter().any(|l| l.key == key) {
             let key = key.to_string();
             return Err(EditError::NoLimit { key });
@@ -222,7 +227,7 @@
     })
 }
 
-fn limit(account: &mut Account, limits: &[LimitEdit]) {
+fn apply_limits(account: &mut Account, limits: &[LimitEdit]) {
     for edit in limits {
         match edit.key {
             LimitKey::Requests => account.limits.requests = RequestRate(edit.value),
@@ -238,7 +243,7 @@
 pub fn config_diff(old: &Config, new: &Config) -> Vec<String> {
     let before: BTreeSet<_> = statements(old).into_iter().collect();
     let after: BTreeSet<_> = statements(new).into_iter().collect();
-    let gone = before.difference(&after).map(|l| format!("- {l}"));
-    let come = after.difference(&before).map(|l| format!("+ {l}"));
-    gone.chain(come).collect()
+    let removed = before.difference(&after).map(|l| format!("- {l}"));
+    let added = after.difference(&before).map(|l| format!("+ {l}"));
+    removed.chain(added).collect()
 }
--- a/lib/src/query/ast.rs
+++ b/lib/src/query/ast.rs
@@ -42,11 +42,11 @@
     #[display("explain request {_0}")]
     Explain(RequestId),
     /// Asks for the configuration, now or at an earlier revision.
-    #[display("show config{}", at(*_0))]
+    #[display("show config{}", at_clause(*_0))]
     Config(Option<Revision>),
 }
 
-fn at(revision: Option<Revision>) -> String {
+fn at_clause(revision: Option<Revision>) -> String {
     revision.map_or_else(String::new, |r| format!(" at revision {r}"))
 }
 
@@ -136,18 +136,18 @@
         value: Value,
     },
     /// The opposite.
-    #[display("not {}", _0.nested())]
+    #[display("not {}", _0.operand())]
     Not(Box<Self>),
     /// All of them.
-    #[display("{}", joined(_0, " and "))]
+    #[display("{}", join_filters(_0, " and "))]
     All(Vec<Self>),
     /// At least one of them.
-    #[display("{}", joined(_0, " or "))]
+    #[display("{}", join_filters(_0, " or "))]
     Any(Vec<Self>),
 }
 
 impl Filter {
-    fn nested(&self) -> String {
+    fn operand(&self) -> String {
         match self {
             Self::All(_) | Self::Any(_) => format!("({self})"),
             _ => self.to_string(),
@@ -155,9 +155,9 @@
     }
 }
 
-fn joined(parts: &[Filter], word: &str) -> String {
-    let parts: Vec<_> = parts.iter().map(Filter::nested).collect();
-    parts.join(word)
+fn join_filters(filters: &[Filter], separator: &str) -> String {
+    let filters: Vec<_> = filters.iter().map(Filter::operand).collect();
+    filters.join(separator)
 }
 
 fn literal(value: &Value) -> String {
@@ -182,7 +182,7 @@
 /// A change of the configuration on a base revision.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
-#[display("{}{edit}{}", if *dry_run { "dry-run " } else { "" }, on(*base))]
+#[display("{}{edit}{}", if *dry_run { "dry-run " } else { "" }, on_clause(*base))]
 pub struct ChangeCommand {
     /// The change.
     pub edit: Edit,
@@ -192,6 +192,6 @@
     pub dry_run: bool,
 }
 
-fn on(base: Option<Revision>) -> String {
+fn on_clause(base: Option<Revision>) -> String {
     base.map_or_else(String::new, |b| format!(" on revision {b}"))
 }
--- a/lib/src/query/edit.rs
+++ b/lib/src/query/edit.rs
@@ -69,7 +69,7 @@
         value: f64,
     },
     /// The stages, in order.
-    #[display("stages ({})", stages(_0))]
+    #[display("stages ({})", stage_list(_0))]
     Stages(Vec<Stage>),
 }
 
@@ -78,7 +78,7 @@
 #[derive(Display)]
 pub enum Edit {
     /// Adds a pipeline.
-    #[display("create pipeline {name} {}", words(clauses))]
+    #[display("create pipeline {name} {}", join_spaced(clauses))]
     CreatePipeline {
         /// The pipeline.
         name: PipelineName,
@@ -86,7 +86,7 @@
         clauses: Vec<Clause>,
     },
     /// Changes parts of a pipeline.
-    #[display("alter pipeline {name} {}", words(clauses))]
+    #[display("alter pipeline {name} {}", join_spaced(clauses))]
     AlterPipeline {
         /// The pipeline.
         name: PipelineName,
@@ -97,7 +97,11 @@
     #[display("drop pipeline {_0}")]
     DropPipeline(PipelineName),
     /// Adds a client account.
-    #[display("create account {name} keys ({}) {}", list(keys), words(limits))]
+    #[display(
+        "create account {name} keys ({}) {}",
+        join_commas(keys),
+        join_spaced(limits)
+    )]
     CreateAccount {
         /// The account.
         name: ClientAccount,
@@ -110,7 +114,7 @@
     #[display("drop account {_0}")]
     DropAccount(ClientAccount),
     /// Adds a pool.
-    #[display("create pool {name} price {price}{}", at_path(path.as_ref()))]
+    #[display("create pool {name} price {price}{}", path_clause(path.as_ref()))]
     CreatePool {
         /// The pool.
         name: PoolName,
@@ -141,7 +145,7 @@
         kind: RequestKind,
     },
     /// Sets limits of an account.
-    #[display("set limit {account} {}", words(limits))]
+    #[display("set limit {account} {}", join_spaced(limits))]
     SetLimit {
         /// The account.
         account: ClientAccount,
@@ -156,27 +160,27 @@
     Resume(DrainTarget),
 }
 
-fn words(parts: &[impl ToString]) -> String {
-    let parts: Vec<_> = parts.iter().map(ToString::to_string).collect();
-    parts.join(" ")
+fn join_spaced(items: &[impl ToString]) -> String {
+    let items: Vec<_> = items.iter().map(ToString::to_string).collect();
+    items.join(" ")
 }
 
-fn list(parts: &[impl ToString]) -> String {
-    let parts: Vec<_> = parts.iter().map(ToString::to_string).collect();
-    parts.join(", ")
+fn join_commas(items: &[impl ToString]) -> String {
+    let items: Vec<_> = items.iter().map(ToString::to_string).collect();
+    items.join(", ")
 }
 
-fn at_path(path: Option<&String>) -> String {
+fn path_clause(path: Option<&String>) -> String {
     path.map_or_else(String::new, |p| format!(" path {p}"))
 }
 
-fn stages(stages: &[Stage]) -> String {
-    let parts: Vec<_> = stages.iter().map(stage).collect();
-    parts.join(", ")
+fn stage_list(stages: &[Stage]) -> String {
+    let items: Vec<_> = stages.iter().map(stage_text).collect();
+    items.join(", ")
 }
 
 /// Writes a stage as the language has it.
-pub(super) fn stage(stage: &Stage) -> String {
+pub(super) fn stage_text(stage: &Stage) -> String {
     let model = stage.model.as_ref();
     let model = model.map_or_else(String::new, |m| format!(" model {m}"));
     let once = if stage.idempotent { "" } else { " once" };
--- a/lib/src/query/error.rs
+++ b/lib/src/query/error.rs
@@ -90,7 +90,7 @@
 /// A problem with the place where it was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
-#[display("{}:{}: {problem}\n{}", location.line, location.column, pointer(location))]
+#[display("{}:{}: {problem}\n{}", location.line, location.column, marked_line(location))]
 pub struct QueryError {
     /// What is wrong.
     #[error(not(source))]
@@ -107,7 +107,7 @@
     }
 }
 
-fn pointer(location: &ErrorLocation) -> String {
+fn marked_line(location: &ErrorLocation) -> String {
     let before = " ".repeat(location.column.saturating_sub(1));
     let under = "^".repeat(location.width);
     format!("  {}\n  {before}{under}", location.text)
--- a/lib/src/query/evaluate.rs
+++ b/lib/src/query/evaluate.rs
@@ -38,13 +38,13 @@
 /// Returns a [`FactError`] if the request or revision asked for is not known.
 pub fn evaluate(query: &Query, facts: &dyn Facts) -> Result<Table, FactError> {
     match query {
-        Query::Show(show) => shown(show, facts),
+        Query::Show(show) => show_rows(show, facts),
         Query::Explain(id) => {
             let request = facts.request(*id);
             let request = request.ok_or(FactError::NoRequest { id: *id })?;
-            Ok(explain::request(&request, facts.now()))
+            Ok(explain::request_events(&request, facts.now()))
         }
-        Query::Config(at) => Ok(explain::config(&facts.config(*at)?)),
+        Query::Config(at) => Ok(explain::config_statements(&facts.config(*at)?)),
     }
 }
 
@@ -56,19 +56,19 @@
         Filter::Compare {
             field,
             op,
-            value: wanted,
-        } => compare(&value(*field), *op, wanted),
-        Filter::Not(opposite) => !matches(opposite, value),
-        Filter::All(parts) => parts.iter().all(|p| matches(p, value)),
-        Filter::Any(parts) => parts.iter().any(|p| matches(p, value)),
+            value: expected,
+        } => compare(&value(*field), *op, expected),
+        Filter::Not(negated) => !matches(negated, value),
+        Filter::All(filters) => filters.iter().all(|f| matches(f, value)),
+        Filter::Any(filters) => filters.iter().any(|f| matches(f, value)),
     }
 }
 
-fn compare(found: &Value, op: Op, wanted: &Value) -> bool {
-    if let (Op::Has, Value::Text(found), Value::Text(wanted)) = (op, found, wanted) {
-        return found.contains(wanted.as_str());
+fn compare(found: &Value, op: Op, expected: &Value) -> bool {
+    if let (Op::Has, Value::Text(found), Value::Text(expected)) = (op, found, expected) {
+        return found.contains(expected.as_str());
     }
-    let order = found.compare(wanted);
+    let order = found.compare(expected);
     match op {
         Op::Eq => order == Some(Ordering::Equal),
         Op::Ne => order != Some(Ordering::Equal),
@@ -106,8 +106,8 @@
         }
     }
 
-    fn take(&mut self, record: &dyn Record) {
-        if !self.wanted(record) {
+    fn add(&mut self, record: &dyn Record) {
+        if !self.accepts(record) {
             return;
         }
         if let Some(by) = self.show.by {
@@ -125,10 +125,10 @@
         self.table.rows.push(row);
     }
 
-    fn wanted(&self, record: &dyn Record) -> bool {
-        if let (Some(since), Some(age)) = (self.show.since, self.show.subject.age()) {
-            let old = compare(&record.value(age), Op::Gt, &Value::Interval(since));
-            if old {
+    fn accepts(&self, record: &dyn Record) -> bool {
+        if let (Some(since), Some(age)) = (self.show.since, self.show.subject.age_field()) {
+            let too_old = compare(&record.value(age), Op::Gt, &Value::Interval(since));
+            if too_old {
                 return false;
             }
         }
@@ -147,42 +147,42 @@
     }
 }
 
-fn shown(show: &Show, facts: &dyn Facts) -> Result<Table, FactError> {
+fn show_rows(show: &Show, facts: &dyn Facts) -> Result<Table, FactError> {
     let mut rows = Collector::new(show);
     match show.subject {
         Subject::Requests => {
             let now = facts.now();
-            facts.requests(&mut |request| rows.take(&RequestAt { request, now }));
+            facts.requests(&mut |request| rows.add(&RequestAt { request, now }));
         }
-        Subject::Endpoints => take_all(&mut rows, &facts.endpoints()),
-        Subject::Hosts => take_all(&mut rows, &facts.hosts()?),
-        Subject::Domains => take_all(&mut rows, &domains(facts)?),
-        Subject::Nodes => take_all(&mut rows, &facts.nodes()),
-        Subject::Leases => take_all(&mut rows, &facts.leases()?),
-        Subject::Changes => take_all(&mut rows, &facts.changes()),
+        Subject::Endpoints => add_all(&mut rows, &facts.endpoints()),
+        Subject::Hosts => add_all(&mut rows, &facts.hosts()?),
+        Subject::Domains => add_all(&mut rows, &domains(facts)?),
+        Subject::Nodes => add_all(&mut rows, &facts.nodes()),
+        Subject::Leases => add_all(&mut rows, &facts.leases()?),
+        Subject::Changes => add_all(&mut rows, &facts.changes()),
         Subject::Pipelines | Subject::Bindings | Subject::Accounts | Subject::Pools => {
-            configured(&mut rows, facts)?;
+            add_config_rows(&mut rows, facts)?;
         }
     }
     Ok(rows.finish())
 }
 
-fn take_all<R: Record>(rows: &mut Collector<'_>, records: &[R]) {
+fn add_all<R: Record>(rows: &mut Collector<'_>, records: &[R]) {
     for record in records {
-        rows.take(record);
+        rows.add(record);
     }
 }
 
-fn configured(rows: &mut Collector<'_>, facts: &dyn Facts) -> Result<(), FactError> {
+fn add_config_rows(rows: &mut Collector<'_>, facts: &dyn Facts) -> Result<(), FactError> {
     let config = facts.config(None)?.config;
     match rows.show.subject {
-        Subject::Pipelines => config.pipelines.iter().for_each(|p| rows.take(&p)),
-        Subject::Pools => config.pools.iter().for_each(|p| rows.take(&p)),
-        Subject::Bindings => bindings(rows, &config),
+        Subject::Pipelines => config.pipelines.iter().for_each(|p| rows.add(&p)),
+        Subject::Pools => config.pools.iter().for_each(|p| rows.add(&p)),
+        Subject::Bindings => add_bindings(rows, &config),
         _ => {
             for (name, account) in &config.accounts {
                 let active = facts.active_requests(name);
-                rows.take(&AccountFact {
+                rows.add(&AccountFact {
                     name,
                     account,
                     active,
@@ -193,10 +193,10 @@
     Ok(())
 }
 
-fn bindings(rows: &mut Collector<'_>, config: &Config) {
+fn add_bindings(rows: &mut Collector<'_>, config: &Config) {
     for (account, kinds) in &config.bindings {
         for (kind, pipeline) in kinds {
-            rows.take(&Binding {
+            rows.add(&Binding {
                 account,
                 kind: kind.to_string(),
                 pipeline,
@@ -208,7 +208,7 @@
 fn domains(facts: &dyn Facts) -> Result<Vec<DomainFact>, FactError> {
     let config = facts.config(None)?.config;
     let mut domains: BTreeMap<FailureDomain, DomainFact> = BTreeMap::new();
-    let fact = |domain: &FailureDomain, region| DomainFact {
+    let new_fact = |domain: &FailureDomain, region| DomainFact {
         domain: domain.clone(),
         region,
         draining: is_drained(&config, domain),
@@ -218,7 +218,7 @@
     // Endpoints name their domains too, so the host list is not needed for most.
     for host in facts.hosts().unwrap_or_default() {
         let entry = domains.entry(host.domain.clone());
-        entry.or_insert_with(|| fact(&host.domain, host.region));
+        entry.or_insert_with(|| new_fact(&host.domain, host.region));
     }
     for endpoint in facts.endpoints() {
         let EndpointFact {
@@ -228,7 +228,7 @@
             ..
         } = endpoint;
         let entry = domains.entry(domain.clone());
-        let entry = entry.or_insert_with(|| fact(&domain, region));
+        let entry = entry.or_insert_with(|| new_fact(&domain, region));
         entry.count += 1;
         entry.active += active;
     }
--- a/lib/src/query/explain.rs
+++ b/lib/src/query/explain.rs
@@ -17,25 +17,25 @@
 use crate::time::Time;
 
 // The overshoot of an attempt that is worth naming as the cause of lateness.
-const NOTABLE: Duration = Duration::from_millis(1);
+const NOTABLE_OVERRUN: Duration = Duration::from_millis(1);
 
-fn span(duration: Duration) -> String {
+fn format_duration(duration: Duration) -> String {
     Interval::from(duration).rounded()
 }
 
 /// Tells what happened to a request, in the order of time.
-pub(super) fn request(request: &Request, now: Time) -> Table {
-    let mut events = vec![accepted(request)];
+pub(super) fn request_events(request: &Request, now: Time) -> Table {
+    let mut events = vec![accepted_event(request)];
     for attempt in &request.attempts {
-        events.push(sent(request, attempt));
-        events.extend(ended(request, attempt));
+        events.push(sent_event(request, attempt));
+        events.extend(ended_event(request, attempt));
     }
     events.sort_by_key(|e| e.0);
     if request.unrecorded > 0 {
         let detail = format!("{} more attempts were not recorded", request.unrecorded);
         events.push((now.since(request.at), "omitted", detail));
     }
-    events.push(verdict(request, now));
+    events.push(verdict_event(request, now));
     let row = |(at, event, detail): (Duration, &str, String)| {
         Row(vec![at.into(), event.into(), Value::Text(detail)])
     };
@@ -48,35 +48,35 @@
 
 type Event = (Duration, &'static str, String);
 
-fn accepted(request: &Request) -> Event {
+fn accepted_event(request: &Request) -> Event {
     let accepted = &request.accepted;
-    let predicted = accepted
-        .predicted
-        .map_or_else(String::new, |p| format!(", expected to take {}", span(p)));
+    let predicted = accepted.predicted.map_or_else(String::new, |p| {
+        format!(", expected to take {}", format_duration(p))
+    });
     let detail = format!(
         "{} {} from {} by pipeline {}, deadline {}{predicted}",
         accepted.id,
         accepted.kind,
         accepted.account,
         accepted.pipeline,
-        span(accepted.deadline),
+        format_duration(accepted.deadline),
     );
     (Duration::ZERO, "came", detail)
 }
 
-fn expected(choice: &Choice) -> String {
+fn predicted_text(choice: &Choice) -> String {
     let cost = choice
         .cost
         .map_or_else(String::new, |c| format!(" cost {c}"));
-    format!("{}{cost}", span(choice.predicted))
+    format!("{}{cost}", format_duration(choice.predicted))
 }
 
-fn sent(request: &Request, attempt: &Attempt) -> Event {
+fn sent_event(request: &Request, attempt: &Attempt) -> Event {
     let decision = &attempt.decision;
     let others: Vec<_> = decision
         .others
         .iter()
-        .map(|o| format!("{} {}", o.endpoint, expected(o)))
+        .map(|o| format!("{} {}", o.endpoint, predicted_text(o)))
         .collect();
     let others = if others.is_empty() {
         "no alternative".to_owned()
@@ -90,12 +90,12 @@
         decision.attempt,
         decision.chosen.endpoint,
         decision.why,
-        expected(&decision.chosen),
+        predicted_text(&decision.chosen),
     );
     (attempt.sent.since(request.at), "sent", detail)
 }
 
-fn ended(request: &Request, attempt: &Attempt) -> Option<Event> {
+fn ended_event(request: &Request, attempt: &Attempt) -> Option<Event> {
     let (at, end) = attempt.end.as_ref()?;
     let how = match end {
         AttemptEnd::Completed => "completed".to_owned(),
@@ -107,13 +107,13 @@
         "stage {} attempt {} {how} after {}, predicted {}",
         decision.stage,
         decision.attempt,
-        span(attempt.actual(*at)),
-        span(decision.chosen.predicted),
+        format_duration(attempt.actual(*at)),
+        format_duration(decision.chosen.predicted),
     );
     Some((at.since(request.at), "ended", detail))
 }
 
-fn verdict(request: &Request, now: Time) -> Event {
+fn verdict_event(request: &Request, now: Time) -> Event {
     let elapsed = request.elapsed(now);
     let state = match request.finish {
         None => "still running".to_owned(),
@@ -124,12 +124,12 @@
     };
     let deadline = request.accepted.deadline;
     let timing = if request.is_late(now) {
-        let over = span(elapsed.saturating_sub(deadline));
-        format!("late by {over}{}", cause(request, now))
+        let overrun = format_duration(elapsed.saturating_sub(deadline));
+        format!("late by {overrun}{}", lateness_cause(request, now))
     } else {
         format!(
             "{} before its deadline",
-            span(deadline.saturating_sub(elapsed))
+            format_duration(deadline.saturating_sub(elapsed))
         )
     };
     let event = if request.is_running() {
@@ -140,29 +140,29 @@
     (elapsed, event, format!("{state}, {timing}"))
 }
 
-fn cause(request: &Request, now: Time) -> String {
+fn lateness_cause(request: &Request, now: Time) -> String {
     let Some(slowest) = request.slowest(now) else {
         return "; no stage was reached".to_owned();
     };
     let predicted = slowest.decision.chosen.predicted;
     let actual = slowest.actual(request.until(now));
-    let over = actual.saturating_sub(predicted);
-    if over < NOTABLE {
+    let overrun = actual.saturating_sub(predicted);
+    if overrun < NOTABLE_OVERRUN {
         return "; every attempt kept its prediction: the time went between them".to_owned();
     }
     format!(
         "; most of it at stage {} on {}: {} instead of {}",
         slowest.decision.stage,
         slowest.decision.chosen.endpoint,
-        span(actual),
-        span(predicted),
+        format_duration(actual),
+        format_duration(predicted),
     )
 }
 
 /// Writes a configuration as the statements that would make it.
-pub(super) fn config(fact: &ConfigFact) -> Table {
+pub(super) fn config_statements(fact: &ConfigFact) -> Table {
     let lines = statements(&fact.config);
-    let row = |line| Row(vec![Value::count(fact.revision.0), Value::Text(line)]);
+    let row = |line| Row(vec![Value::from_count(fact.revision.0), Value::Text(line)]);
     Table {
         columns: vec![Field::Revision, Field::Detail],
         rows: lines.into_iter().map(row).collect(),
@@ -178,7 +178,7 @@
         format!("create pool {name} price {}{path}", pool.price)
     });
     let pipelines = config.pipelines.iter().map(|(name, pipeline)| {
-        let stages: Vec<_> = pipeline.stages.iter().map(edit::stage).collect();
+        let stages: Vec<_> = pipeline.stages.iter().map(edit::stage_text).collect();
         format!(
             "create pipeline {name} deadline {} lateness {} cost {} stages ({})",
             Interval::from(pipeline.deadline()),
--- a/lib/src/query/facts.rs
+++ b/lib/src/query/facts.rs
@@ -229,22 +229,24 @@
         let request = self.request;
         let accepted = &request.accepted;
         match field {
-            Field::Id => Value::text(&accepted.id),
-            Field::Account => Value::text(&accepted.account),
-            Field::Kind => Value::text(&accepted.kind),
-            Field::Pipeline => Value::text(&accepted.pipeline),
-            Field::State => Value::from(state(request)),
-            Field::Reason => Value::some(request.finish.and_then(|f| f.reason).map(|r| text(&r))),
+            Field::Id => Value::from_display(&accepted.id),
+            Field::Account => Value::from_display(&accepted.account),
+            Field::Kind => Value::from_display(&accepted.kind),
+            Field::Pipeline => Value::from_display(&accepted.pipeline),
+            Field::State => Value::from(request_state(request)),
+            Field::Reason => {
+                Value::from_option(request.finish.and_then(|f| f.reason).map(|r| text(&r)))
+            }
             Field::Age => self.now.since(request.at).into(),
             Field::Elapsed => request.elapsed(self.now).into(),
-            Field::Predicted => Value::some(accepted.predicted),
+            Field::Predicted => Value::from_option(accepted.predicted),
             Field::Deadline => accepted.deadline.into(),
-            Field::Stage => Value::some(request.stage().map(text)),
-            Field::Endpoint => Value::some(request.endpoint().map(text)),
+            Field::Stage => Value::from_option(request.stage().map(text)),
+            Field::Endpoint => Value::from_option(request.endpoint().map(text)),
             Field::Attempts => {
-                Value::count(request.attempts.len() as u64 + u64::from(request.unrecorded))
+                Value::from_count(request.attempts.len() as u64 + u64::from(request.unrecorded))
             }
-            Field::Outcome => Value::some(request.finish.map(|f| text(&f.outcome))),
+            Field::Outcome => Value::from_option(request.finish.map(|f| text(&f.outcome))),
             Field::Late => request.is_late(self.now).into(),
             Field::Refused => request.is_refused().into(),
             Field::Running => request.is_running().into(),
@@ -253,7 +255,7 @@
     }
 }
 
-fn state(request: &Request) -> &'static str {
+fn request_state(request: &Request) -> &'static str {
     if request.is_running() {
         "running"
     } else if request.is_refused() {
@@ -264,7 +266,7 @@
 }
 
 fn text(value: &impl ToString) -> Value {
-    Value::text(value)
+    Value::from_display(value)
 }
 
 fn number(value: u32) -> Value {
@@ -273,7 +275,7 @@
 
 impl Record for (&PipelineName, &Pipeline) {
     fn value(&self, field: Field) -> Value {
-        let stages: Vec<_> = self.1.stages.iter().map(edit::stage).collect();
+        let stages: Vec<_> = self.1.stages.iter().map(edit::stage_text).collect();
         match field {
             Field::Pipeline => text(self.0),
             Field::Deadline => self.1.deadline().into(),
@@ -335,7 +337,7 @@
         match field {
             Field::Pool => text(self.0),
             Field::Price => self.1.price.into(),
-            Field::Path => Value::some(self.1.path.as_deref()),
+            Field::Path => Value::from_option(self.1.path.as_deref()),
             _ => Value::Absent,
         }
     }
@@ -352,7 +354,7 @@
             Field::Active => number(self.active),
             Field::Queued => number(self.queued),
             Field::Slots => number(self.slots),
-            Field::Pending => Value::count(self.pending),
+            Field::Pending => Value::from_count(self.pending),
             Field::Report => self.report_age.into(),
             Field::Fresh => self.fresh.into(),
             Field::Healthy => self.healthy.into(),
@@ -410,7 +412,7 @@
             Field::Host => text(&self.host),
             Field::Domain => text(&self.domain),
             Field::Address => text(&self.address),
-            Field::Revision => Value::some(self.revision.map(|r| Value::count(r.0))),
+            Field::Revision => Value::from_option(self.revision.map(|r| Value::from_count(r.0))),
             Field::Report => self.report_age.into(),
             Field::Fresh => self.fresh.into(),
             Field::Draining => self.draining.into(),
@@ -423,8 +425,8 @@
     fn value(&self, field: Field) -> Value {
         match field {
             Field::Lease => text(&self.lease),
-            Field::Holder => Value::some(self.holder.as_ref().map(text)),
-            Field::Fence => Value::count(self.fence.0),
+            Field::Holder => Value::from_option(self.holder.as_ref().map(text)),
+            Field::Fence => Value::from_count(self.fence.0),
             Field::Left => self.remaining.into(),
             Field::State => text(&self.state),
             _ => Value::Absent,
@@ -435,7 +437,7 @@
 impl Record for ChangeFact {
     fn value(&self, field: Field) -> Value {
         match field {
-            Field::Revision => Value::count(self.revision.0),
+            Field::Revision => Value::from_count(self.revision.0),
             Field::Author => text(&self.author),
             Field::State => text(&self.state),
             Field::Detail => text(&self.detail),
--- a/lib/src/query/field.rs
+++ b/lib/src/query/field.rs
@@ -227,7 +227,7 @@
 impl Subject {
     /// Finds the subject of that name.
     #[must_use]
-    pub fn named(text: &str) -> Option<Self> {
+    pub fn from_name(text: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|s| s.to_string() == text)
     }
 
@@ -239,8 +239,8 @@
 
     /// Returns the field that `since` measures, if there is one.
     #[must_use]
-    pub fn age(self) -> Option<Field> {
-        let timed = self.fields().contains(&Field::Age);
-        timed.then_some(Field::Age)
+    pub fn age_field(self) -> Option<Field> {
+        let has_age = self.fields().contains(&Field::Age);
+        has_age.then_some(Field::Age)
     }
 }
--- a/lib/src/query/history.rs
+++ b/lib/src/query/history.rs
@@ -43,7 +43,7 @@
 
     /// Returns the newest revision.
     #[must_use]
-    pub fn last(&self) -> Revision {
+    pub fn newest_revision(&self) -> Revision {
         self.changes
             .back()
             .map_or(self.base.revision, |w| w.revision)
@@ -54,7 +54,7 @@
     /// A change that does not follow the newest revision is ignored; call
     /// [`History::new`] after a snapshot took the state over.
     pub fn on_change(&mut self, winner: Winner) {
-        if winner.revision != self.last().next() {
+        if winner.revision != self.newest_revision().next() {
             return;
         }
         self.changes.push_back(winner);
@@ -62,7 +62,7 @@
             return;
         }
         if let Some(oldest) = self.changes.pop_front() {
-            let config = applied(&self.base.config, &oldest.change);
+            let config = apply_or_keep(&self.base.config, &oldest.change);
             self.base = ConfigFact {
                 revision: oldest.revision,
                 config,
@@ -76,8 +76,8 @@
     ///
     /// Returns a [`FactError`] if the revision is too old or not yet made.
     pub fn config_at(&self, revision: Option<Revision>) -> Result<ConfigFact, FactError> {
-        let requested = revision.unwrap_or_else(|| self.last());
-        let (first, last) = (self.base.revision, self.last());
+        let requested = revision.unwrap_or_else(|| self.newest_revision());
+        let (first, last) = (self.base.revision, self.newest_revision());
         if requested < first || requested > last {
             return Err(FactError::NoRevision {
                 requested,
@@ -87,7 +87,7 @@
         }
         let mut config = Arc::clone(&self.base.config);
         for winner in self.changes.iter().take_while(|w| w.revision <= requested) {
-            config = applied(&config, &winner.change);
+            config = apply_or_keep(&config, &winner.change);
         }
         Ok(ConfigFact {
             revision: requested,
@@ -110,7 +110,7 @@
 
 // The fold accepted the change on this very configuration, so applying it
 // again can't fail; should it, the configuration stays as it was.
-fn applied(config: &Arc<Config>, change: &Change) -> Arc<Config> {
+fn apply_or_keep(config: &Arc<Config>, change: &Change) -> Arc<Config> {
     change
         .apply(config)
         .map_or_else(|_refused| Arc::clone(config), Arc::new)
--- a/lib/src/query/interval.rs
+++ b/lib/src/query/interval.rs
@@ -31,7 +31,7 @@
 /// A length of time, written as a number with its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Serialize, Deserialize, Display)]
-#[display("{}", exact(*micros))]
+#[display("{}", exact_text(*micros))]
 #[serde(transparent)]
 pub struct Interval {
     micros: u64,
@@ -73,19 +73,19 @@
     type Err = IntervalError;
 
     fn from_str(text: &str) -> Result<Self, IntervalError> {
-        let wrong = || IntervalError {
+        let invalid = || IntervalError {
             text: text.to_owned(),
         };
-        let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
-        let (number, unit) = text.split_at(digits);
-        let found = UNITS.iter().find(|u| u.0 == unit).ok_or_else(wrong)?;
-        let number: u64 = number.parse().map_err(|_malformed| wrong())?;
-        let micros = number.checked_mul(found.1).ok_or_else(wrong)?;
+        let digits_len = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
+        let (number, unit) = text.split_at(digits_len);
+        let found = UNITS.iter().find(|u| u.0 == unit).ok_or_else(invalid)?;
+        let number: u64 = number.parse().map_err(|_malformed| invalid())?;
+        let micros = number.checked_mul(found.1).ok_or_else(invalid)?;
         Ok(Self { micros })
     }
 }
 
-fn exact(micros: u64) -> String {
+fn exact_text(micros: u64) -> String {
     let fits = |u: &&(&str, u64)| micros.is_multiple_of(u.1);
     match UNITS.iter().find(fits) {
         Some((unit, size)) if micros > 0 => format!("{}{unit}", micros / size),
--- a/lib/src/query/parse.rs
+++ b/lib/src/query/parse.rs
@@ -41,7 +41,7 @@
 const DEPTH_MAX: usize = 64;
 
 /// The pause of `watch` without `every`.
-const EVERY: &str = "2s";
+const WATCH_PERIOD_DEFAULT: &str = "2s";
 
 pub(super) use grammar::Grammar;
 pub(super) use grammar::Rule;
@@ -54,7 +54,7 @@
     pub struct Grammar;
 }
 
-pub(super) type Parsed<T> = Result<T, QueryError>;
+pub(super) type ParseResult<T> = Result<T, QueryError>;
 
 /// Parses statements that `;` separates.
 ///
@@ -64,7 +64,7 @@
 pub fn parse(text: &str) -> Result<Vec<Statement>, QueryError> {
     let text = text.trim_end();
     check_size(text)?;
-    let mut pairs = Grammar::parse(Rule::script, text).map_err(|e| syntax(text, &e))?;
+    let mut pairs = Grammar::parse(Rule::script, text).map_err(|e| syntax_error(text, &e))?;
     let script = pairs.next();
     script
         .into_iter()
@@ -84,27 +84,27 @@
     let count = statements.len();
     match statements.pop() {
         Some(one) if count == 1 => Ok(one),
-        _ => Err(whole(text, QueryProblem::Count { count })),
+        _ => Err(text_error(text, QueryProblem::Count { count })),
     }
 }
 
-fn check_size(text: &str) -> Parsed<()> {
+fn check_size(text: &str) -> ParseResult<()> {
     if text.len() > TEXT_MAX_BYTES {
         let problem = format!("the text has over {TEXT_MAX_BYTES} bytes: send it in parts");
-        return Err(whole("", QueryProblem::Value(problem)));
+        return Err(text_error("", QueryProblem::Value(problem)));
     }
     if text
         .split(';')
-        .any(|statement| depth(statement) > DEPTH_MAX)
+        .any(|statement| nesting_bound(statement) > DEPTH_MAX)
     {
         let problem = format!("over {DEPTH_MAX} brackets or 'not' in one statement: use fewer");
-        return Err(whole("", QueryProblem::Value(problem)));
+        return Err(text_error("", QueryProblem::Value(problem)));
     }
     Ok(())
 }
 
 /// Bounds from above how deep the parser descends into a statement.
-fn depth(statement: &str) -> usize {
+fn nesting_bound(statement: &str) -> usize {
     let mut open = 0_usize;
     let mut deepest = 0;
     for char in statement.chars() {
@@ -115,11 +115,11 @@
         }
         deepest = deepest.max(open);
     }
-    let words = statement.split(|c: char| !words::is_word(c));
+    let words = statement.split(|c: char| !words::is_word_char(c));
     deepest + words.filter(|w| w.eq_ignore_ascii_case("not")).count()
 }
 
-fn whole(text: &str, problem: QueryProblem) -> QueryError {
+fn text_error(text: &str, problem: QueryProblem) -> QueryError {
     let text = text.lines().next().unwrap_or_default().to_owned();
     let location = ErrorLocation {
         line: 1,
@@ -134,7 +134,7 @@
 }
 
 /// Builds an error that points at a pair.
-pub(super) fn at(pair: &Pair<'_, Rule>, problem: QueryProblem) -> QueryError {
+pub(super) fn error_at(pair: &Pair<'_, Rule>, problem: QueryProblem) -> QueryError {
     let span = pair.as_span();
     let (line, column) = span.start_pos().line_col();
     let text = span.start_pos().line_of().trim_end().to_owned();
@@ -150,7 +150,7 @@
     }
 }
 
-fn syntax(text: &str, error: &pest::error::Error<Rule>) -> QueryError {
+fn syntax_error(text: &str, error: &pest::error::Error<Rule>) -> QueryError {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(at) | LineColLocation::Span(at, _) => at,
     };
@@ -158,9 +158,9 @@
         InputLocation::Pos(at) | InputLocation::Span((at, _)) => at,
     };
     let rest = text.get(start..).unwrap_or_default();
-    let word = words::first(rest);
+    let word = words::first_word(rest);
     let expected = match &error.variant {
-        ErrorVariant::ParsingError { positives, .. } => words::expected(positives),
+        ErrorVariant::ParsingError { positives, .. } => words::describe_expected(positives),
         ErrorVariant::CustomError { message } => message.clone(),
     };
     let found = if word.is_empty() {
@@ -181,56 +181,56 @@
 }
 
 /// Reads a word as a checked type whose error names the remedy.
-pub(super) fn word<T>(pair: &Pair<'_, Rule>) -> Parsed<T>
+pub(super) fn parse_word<T>(pair: &Pair<'_, Rule>) -> ParseResult<T>
 where
     T: FromStr,
     T::Err: Display,
 {
     let parsed = pair.as_str().parse();
-    parsed.map_err(|e: T::Err| at(pair, QueryProblem::Value(e.to_string())))
+    parsed.map_err(|e: T::Err| error_at(pair, QueryProblem::Value(e.to_string())))
 }
 
 /// Reads a finite number.
-pub(super) fn number(pair: &Pair<'_, Rule>) -> Parsed<f64> {
+pub(super) fn parse_number(pair: &Pair<'_, Rule>) -> ParseResult<f64> {
     let parsed = pair.as_str().parse::<f64>().ok();
     parsed.filter(|n| n.is_finite()).ok_or_else(|| {
         let text = format!(
             "{:?} is no number: write digits, as in 12 or 0.5",
             pair.as_str()
         );
-        at(pair, QueryProblem::Value(text))
+        error_at(pair, QueryProblem::Value(text))
     })
 }
 
-fn whole_number(pair: &Pair<'_, Rule>) -> Parsed<u64> {
+fn parse_integer(pair: &Pair<'_, Rule>) -> ParseResult<u64> {
     pair.as_str().parse().map_err(|_malformed| {
         let text = format!(
             "{:?} is no whole number: write digits, as in 41",
             pair.as_str()
         );
-        at(pair, QueryProblem::Value(text))
+        error_at(pair, QueryProblem::Value(text))
     })
 }
 
-fn statement(pair: &Pair<'_, Rule>) -> Parsed<Statement> {
+fn statement(pair: &Pair<'_, Rule>) -> ParseResult<Statement> {
     let Some(inner) = pair.clone().into_inner().next() else {
-        return Err(missing(pair));
+        return Err(missing_error(pair));
     };
     match inner.as_rule() {
         Rule::help => Ok(Statement::Help),
         Rule::watch => watch(&inner),
         Rule::explain => Ok(Query::Explain(request(&inner)?).into()),
         Rule::show_config => Ok(Query::Config(revision(&inner)?).into()),
-        Rule::show => Ok(Query::Show(question(&part(&inner, Rule::question)?)?).into()),
+        Rule::show => Ok(Query::Show(question(&child(&inner, Rule::question)?)?).into()),
         Rule::stop => Ok(Command::Stop(request(&inner)?).into()),
         _ => Ok(Command::Change(changing(&inner)?).into()),
     }
 }
 
 /// Builds the error for a part that the grammar promises and that is missing.
-pub(super) fn missing(pair: &Pair<'_, Rule>) -> QueryError {
+pub(super) fn missing_error(pair: &Pair<'_, Rule>) -> QueryError {
     let expected = words::describe(pair.as_rule());
-    at(
+    error_at(
         pair,
         QueryProblem::Syntax {
             found: format!("{:?}", pair.as_str()),
@@ -240,44 +240,44 @@
 }
 
 /// Finds the first part of a kind.
-pub(super) fn part<'i>(pair: &Pair<'i, Rule>, rule: Rule) -> Parsed<Pair<'i, Rule>> {
+pub(super) fn child<'i>(pair: &Pair<'i, Rule>, rule: Rule) -> ParseResult<Pair<'i, Rule>> {
     let found = pair.clone().into_inner().find(|p| p.as_rule() == rule);
-    found.ok_or_else(|| missing(pair))
+    found.ok_or_else(|| missing_error(pair))
 }
 
-fn request(pair: &Pair<'_, Rule>) -> Parsed<RequestId> {
-    word(&part(pair, Rule::name)?)
+fn request(pair: &Pair<'_, Rule>) -> ParseResult<RequestId> {
+    parse_word(&child(pair, Rule::name)?)
 }
 
-fn revision(pair: &Pair<'_, Rule>) -> Parsed<Option<Revision>> {
+fn revision(pair: &Pair<'_, Rule>) -> ParseResult<Option<Revision>> {
     let found = pair
         .clone()
         .into_inner()
         .find(|p| p.as_rule() == Rule::number);
-    let number = found.as_ref().map(whole_number).transpose()?;
+    let number = found.as_ref().map(parse_integer).transpose()?;
     Ok(number.map(Revision))
 }
 
-fn watch(pair: &Pair<'_, Rule>) -> Parsed<Statement> {
+fn watch(pair: &Pair<'_, Rule>) -> ParseResult<Statement> {
     let every = pair
         .clone()
         .into_inner()
         .find(|p| p.as_rule() == Rule::interval);
     let every = match &every {
-        Some(found) => word(found)?,
-        None => EVERY.parse::<Interval>().unwrap_or_default(),
+        Some(found) => parse_word(found)?,
+        None => WATCH_PERIOD_DEFAULT.parse::<Interval>().unwrap_or_default(),
     };
-    let show = question(&part(pair, Rule::question)?)?;
+    let show = question(&child(pair, Rule::question)?)?;
     Ok(Statement::Watch { show, every })
 }
 
-fn changing(pair: &Pair<'_, Rule>) -> Parsed<ChangeCommand> {
+fn changing(pair: &Pair<'_, Rule>) -> ParseResult<ChangeCommand> {
     let dry_run = pair
         .clone()
         .into_inner()
         .any(|p| p.as_rule() == Rule::k_dry_run);
     let base = revision(pair)?;
-    let edit = parse_edit::edit(&part(pair, Rule::change)?)?;
+    let edit = parse_edit::edit(&child(pair, Rule::change)?)?;
     Ok(ChangeCommand {
         edit,
         base,
@@ -285,18 +285,18 @@
     })
 }
 
-fn question(pair: &Pair<'_, Rule>) -> Parsed<Show> {
-    let (mut show, flag) = subject(&part(pair, Rule::subject)?)?;
+fn question(pair: &Pair<'_, Rule>) -> ParseResult<Show> {
+    let (mut show, flag) = subject(&child(pair, Rule::subject)?)?;
     let mut filters: Vec<_> = flag.into_iter().map(Filter::Flag).collect();
     for inner in pair.clone().into_inner() {
         match inner.as_rule() {
             Rule::any => match any(&inner, show.subject)? {
-                Filter::All(parts) => filters.extend(parts),
+                Filter::All(terms) => filters.extend(terms),
                 other => filters.push(other),
             },
             Rule::interval => show.since = Some(since(&inner, show.subject)?),
             Rule::field => show.by = Some(field(&inner, show.subject)?),
-            Rule::number => show.limit = Some(whole_number(&inner)? as usize),
+            Rule::number => show.limit = Some(parse_integer(&inner)? as usize),
             _ => {}
         }
     }
@@ -308,88 +308,92 @@
 }
 
 // `show late` is short for `show requests where late`.
-fn subject(pair: &Pair<'_, Rule>) -> Parsed<(Show, Option<Field>)> {
+fn subject(pair: &Pair<'_, Rule>) -> ParseResult<(Show, Option<Field>)> {
     let text = pair.as_str().to_ascii_lowercase();
-    if let Some(subject) = Subject::named(&text) {
+    if let Some(subject) = Subject::from_name(&text) {
         return Ok((Show::all(subject), None));
     }
     let flag = Subject::Requests.field(&text);
     if let Some(flag) = flag.filter(|f| f.kind() == Kind::Flag) {
         return Ok((Show::all(Subject::Requests), Some(flag)));
     }
-    let known = words::names(
+    let known = words::join_names(
         Subject::ALL.iter().chain([]),
         "config, late, refused, running",
     );
     let word = pair.as_str().to_owned();
-    Err(at(pair, QueryProblem::Subject { word, known }))
+    Err(error_at(pair, QueryProblem::Subject { word, known }))
 }
 
-fn since(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Interval> {
-    if subject.age().is_none() {
+fn since(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Interval> {
+    if subject.age_field().is_none() {
         let subject = subject.to_string();
-        return Err(at(pair, QueryProblem::Ageless { subject }));
+        return Err(error_at(pair, QueryProblem::Ageless { subject }));
     }
-    word(pair)
+    parse_word(pair)
 }
 
-fn field(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Field> {
+fn field(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Field> {
     let found = subject.field(&pair.as_str().to_ascii_lowercase());
     found.ok_or_else(|| {
         let problem = QueryProblem::Field {
             subject: subject.to_string(),
             word: pair.as_str().to_owned(),
-            known: words::names(subject.fields().iter(), ""),
+            known: words::join_names(subject.fields().iter(), ""),
         };
-        at(pair, problem)
+        error_at(pair, problem)
     })
 }
 
-fn any(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Filter> {
-    let parts = pair
+fn any(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Filter> {
+    let pairs = pair
         .clone()
         .into_inner()
         .filter(|p| p.as_rule() == Rule::all);
-    let parts: Vec<_> = parts.map(|p| all(&p, subject)).collect::<Parsed<_>>()?;
-    Ok(single(parts, Filter::Any))
+    let filters: Vec<_> = pairs
+        .map(|p| all(&p, subject))
+        .collect::<ParseResult<_>>()?;
+    Ok(collapse(filters, Filter::Any))
 }
 
-fn all(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Filter> {
-    let parts = pair
+fn all(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Filter> {
+    let pairs = pair
         .clone()
         .into_inner()
         .filter(|p| p.as_rule() == Rule::term);
-    let parts: Vec<_> = parts.map(|p| term(&p, subject)).collect::<Parsed<_>>()?;
-    Ok(single(parts, Filter::All))
+    let filters: Vec<_> = pairs
+        .map(|p| term(&p, subject))
+        .collect::<ParseResult<_>>()?;
+    Ok(collapse(filters, Filter::All))
 }
 
-fn single(mut parts: Vec<Filter>, join: impl FnOnce(Vec<Filter>) -> Filter) -> Filter {
-    match parts.pop() {
-        Some(only) if parts.is_empty() => only,
+fn collapse(mut filters: Vec<Filter>, join: impl FnOnce(Vec<Filter>) -> Filter) -> Filter {
+    match filters.pop() {
+        Some(only) if filters.is_empty() => only,
         Some(last) => {
-            parts.push(last);
-            join(parts)
+            filters.push(last);
+            join(filters)
         }
-        None => join(parts),
+        None => join(filters),
     }
 }
 
-fn term(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Filter> {
+fn term(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Filter> {
     let Some(inner) = pair.clone().into_inner().next() else {
-        return Err(missing(pair));
+        return Err(missing_error(pair));
     };
     match inner.as_rule() {
         Rule::not => {
-            let opposite = term(&part(&inner, Rule::term)?, subject)?;
-            Ok(Filter::Not(Box::new(opposite)))
+            let negated = term(&child(&inner, Rule::term)?, subject)?;
+            Ok(Filter::Not(Box::new(negated)))
         }
         Rule::any => any(&inner, subject),
         Rule::compare => compare(&inner, subject),
-        _ => flag(&part(&inner, Rule::field)?, subject),
+        _ => flag(&child(&inner, Rule::field)?, subject),
     }
 }
 
-fn flag(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Filter> {
+fn flag(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Filter> {
     let field = field(pair, subject)?;
     if field.kind() == Kind::Flag {
         return Ok(Filter::Flag(field));
@@ -398,17 +402,17 @@
         field: field.to_string(),
         kind: field.kind().to_string(),
     };
-    Err(at(pair, problem))
+    Err(error_at(pair, problem))
 }
 
-fn compare(pair: &Pair<'_, Rule>, subject: Subject) -> Parsed<Filter> {
-    let field = field(&part(pair, Rule::field)?, subject)?;
-    let op = op(&part(pair, Rule::op)?, field)?;
-    let value = value(&part(pair, Rule::value)?, field.kind())?;
+fn compare(pair: &Pair<'_, Rule>, subject: Subject) -> ParseResult<Filter> {
+    let field = field(&child(pair, Rule::field)?, subject)?;
+    let op = op(&child(pair, Rule::op)?, field)?;
+    let value = value(&child(pair, Rule::value)?, field.kind())?;
     Ok(Filter::Compare { field, op, value })
 }
 
-fn op(pair: &Pair<'_, Rule>, field: Field) -> Parsed<Op> {
+fn op(pair: &Pair<'_, Rule>, field: Field) -> ParseResult<Op> {
     let op = match pair.as_str() {
         "=" => Op::Eq,
         "!=" => Op::Ne,
@@ -437,20 +441,20 @@
         kind: field.kind().to_string(),
         allowed: allowed.to_owned(),
     };
-    Err(at(pair, problem))
+    Err(error_at(pair, problem))
 }
 
-fn value(pair: &Pair<'_, Rule>, kind: Kind) -> Parsed<Value> {
+fn value(pair: &Pair<'_, Rule>, kind: Kind) -> ParseResult<Value> {
     match kind {
         Kind::Text => Ok(Value::from(pair.as_str().trim_matches('"'))),
-        Kind::Number => Ok(Value::Number(number(pair)?)),
-        Kind::Interval => Ok(Value::Interval(word(pair)?)),
+        Kind::Number => Ok(Value::Number(parse_number(pair)?)),
+        Kind::Interval => Ok(Value::Interval(parse_word(pair)?)),
         Kind::Flag => match pair.as_str().to_ascii_lowercase().as_str() {
             "yes" | "true" => Ok(Value::Flag(true)),
             "no" | "false" => Ok(Value::Flag(false)),
             other => {
                 let text = format!("{other:?} is neither yes nor no: write one of them");
-                Err(at(pair, QueryProblem::Value(text)))
+                Err(error_at(pair, QueryProblem::Value(text)))
             }
         },
     }
--- a/lib/src/query/table.rs
+++ b/lib/src/query/table.rs
@@ -39,7 +39,7 @@
 /// Columns that each router measures by itself.
 ///
 /// Rows that differ in these only are the same thing seen by two routers.
-const MEASURED: [Field; 5] = [
+const MEASURED_FIELDS: [Field; 5] = [
     Field::Report,
     Field::Active,
     Field::Queued,
@@ -71,7 +71,7 @@
         if merge == Merge::PerRouter && columns.len() == 2 && columns[1] == Field::Count {
             return Self::add_counts(columns, answers);
         }
-        let mut table = Self::join(columns, answers);
+        let mut table = Self::merge_rows(columns, answers);
         let omitted = answers.iter().map(|a| a.table.omitted);
         table.omitted = match merge {
             Merge::PerRouter => omitted.sum(),
@@ -86,29 +86,29 @@
         table
     }
 
-    fn join(columns: Vec<Field>, answers: &[RouterTable]) -> Self {
+    fn merge_rows(columns: Vec<Field>, answers: &[RouterTable]) -> Self {
         let mut rows: Vec<(Row, Vec<&str>)> = Vec::new();
-        let mut seen: BTreeMap<String, usize> = BTreeMap::new();
+        let mut index_by_key: BTreeMap<String, usize> = BTreeMap::new();
         for answer in answers {
             for row in &answer.table.rows {
                 let next = rows.len();
-                let index = *seen.entry(identity(&columns, row)).or_insert(next);
+                let index = *index_by_key.entry(row_key(&columns, row)).or_insert(next);
                 if index == next {
                     rows.push((row.clone(), Vec::new()));
                 }
-                let (kept, routers) = &mut rows[index];
+                let (current, routers) = &mut rows[index];
                 routers.push(&answer.router);
-                if is_fresher(&columns, row, kept) {
-                    *kept = row.clone();
+                if is_fresher(&columns, row, current) {
+                    *current = row.clone();
                 }
             }
         }
-        let named = |(mut row, routers): (Row, Vec<&str>)| {
+        let with_routers = |(mut row, routers): (Row, Vec<&str>)| {
             row.0
                 .push(Value::Text(routers_text(&routers, answers.len())));
             row
         };
-        let rows = rows.into_iter().map(named).collect();
+        let rows = rows.into_iter().map(with_routers).collect();
         let mut columns = columns;
         columns.push(Field::Router);
         Self {
@@ -148,20 +148,22 @@
     }
 }
 
-fn identity(columns: &[Field], row: &Row) -> String {
-    let fixed = columns.iter().zip(&row.0);
-    let fixed: Vec<_> = fixed.filter(|(f, _)| !MEASURED.contains(f)).collect();
-    format!("{fixed:?}")
+fn row_key(columns: &[Field], row: &Row) -> String {
+    let cells = columns.iter().zip(&row.0);
+    let cells: Vec<_> = cells
+        .filter(|(f, _)| !MEASURED_FIELDS.contains(f))
+        .collect();
+    format!("{cells:?}")
 }
 
-fn is_fresher(columns: &[Field], row: &Row, kept: &Row) -> bool {
+fn is_fresher(columns: &[Field], row: &Row, current: &Row) -> bool {
     let report = columns.iter().position(|f| *f == Field::Report);
-    report.is_some_and(|at| row.0[at].compare(&kept.0[at]) == Some(Ordering::Less))
+    report.is_some_and(|index| row.0[index].compare(&current.0[index]) == Some(Ordering::Less))
 }
 
-fn routers_text(routers: &[&str], asked: usize) -> String {
-    if asked > 1 && routers.len() == asked {
-        return format!("all {asked}");
+fn routers_text(routers: &[&str], queried: usize) -> String {
+    if queried > 1 && routers.len() == queried {
+        return format!("all {queried}");
     }
     routers.join(",")
 }
--- a/lib/src/query/value.rs
+++ b/lib/src/query/value.rs
@@ -33,19 +33,19 @@
 impl Value {
     /// Builds a text value from anything that displays.
     #[must_use]
-    pub fn text(value: &impl ToString) -> Self {
+    pub fn from_display(value: &impl ToString) -> Self {
         Self::Text(value.to_string())
     }
 
     /// Builds a value that may be missing.
     #[must_use]
-    pub fn some(value: Option<impl Into<Self>>) -> Self {
+    pub fn from_option(value: Option<impl Into<Self>>) -> Self {
         value.map_or(Self::Absent, Into::into)
     }
 
     /// Builds a number from a counter.
     #[must_use]
-    pub const fn count(value: u64) -> Self {
+    pub const fn from_count(value: u64) -> Self {
         Self::Number(value as f64)
     }
 
--- a/lib/src/query/words.rs
+++ b/lib/src/query/words.rs
@@ -58,13 +58,13 @@
 ];
 
 /// Tells whether a character may stand in a word.
-pub(super) fn is_word(char: char) -> bool {
+pub(super) fn is_word_char(char: char) -> bool {
     char.is_ascii_alphanumeric() || "-_.:/".contains(char)
 }
 
 /// Returns the first word of a text, or its first character if that is no word.
-pub(super) fn first(text: &str) -> &str {
-    let end = text.find(|c: char| !is_word(c)).unwrap_or(text.len());
+pub(super) fn first_word(text: &str) -> &str {
+    let end = text.find(|c: char| !is_word_char(c)).unwrap_or(text.len());
     if end > 0 {
         return &text[..end];
     }
@@ -73,7 +73,7 @@
 }
 
 /// Names what may stand at a place.
-pub(super) fn expected(rules: &[Rule]) -> String {
+pub(super) fn describe_expected(rules: &[Rule]) -> String {
     let mut names: Vec<_> = rules.iter().map(|r| describe(*r)).collect();
     names.sort_unstable();
     names.dedup();
@@ -107,20 +107,20 @@
             "a statement, which begins with show, explain, watch, create, alter, drop, bind, \
              unbind, set, drain, resume, stop, dry-run or help"
         }
-        _ => return keyword(rule),
+        _ => return describe_keyword(rule),
     };
     text.to_owned()
 }
 
-fn keyword(rule: Rule) -> String {
+fn describe_keyword(rule: Rule) -> String {
     let name = format!("{rule:?}").replace('_', "-");
     let word = name.strip_prefix("k-").unwrap_or(&name);
     format!("'{word}'")
 }
 
 /// Joins names for a message.
-pub(super) fn names(items: impl Iterator<Item = impl Display>, more: &str) -> String {
+pub(super) fn join_names(items: impl Iterator<Item = impl Display>, extra: &str) -> String {
     let mut names: Vec<_> = items.map(|i| i.to_string()).collect();
-    names.extend((!more.is_empty()).then(|| more.to_owned()));
+    names.extend((!extra.is_empty()).then(|| extra.to_owned()));
     names.join(", ")
 }
--- a/lib/tests/test_query.rs
+++ b/lib/tests/test_query.rs
@@ -38,14 +38,14 @@
 use uuid::Uuid;
 
 /// A router's facts, made by a script.
-struct Script {
+struct ScriptedRouter {
     now: Time,
     journal: Journal,
     configs: Vec<Arc<Config>>,
     endpoints: Vec<EndpointFact>,
 }
 
-impl Facts for Script {
+impl Facts for ScriptedRouter {
     fn now(&self) -> Time {
         self.now
     }
@@ -74,8 +74,8 @@
     }
 
     fn active_requests(&self, account: &ClientAccount) -> u32 {
-        let mine = |r: &&Request| r.is_running() && r.accepted.account == *account;
-        self.journal.requests().filter(mine).count() as u32
+        let of_account = |r: &&Request| r.is_running() && r.accepted.account == *account;
+        self.journal.requests().filter(of_account).count() as u32
     }
 
     fn endpoints(&self) -> Vec<EndpointFact> {
@@ -99,53 +99,53 @@
     }
 }
 
-fn id(number: &str) -> RequestId {
+fn request_id(number: &str) -> RequestId {
     RequestId(Uuid::from_u128(
         number.parse().expect("requests are numbered"),
     ))
 }
 
-fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
+fn parse_name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().expect("the script's name is well-formed")
 }
 
-fn time(text: &str) -> Duration {
-    name::<Interval>(text).duration()
+fn parse_duration(text: &str) -> Duration {
+    parse_name::<Interval>(text).duration()
 }
 
-struct Words<'a> {
-    plain: Vec<&'a str>,
+struct Arguments<'a> {
+    positional: Vec<&'a str>,
     named: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Words<'a> {
+impl<'a> Arguments<'a> {
     fn new(line: &'a str) -> Self {
-        let (named, plain): (Vec<_>, Vec<_>) =
+        let (named, positional): (Vec<_>, Vec<_>) =
             line.split_whitespace().partition(|w| w.contains('='));
         let named = named.into_iter().filter_map(|w| w.split_once('='));
         Self {
-            plain,
+            positional,
             named: named.collect(),
         }
     }
 
-    fn time(&self, key: &str) -> Duration {
-        time(self.named[key])
+    fn duration(&self, key: &str) -> Duration {
+        parse_duration(self.named[key])
     }
 }
 
 fn choice(text: &str) -> Choice {
     let parts: Vec<_> = text.split(',').collect();
     Choice {
-        endpoint: name(parts[0]),
-        predicted: time(parts[1]),
+        endpoint: parse_name(parts[0]),
+        predicted: parse_duration(parts[1]),
         cost: parts
             .get(2)
             .map(|c| Cost(c.parse().expect("a cost is a number"))),
     }
 }
 
-impl Script {
+impl ScriptedRouter {
     fn new() -> Self {
         Self {
             now: Time::ZERO,
@@ -155,21 +155,21 @@
         }
     }
 
-    fn event(&mut self, line: &str) {
-        let words = Words::new(line);
-        self.now = Time::ZERO + words.time("at");
-        let id = id(words.plain[1]);
-        match words.plain[0] {
-            "accept" => self.journal.on_accept(self.now, accepted(id, &words)),
+    fn apply_event(&mut self, line: &str) {
+        let args = Arguments::new(line);
+        self.now = Time::ZERO + args.duration("at");
+        let id = request_id(args.positional[1]);
+        match args.positional[0] {
+            "accept" => self.journal.on_accept(self.now, accepted(id, &args)),
             "refuse" => {
-                let reason = reason(words.plain[5]);
-                let accepted = accepted(id, &words);
+                let reason = reason(args.positional[5]);
+                let accepted = accepted(id, &args);
                 self.journal.on_refuse(self.now, accepted, reason);
             }
-            "send" => self.journal.on_decision(self.now, id, decision(&words)),
+            "send" => self.journal.on_decision(self.now, id, decision(&args)),
             "end" => {
-                let attempt = AttemptId(words.plain[2].parse().expect("attempts are numbered"));
-                let end = match words.plain.get(4) {
+                let attempt = AttemptId(args.positional[2].parse().expect("attempts are numbered"));
+                let end = match args.positional.get(4) {
                     None => AttemptEnd::Completed,
                     Some(text) => AttemptEnd::Unknown {
                         reason: reason(text),
@@ -178,38 +178,38 @@
                 self.journal.on_attempt_end(self.now, id, attempt, &end);
             }
             _ => {
-                let outcome = match words.plain[2] {
+                let outcome = match args.positional[2] {
                     "completed" => Outcome::Completed,
                     "not-run" => Outcome::NotRun,
                     _ => Outcome::Unknown,
                 };
-                let reason = words.plain.get(3).map(|r| reason(r));
+                let reason = args.positional.get(3).map(|r| reason(r));
                 self.journal.on_finish(self.now, id, outcome, reason);
             }
         }
     }
 
-    fn endpoint(&mut self, line: &str) {
-        let words = Words::new(line);
+    fn add_endpoint(&mut self, line: &str) {
+        let args = Arguments::new(line);
         self.endpoints.push(EndpointFact {
-            endpoint: name(words.plain[0]),
-            pool: name(words.plain[1]),
-            host: name(words.plain[2]),
-            domain: name(words.plain[3]),
-            region: name("bergen"),
-            active: words.named["active"].parse().expect("a count"),
-            queued: words.named["queued"].parse().expect("a count"),
+            endpoint: parse_name(args.positional[0]),
+            pool: parse_name(args.positional[1]),
+            host: parse_name(args.positional[2]),
+            domain: parse_name(args.positional[3]),
+            region: parse_name("bergen"),
+            active: args.named["active"].parse().expect("a count"),
+            queued: args.named["queued"].parse().expect("a count"),
             slots: 4,
             pending: 0,
-            report_age: words.time("report"),
-            fresh: words.named["fresh"] == "yes",
+            report_age: args.duration("report"),
+            fresh: args.named["fresh"] == "yes",
             healthy: true,
             draining: false,
             models: Vec::new(),
         });
     }
 
-    fn ask(&self, text: &str) -> String {
+    fn answer(&self, text: &str) -> String {
         let statements = match parse(text) {
             Ok(statements) => statements,
             Err(error) => return format!("{error}\n"),
@@ -228,27 +228,27 @@
     }
 }
 
-fn accepted(id: RequestId, words: &Words<'_>) -> Accepted {
+fn accepted(id: RequestId, args: &Arguments<'_>) -> Accepted {
     Accepted {
         id,
-        account: name(words.plain[2]),
-        kind: name(words.plain[3]),
-        pipeline: name(words.plain[4]),
-        deadline: words.time("deadline"),
-        predicted: words.named.get("predicted").map(|t| time(t)),
+        account: parse_name(args.positional[2]),
+        kind: parse_name(args.positional[3]),
+        pipeline: parse_name(args.positional[4]),
+        deadline: args.duration("deadline"),
+        predicted: args.named.get("predicted").map(|t| parse_duration(t)),
     }
 }
 
-fn decision(words: &Words<'_>) -> Decision {
-    let others = words.named.get("others").map_or("", |o| o);
+fn decision(args: &Arguments<'_>) -> Decision {
+    let others = args.named.get("others").map_or("", |o| o);
     let others = others.split(';').filter(|o| !o.is_empty()).map(choice);
     Decision {
-        stage: name(words.plain[2]),
-        attempt: AttemptId(words.plain[3].parse().expect("attempts are numbered")),
-        chosen: choice(words.named["to"]),
+        stage: parse_name(args.positional[2]),
+        attempt: AttemptId(args.positional[3].parse().expect("attempts are numbered")),
+        chosen: choice(args.named["to"]),
         others: others.collect(),
-        hedge: words.plain.contains(&"hedge"),
-        why: words.named["why"].to_owned(),
+        hedge: args.positional.contains(&"hedge"),
+        why: args.named["why"].to_owned(),
     }
 }
 
@@ -277,7 +277,7 @@
     text
 }
 
-fn run(script: &mut Script, case: &TestCase) -> String {
+fn run_directive(script: &mut ScriptedRouter, case: &TestCase) -> String {
     match case.directive.as_str() {
         "parse" => match parse(&case.input) {
             Ok(statements) => {
@@ -293,22 +293,22 @@
             format!("revision {}\n", script.configs.len() - 1)
         }
         "events" => {
-            case.input.lines().for_each(|l| script.event(l));
+            case.input.lines().for_each(|l| script.apply_event(l));
             format!("{} requests\n", script.journal.requests().count())
         }
         "endpoints" => {
-            case.input.lines().for_each(|l| script.endpoint(l));
+            case.input.lines().for_each(|l| script.add_endpoint(l));
             format!("{} endpoints\n", script.endpoints.len())
         }
-        "ask" => script.ask(&case.input),
+        "ask" => script.answer(&case.input),
         other => panic!("the script has no directive {other}"),
     }
 }
 
 #[test]
-fn scripts_of_the_language() {
+fn query_language_scripts() {
     datadriven::walk("tests/scenarios/query", |file| {
-        let mut script = Script::new();
-        file.run(|case| run(&mut script, case));
+        let mut script = ScriptedRouter::new();
+        file.run(|case| run_directive(&mut script, case));
     });
 }
