--- a/lib/src/query/answer.rs
+++ b/lib/src/query/answer.rs
@@ -1,4 +1,4 @@
-//! What a router answers, one JSON object a line.
+//! The answers of a router, encoded as one JSON object per line.
 
 use derive_more::Display;
 use serde::Deserialize;
@@ -10,62 +10,62 @@
 use crate::ids::NodeId;
 use crate::ids::Revision;
 
-/// What became of a change.
+/// The result of a configuration change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "kebab-case")]
 pub enum ChangeAnswer {
-    /// It was read back from the log.
+    /// The change was read back from the log.
     #[display("accepted at revision {revision}, made on {base}")]
     Accepted {
-        /// The revision that it made.
+        /// The revision that the change created.
         revision: Revision,
-        /// The revision that it was made on.
+        /// The revision that the change is based on.
         base: Revision,
     },
-    /// Another change was made on the same base first.
+    /// Another change on the same base revision was accepted first.
     #[display(
         "lost: made on revision {base}, but {revision} is in force by {winner}; \
          look at it and ask again"
     )]
     Lost {
-        /// The revision that it was made on.
+        /// The revision that the change is based on.
         base: Revision,
         /// The revision in force.
         revision: Revision,
-        /// Whose change won, and what it was.
+        /// The author of the accepted change, and the change.
         winner: String,
     },
-    /// It does not fit the configuration; nothing was appended.
+    /// The change does not fit the configuration; nothing was appended.
     #[display("refused, nothing changed: {why}")]
     Invalid {
-        /// What is wrong and how to mend it.
+        /// The fault and its remedy.
         why: String,
     },
-    /// What it would change.
+    /// The result of a dry run.
     #[display("dry run on revision {base}: {} lines differ", diff.len())]
     Planned {
-        /// The revision that it would be made on.
+        /// The revision that the change would be based on.
         base: Revision,
-        /// Lines taken out (`-`) and put in (`+`).
+        /// The removed (`-`) and added (`+`) lines.
         diff: Vec<String>,
     },
-    /// The log does not answer; nothing was appended.
+    /// The log does not respond; nothing was appended.
     #[display("not done, nothing changed: {why}")]
     NotDone {
-        /// What failed and what to do.
+        /// The failure and its remedy.
         why: String,
     },
-    /// The append may have taken effect.
+    /// The append may or may not have taken effect.
     #[display("not known whether it took effect: {why}")]
     Unknown {
-        /// What failed and what to do.
+        /// The failure and its remedy.
         why: String,
     },
 }
 
 impl ChangeAnswer {
-    /// Tells whether the change is accepted.
+    /// Returns whether the change was accepted.
     #[must_use]
     pub const fn is_accepted(&self) -> bool {
         matches!(self, Self::Accepted { .. })
@@ -87,33 +87,33 @@
         /// The cells.
         cells: Row,
     },
-    /// What became of a change.
+    /// The result of a configuration change.
     Change {
-        /// The answer.
+        /// The result.
         answer: ChangeAnswer,
     },
-    /// Whether the request was found here and told to stop.
+    /// The result of a stop command.
     Stop {
-        /// Whether it was.
+        /// Whether this router had the request and signalled it to stop.
         stopped: bool,
     },
-    /// Something that the operator should know beside the answer.
+    /// A notice to the operator in addition to the answer.
     Note {
-        /// What was noticed.
+        /// The notice.
         text: String,
     },
-    /// Why there is no answer.
+    /// The error returned instead of an answer.
     Error {
-        /// What is wrong and how to mend it.
+        /// The fault and its remedy.
         text: String,
     },
-    /// The last line: without it the answer was cut off.
+    /// The last line; an answer without it is truncated.
     End {
         /// The router that answered.
         router: NodeId,
-        /// The revision in force there.
+        /// The revision in force at that router.
         revision: Revision,
-        /// The rows left out by the limit.
+        /// The number of rows omitted because of the limit.
         omitted: u64,
     },
 }
@@ -129,28 +129,28 @@
         std::iter::once(columns).chain(rows).collect()
     }
 
-    /// Writes lines as JSON, one a line.
+    /// Encodes lines as JSON, one object per line.
     ///
     /// # Panics
     ///
-    /// Panics if a line has no JSON form, which would be a bug: it has text
-    /// keys only.
+    /// Panics if a line can't be encoded, which would be a bug: all keys are
+    /// strings.
     #[must_use]
     pub fn to_json(lines: &[Self]) -> String {
         let mut text = String::new();
         for line in lines {
-            let json = serde_json::to_string(line).expect("a line has a JSON form");
+            let json = serde_json::to_string(line).expect("an answer line can be encoded as JSON");
             text.push_str(&json);
             text.push('\n');
         }
         text
     }
 
-    /// Reads lines that [`AnswerLine::to_json`] wrote.
+    /// Decodes the output of [`AnswerLine::to_json`].
     ///
     /// # Errors
     ///
-    /// Returns the error of the first line that is malformed.
+    /// Returns the error of the first malformed line.
     pub fn from_json(text: &str) -> Result<Vec<Self>, serde_json::Error> {
         text.lines().map(serde_json::from_str).collect()
     }
--- a/lib/src/query/apply.rs
+++ b/lib/src/query/apply.rs
@@ -1,4 +1,4 @@
-//! From an operator's words to a change on a known configuration.
+//! Resolves an operator's edit to a change of a known configuration.
 
 use std::collections::BTreeSet;
 
@@ -25,47 +25,47 @@
 use crate::units::RequestRate;
 use crate::units::TokenRate;
 
-/// The reason why a change can't be made on a configuration.
+/// The reason why an edit can't be applied to a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error, From)]
 pub enum EditError {
-    /// Something of that name exists.
+    /// An item of that name exists already.
     #[display("{what} exists already: alter it, or choose another name")]
     #[from(ignore)]
     Exists {
-        /// What exists.
+        /// The existing item.
         what: String,
     },
-    /// Nothing of that name exists.
+    /// No item of that name exists.
     #[display("{what} does not exist: look at 'show config' for the names")]
     #[from(ignore)]
     Missing {
-        /// What is missing.
+        /// The missing item.
         what: String,
     },
-    /// Something is in use.
+    /// The item to drop is in use.
     #[display("{what} is in use by {used_by}: change or drop that first")]
     #[from(ignore)]
     InUse {
-        /// What is in use.
+        /// The item in use.
         what: String,
-        /// What uses it.
+        /// The item that refers to it.
         used_by: String,
     },
-    /// A new account lacks a limit.
+    /// A new account lacks a required limit.
     #[display("the new account has no limit for {key}: add '{key} NUMBER'")]
     #[from(ignore)]
     NoLimit {
-        /// The limit.
+        /// The missing limit.
         key: String,
     },
-    /// The configuration that it leads to is refused.
+    /// The resulting configuration is invalid.
     #[display("{_0}")]
     Config(ConfigError),
 }
 
 impl EditError {
-    /// Tells whether the name is taken.
+    /// Returns whether the name is taken.
     #[must_use]
     pub const fn is_name_taken(&self) -> bool {
         matches!(self, Self::Exists { .. })
@@ -73,11 +73,11 @@
 }
 
 impl Edit {
-    /// Makes the change to append, checked against the configuration.
+    /// Builds the change to append and checks it against the configuration.
     ///
-    /// The words set parts; the change carries them whole. Both were read at
-    /// the same revision, which the record names, so nothing is overwritten
-    /// unseen.
+    /// The edit sets single clauses; the change carries the whole item. The log
+    /// record names the revision of `config`, so a concurrent change is never
+    /// overwritten silently.
     ///
     /// # Errors
     ///
@@ -212,6 +212,8 @@
     pipeline
 }
 
+// Checks that all required limits are given. They are zero until
+// `apply_limits` sets them.
 fn initial_limits(limits: &[LimitEdit]) -> Result<Limits, EditError> {
     let required = [LimitKey::Requests, LimitKey::Tokens, LimitKey::Concurrency];
     for key in required {
@@ -238,7 +240,8 @@
     }
 }
 
-/// Lists what differs between two configurations, `-` before `+`.
+/// Lists the lines that differ between two configurations, removed (`-`) before
+/// added (`+`).
 #[must_use]
 pub fn config_diff(old: &Config, new: &Config) -> Vec<String> {
     let before: BTreeSet<_> = statements(old).into_iter().collect();
--- a/lib/src/query/ast.rs
+++ b/lib/src/query/ast.rs
@@ -1,4 +1,4 @@
-//! Queries and commands as typed trees, which print as the language.
+//! The syntax tree of queries and commands. Its nodes display as query text.
 
 use derive_more::Display;
 use derive_more::From;
@@ -11,37 +11,37 @@
 use crate::ids::RequestId;
 use crate::ids::Revision;
 
-/// One statement of the language.
+/// A statement of the query language.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display, From)]
 pub enum Statement {
-    /// Asks for a description of the language.
+    /// Requests a description of the language.
     #[display("help")]
     Help,
-    /// Asks a question.
+    /// Runs a query once.
     Query(Query),
-    /// Asks a question again and again.
+    /// Repeats a query periodically.
     #[display("watch {show} every {every}")]
     Watch {
-        /// The question.
+        /// The query.
         show: Show,
         /// The pause between two answers.
         every: Interval,
     },
-    /// Changes something.
+    /// Runs a command.
     Command(Command),
 }
 
-/// A question.
+/// A read-only query.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display, From)]
 pub enum Query {
-    /// Asks for rows.
+    /// Returns rows.
     Show(Show),
-    /// Asks for the whole story of one request.
+    /// Returns the event history of one request.
     #[display("explain request {_0}")]
     Explain(RequestId),
-    /// Asks for the configuration, now or at an earlier revision.
+    /// Returns the configuration, in force now or at an earlier revision.
     #[display("show config{}", at_clause(*_0))]
     Config(Option<Revision>),
 }
@@ -50,25 +50,25 @@
     revision.map_or_else(String::new, |r| format!(" at revision {r}"))
 }
 
-/// A question for rows.
+/// A query for rows.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 #[display("show {subject}{}", self.clauses())]
 pub struct Show {
-    /// What it is about.
+    /// The kind of rows.
     pub subject: Subject,
-    /// Which rows.
+    /// The condition on the rows.
     pub filter: Option<Filter>,
-    /// How far back.
+    /// The maximum age of the rows.
     pub since: Option<Interval>,
     /// The field whose values are counted.
     pub by: Option<Field>,
-    /// The most rows.
+    /// The maximum number of rows.
     pub limit: Option<usize>,
 }
 
 impl Show {
-    /// Builds a question for all rows.
+    /// Builds a query for all rows.
     #[must_use]
     pub const fn all(subject: Subject) -> Self {
         Self {
@@ -91,7 +91,7 @@
     }
 }
 
-/// How a field is compared.
+/// A comparison operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display)]
 pub enum Op {
@@ -113,7 +113,7 @@
     /// Greater or equal.
     #[display(">=")]
     Ge,
-    /// Contains the text.
+    /// Contains the text as a substring.
     #[display("~")]
     Has,
 }
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 pub enum Filter {
-    /// A flag that has to be set.
+    /// A flag that must be set.
     #[display("{_0}")]
     Flag(Field),
     /// A comparison.
@@ -135,13 +135,13 @@
         /// The value to compare to.
         value: Value,
     },
-    /// The opposite.
+    /// A negated condition.
     #[display("not {}", _0.operand())]
     Not(Box<Self>),
-    /// All of them.
+    /// A conjunction.
     #[display("{}", join_filters(_0, " and "))]
     All(Vec<Self>),
-    /// At least one of them.
+    /// A disjunction.
     #[display("{}", join_filters(_0, " or "))]
     Any(Vec<Self>),
 }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Something to be done.
+/// A command.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display, From)]
 pub enum Command {
@@ -179,16 +179,16 @@
     Stop(RequestId),
 }
 
-/// A change of the configuration on a base revision.
+/// A configuration change, optionally on a given base revision.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 #[display("{}{edit}{}", if *dry_run { "dry-run " } else { "" }, on_clause(*base))]
 pub struct ChangeCommand {
     /// The change.
     pub edit: Edit,
-    /// The revision that the operator saw, if stated.
+    /// The revision that the change is based on, if given.
     pub base: Option<Revision>,
-    /// Whether only the difference is asked for.
+    /// Whether to report the difference without applying the change.
     pub dry_run: bool,
 }
 
--- a/lib/src/query/edit.rs
+++ b/lib/src/query/edit.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration as operators write them.
+//! Configuration changes in the form of the query language.
 
 use derive_more::Display;
 use derive_more::FromStr;
@@ -16,16 +16,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Display, FromStr)]
 pub enum LimitKey {
-    /// Requests a second.
+    /// Requests per second.
     #[display("requests")]
     Requests,
-    /// Tokens a second.
+    /// Tokens per second.
     #[display("tokens")]
     Tokens,
     /// Requests in flight.
     #[display("concurrency")]
     Concurrency,
-    /// The share under contention.
+    /// The account's share under contention.
     #[display("share")]
     Share,
 }
@@ -53,7 +53,7 @@
     Cost,
 }
 
-/// A part of a pipeline to set.
+/// A pipeline property to set.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 pub enum Clause {
@@ -82,15 +82,15 @@
     CreatePipeline {
         /// The pipeline.
         name: PipelineName,
-        /// Its parts.
+        /// Its clauses.
         clauses: Vec<Clause>,
     },
-    /// Changes parts of a pipeline.
+    /// Changes some clauses of a pipeline.
     #[display("alter pipeline {name} {}", join_spaced(clauses))]
     AlterPipeline {
         /// The pipeline.
         name: PipelineName,
-        /// The parts to set.
+        /// The clauses to set.
         clauses: Vec<Clause>,
     },
     /// Removes a pipeline.
@@ -105,7 +105,7 @@
     CreateAccount {
         /// The account.
         name: ClientAccount,
-        /// The digests of its keys.
+        /// The digests of its API keys.
         keys: Vec<KeyDigest>,
         /// Its limits.
         limits: Vec<LimitEdit>,
@@ -118,9 +118,9 @@
     CreatePool {
         /// The pool.
         name: PoolName,
-        /// The cost of a busy second.
+        /// The cost of one second of busy time.
         price: f64,
-        /// The path of a plain service.
+        /// The URL path, for a plain HTTP service.
         path: Option<String>,
     },
     /// Removes a pool.
@@ -152,10 +152,10 @@
         /// The limits to set.
         limits: Vec<LimitEdit>,
     },
-    /// Takes something out of service.
+    /// Takes the target out of service.
     #[display("drain {_0}")]
     Drain(DrainTarget),
-    /// Puts something back into service.
+    /// Puts the target back into service.
     #[display("resume {_0}")]
     Resume(DrainTarget),
 }
@@ -179,7 +179,7 @@
     items.join(", ")
 }
 
-/// Writes a stage as the language has it.
+/// Formats a stage as query text.
 pub(super) fn stage_text(stage: &Stage) -> String {
     let model = stage.model.as_ref();
     let model = model.map_or_else(String::new, |m| format!(" model {m}"));
--- a/lib/src/query/error.rs
+++ b/lib/src/query/error.rs
@@ -1,106 +1,106 @@
-//! Errors that point at a word and name the remedy.
+//! Parse errors that locate the word at fault and name the remedy.
 
 use derive_more::Display;
 use derive_more::Error;
 
-/// The reason why a text is no statement of the language.
+/// The reason why a text is not a valid statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum QueryProblem {
-    /// The words don't form a statement.
+    /// The text does not match the grammar.
     #[display("{found} is not expected here: write {expected}")]
     Syntax {
-        /// What was found.
+        /// The word found.
         found: String,
-        /// What may stand there.
+        /// The words or values allowed at that position.
         expected: String,
     },
-    /// The question is about something unknown.
+    /// The subject does not exist.
     #[display("nothing is called {word:?}: ask for one of {known}")]
     Subject {
         /// The word found.
         word: String,
-        /// The names that exist.
+        /// The existing subjects.
         known: String,
     },
-    /// A field does not exist.
+    /// The subject has no such field.
     #[display("{subject} have no field {word:?}: write one of {known}")]
     Field {
-        /// What the question is about.
+        /// The subject of the query.
         subject: String,
         /// The word found.
         word: String,
-        /// The fields that exist.
+        /// The existing fields.
         known: String,
     },
-    /// A field that is no flag stands alone.
+    /// A field that is not a flag is used without a comparison.
     #[display("{field} is {kind}, not yes or no: compare it, as in {field} = VALUE")]
     NoFlag {
         /// The field.
         field: String,
-        /// Its kind.
+        /// The field's kind.
         kind: String,
     },
-    /// A comparison does not fit the field.
+    /// The operator does not apply to the kind of the field.
     #[display("{field} is {kind}: compare it with {allowed}")]
     Op {
         /// The field.
         field: String,
-        /// Its kind.
+        /// The field's kind.
         kind: String,
-        /// The comparisons that fit.
+        /// The operators allowed.
         allowed: String,
     },
-    /// A value does not fit its place.
+    /// A value is malformed or of the wrong kind.
     #[display("{_0}")]
     Value(#[error(not(source))] String),
-    /// `since` was asked of something without an age.
+    /// `since` was used on a subject without an age.
     #[display("{subject} have no age: leave out 'since'")]
     Ageless {
-        /// What the question is about.
+        /// The subject of the query.
         subject: String,
     },
-    /// A pipeline to be created lacks a part.
-    #[display("the new pipeline has no {part}: add '{part} …'")]
-    Part {
-        /// The missing part.
-        part: String,
+    /// A new pipeline lacks a required clause.
+    #[display("the new pipeline has no {clause}: add '{clause} …'")]
+    MissingClause {
+        /// The missing clause.
+        clause: String,
     },
     /// The text holds more than one statement.
     #[display("{count} statements were sent at once: send exactly one to a router")]
     Count {
-        /// The statements found.
+        /// The number of statements found.
         count: usize,
     },
 }
 
-/// Where in a text a problem was found.
+/// The location of a problem in a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorLocation {
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column number in characters, starting at 1.
     pub column: usize,
-    /// The characters of the word.
+    /// The length of the word in characters.
     pub width: usize,
-    /// The line's text.
+    /// The text of the line.
     pub text: String,
 }
 
-/// A problem with the place where it was found.
+/// A problem and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("{}:{}: {problem}\n{}", location.line, location.column, marked_line(location))]
 pub struct QueryError {
-    /// What is wrong.
+    /// The problem.
     #[error(not(source))]
     pub problem: QueryProblem,
-    /// Where it is wrong.
+    /// The location of the problem.
     pub location: Box<ErrorLocation>,
 }
 
 impl QueryError {
-    /// Tells whether the words don't form a statement.
+    /// Returns whether the text does not match the grammar.
     #[must_use]
     pub const fn is_syntax(&self) -> bool {
         matches!(self.problem, QueryProblem::Syntax { .. })
--- a/lib/src/query/evaluate.rs
+++ b/lib/src/query/evaluate.rs
@@ -1,4 +1,4 @@
-//! Answers to questions over a router's facts.
+//! Evaluates queries over a router's [`Facts`].
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -26,16 +26,16 @@
 use crate::config::DrainTarget;
 use crate::ids::FailureDomain;
 
-/// The most rows that one router answers without `limit`.
+/// The maximum number of rows that one router returns for a query.
 ///
-/// A question for everything must not stall the thread that serves operators.
+/// A query for all rows must not block the thread that serves operators.
 pub const ROWS_MAX: usize = 1_000;
 
-/// Answers a question.
+/// Evaluates a query.
 ///
 /// # Errors
 ///
-/// Returns a [`FactError`] if the request or revision asked for is not known.
+/// Returns a [`FactError`] if the requested facts are not known to the router.
 pub fn evaluate(query: &Query, facts: &dyn Facts) -> Result<Table, FactError> {
     match query {
         Query::Show(show) => show_rows(show, facts),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Tells whether a row with these values passes a condition.
+/// Returns whether a row with these field values satisfies a condition.
 #[must_use]
 pub fn matches(filter: &Filter, value: &dyn Fn(Field) -> Value) -> bool {
     match filter {
@@ -80,8 +80,8 @@
     }
 }
 
-// Takes rows in, one after another, and keeps only what the answer needs, so
-// that a journal of a hundred thousand requests is never copied as a whole.
+// Collects rows one at a time and keeps only those of the answer, so that a
+// journal of a hundred thousand requests is never copied as a whole.
 struct Collector<'a> {
     show: &'a Show,
     limit: usize,
@@ -215,7 +215,8 @@
         count: 0,
         active: 0,
     };
-    // Endpoints name their domains too, so the host list is not needed for most.
+    // Endpoints name their domain too, so most domains are found even if the host
+    // list is not known.
     for host in facts.hosts().unwrap_or_default() {
         let entry = domains.entry(host.domain.clone());
         entry.or_insert_with(|| new_fact(&host.domain, host.region));
--- a/lib/src/query/explain.rs
+++ b/lib/src/query/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, and a configuration, as rows.
+//! The event history of a request, and a configuration, as rows.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 use crate::outcome::AttemptEnd;
 use crate::time::Time;
 
-// The overshoot of an attempt that is worth naming as the cause of lateness.
+// The minimum overrun of an attempt that is reported as the cause of lateness.
 const NOTABLE_OVERRUN: Duration = Duration::from_millis(1);
 
 fn format_duration(duration: Duration) -> String {
     Interval::from(duration).rounded()
 }
 
-/// Tells what happened to a request, in the order of time.
+/// Lists the events of a request in chronological order.
 pub(super) fn request_events(request: &Request, now: Time) -> Table {
     let mut events = vec![accepted_event(request)];
     for attempt in &request.attempts {
@@ -159,7 +159,7 @@
     )
 }
 
-/// Writes a configuration as the statements that would make it.
+/// Formats a configuration as the statements that create it, one per row.
 pub(super) fn config_statements(fact: &ConfigFact) -> Table {
     let lines = statements(&fact.config);
     let row = |line| Row(vec![Value::from_count(fact.revision.0), Value::Text(line)]);
@@ -170,7 +170,7 @@
     }
 }
 
-/// Writes each part of a configuration as one statement, in order.
+/// Formats each item of a configuration as one statement, in a fixed order.
 pub(super) fn statements(config: &Config) -> Vec<String> {
     let pools = config.pools.iter().map(|(name, pool)| {
         let path = pool.path.as_ref();
--- a/lib/src/query/facts.rs
+++ b/lib/src/query/facts.rs
@@ -1,4 +1,4 @@
-//! What a router knows, as the language asks for it.
+//! The facts that a router provides to queries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,28 +28,28 @@
 use crate::journal::Request;
 use crate::time::Time;
 
-/// What a router can tell its operators.
+/// The facts that a router can report to its operators.
 pub trait Facts {
-    /// Returns the present on the router's clock.
+    /// Returns the current time of the router's clock.
     fn now(&self) -> Time;
 
-    /// Shows each recorded request to `visit`, the newest first.
+    /// Calls `visit` with each recorded request, newest first.
     fn requests(&self, visit: &mut dyn FnMut(&Request));
 
-    /// Returns what is recorded of one request.
+    /// Returns the record of one request.
     fn request(&self, id: RequestId) -> Option<Request>;
 
-    /// Returns the configuration, now or at an earlier revision.
+    /// Returns the configuration, in force now or at an earlier revision.
     ///
     /// # Errors
     ///
-    /// Returns a [`FactError`] if that revision is not remembered.
+    /// Returns a [`FactError`] if that revision is not in the history.
     fn config(&self, at: Option<Revision>) -> Result<ConfigFact, FactError>;
 
-    /// Returns the requests in flight of an account at this router.
+    /// Returns the number of an account's requests in flight at this router.
     fn active_requests(&self, account: &ClientAccount) -> u32;
 
-    /// Returns the endpoints that the router sees.
+    /// Returns the endpoints known to the router.
     fn endpoints(&self) -> Vec<EndpointFact>;
 
     /// Returns the hosts of the host list.
@@ -59,44 +59,44 @@
     /// Returns a [`FactError`] if the router does not know them.
     fn hosts(&self) -> Result<Vec<HostFact>, FactError>;
 
-    /// Returns the processes that the router sees, itself included.
+    /// Returns the nodes known to the router, including itself.
     fn nodes(&self) -> Vec<NodeFact>;
 
-    /// Returns the leases as the log has them.
+    /// Returns the leases as recorded in the log.
     ///
     /// # Errors
     ///
     /// Returns a [`FactError`] if the router does not know them.
     fn leases(&self) -> Result<Vec<LeaseFact>, FactError>;
 
-    /// Returns the changes of the configuration, the newest first.
+    /// Returns the configuration changes, newest first.
     fn changes(&self) -> Vec<ChangeFact>;
 }
 
-/// The reason why a fact can't be told.
+/// The reason why a fact is not available.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 pub enum FactError {
-    /// No such request is recorded here.
+    /// This router has no record of the request.
     #[display("this router has no record of request {id}: ask the router that accepted it")]
     NoRequest {
         /// The request.
         id: RequestId,
     },
-    /// The router keeps nothing of the kind.
+    /// The router does not hold facts of this kind.
     #[display("this router knows nothing of {what}: {remedy}")]
     NotKept {
-        /// What was asked for.
+        /// The requested facts.
         what: &'static str,
-        /// Where to look.
+        /// Where to find them instead.
         remedy: &'static str,
     },
-    /// A revision is not remembered.
+    /// A revision is not in the history.
     #[display("revision {requested} is not remembered: ask for one of {first} to {last}")]
     NoRevision {
-        /// The revision asked for.
+        /// The requested revision.
         requested: Revision,
-        /// The first one remembered.
+        /// The oldest revision in the history.
         first: Revision,
         /// The revision in force.
         last: Revision,
@@ -112,7 +112,7 @@
     pub config: Arc<Config>,
 }
 
-/// An endpoint as a router sees it.
+/// An endpoint as known to a router.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointFact {
     /// The endpoint.
@@ -125,13 +125,13 @@
     pub domain: FailureDomain,
     /// Its region.
     pub region: Region,
-    /// Calls at work there.
+    /// Calls in progress.
     pub active: u32,
-    /// Calls that wait there.
+    /// Calls in its queue.
     pub queued: u32,
-    /// Calls that it runs at the same time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Tokens that wait or are at work.
+    /// Tokens of queued and running calls.
     pub pending: u64,
     /// The age of its last report.
     pub report_age: Duration,
@@ -139,7 +139,7 @@
     pub fresh: bool,
     /// Whether the endpoint answered its last health probe.
     pub healthy: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
     /// The models loaded.
     pub models: Vec<ModelName>,
@@ -154,26 +154,26 @@
     pub domain: FailureDomain,
     /// Its region.
     pub region: Region,
-    /// What the host list says of it.
+    /// Its state in the host list.
     pub state: String,
-    /// Whether an operator drains it.
+    /// Whether an operator is draining it.
     pub draining: bool,
 }
 
-/// A process of snipeyoke.
+/// A router or agent process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeFact {
     /// The node.
     pub node: NodeId,
-    /// Router or agent.
+    /// The kind: router or agent.
     pub kind: String,
     /// Its host.
     pub host: HostId,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Where it is reached.
+    /// Its network address.
     pub address: String,
-    /// The revision in force there, as last heard.
+    /// The revision in force there, as last reported.
     pub revision: Option<Revision>,
     /// The age of its last heartbeat.
     pub report_age: Duration,
@@ -183,41 +183,41 @@
     pub draining: bool,
 }
 
-/// A lease as the log has it.
+/// A lease as recorded in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseFact {
-    /// What it covers.
+    /// The resource that it covers.
     pub lease: String,
     /// The node that holds it.
     pub holder: Option<NodeId>,
     /// The fencing number.
     pub fence: FencingNumber,
-    /// The time that it has left.
+    /// The remaining time.
     pub remaining: Duration,
-    /// Held, waited out or free.
+    /// The state: held, waited out or free.
     pub state: String,
 }
 
-/// A change of the configuration.
+/// A configuration change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeFact {
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: Revision,
-    /// Who made it.
+    /// Its author.
     pub author: String,
-    /// Accepted or lost.
+    /// The state: accepted or lost.
     pub state: String,
-    /// What it changed.
+    /// The content of the change.
     pub detail: String,
 }
 
-/// Something whose fields can be asked for.
+/// A record with queryable fields.
 pub(super) trait Record {
-    /// Returns the value of a field.
+    /// Returns the value of a field, [`Value::Absent`] if it has no such field.
     fn value(&self, field: Field) -> Value;
 }
 
-/// A request at a point in time.
+/// A request, evaluated at a point in time.
 #[derive(Debug)]
 pub(super) struct RequestAt<'a> {
     pub request: &'a Request,
@@ -287,7 +287,7 @@
     }
 }
 
-/// A binding of an account's request kind.
+/// A binding of an account's request kind to a pipeline.
 #[derive(Debug)]
 pub(super) struct Binding<'a> {
     pub account: &'a ClientAccount,
@@ -306,14 +306,14 @@
     }
 }
 
-/// A client account with its use.
+/// A client account with its current usage.
 #[derive(Debug)]
 pub struct AccountFact<'a> {
     /// The account.
     pub name: &'a ClientAccount,
     /// Its limits and share.
     pub account: &'a Account,
-    /// Its requests in flight at this router.
+    /// The number of its requests in flight at this router.
     pub active: u32,
 }
 
--- a/lib/src/query/field.rs
+++ b/lib/src/query/field.rs
@@ -1,4 +1,4 @@
-//! What can be asked about, and the fields of each.
+//! The subjects of queries and their fields.
 
 use derive_more::Display;
 use serde::Deserialize;
@@ -8,23 +8,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Display)]
 pub enum Kind {
-    /// Text, compared whole or with `~` by part.
+    /// Text, compared as a whole, or by substring with `~`.
     #[display("text")]
     Text,
     /// A number.
     #[display("a number")]
     Number,
-    /// A length of time.
+    /// A duration.
     #[display("a length of time")]
     Interval,
-    /// True or false; the field alone stands for "is true".
+    /// True or false; the field without a comparison means "is true".
     #[display("yes or no")]
     Flag,
 }
 
 macro_rules! fields {
     ($($(#[doc = $doc:literal])+ $name:ident($text:literal, $kind:ident),)+) => {
-        /// A column of an answer, or a word of a condition.
+        /// A column of an answer, or a field in a condition.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[derive(Display, Serialize, Deserialize)]
         pub enum Field {
@@ -62,39 +62,39 @@
 fields!(
     /// The client account.
     Account("account", Text),
-    /// Requests or calls at work.
+    /// Requests or calls in progress.
     Active("active", Number),
     /// An address with its port.
     Address("address", Text),
-    /// The time since it began.
+    /// The time since the request was accepted.
     Age("age", Interval),
-    /// The attempts made.
+    /// The number of attempts.
     Attempts("attempts", Number),
-    /// The operator who made a change.
+    /// The operator who made the change.
     Author("author", Text),
-    /// The requests allowed at the same time.
+    /// The maximum number of concurrent requests.
     Concurrency("concurrency", Number),
     /// The weight of cost.
     Cost("cost", Number),
-    /// How many rows share a value.
+    /// The number of rows with the same value, or of endpoints in a domain.
     Count("count", Number),
-    /// The time allowed.
+    /// The deadline, as a duration from the start.
     Deadline("deadline", Interval),
-    /// What happened, in words.
+    /// A description.
     Detail("detail", Text),
     /// The failure domain.
     Domain("domain", Text),
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     Draining("draining", Flag),
-    /// The time used, so far or in all.
+    /// The elapsed time, so far or in total.
     Elapsed("elapsed", Interval),
     /// The endpoint.
     Endpoint("endpoint", Text),
-    /// What kind of thing happened.
+    /// The kind of event.
     Event("event", Text),
     /// The fencing number.
     Fence("fence", Number),
-    /// Whether its own report is fresh enough for new work.
+    /// Whether its last report is fresh enough for new work.
     Fresh("fresh", Flag),
     /// Whether the endpoint answered its last health probe.
     Healthy("healthy", Flag),
@@ -106,15 +106,15 @@
     Id("id", Text),
     /// The kind of a request or a node.
     Kind("kind", Text),
-    /// Whether it outlived its deadline.
+    /// Whether it exceeded its deadline.
     Late("late", Flag),
     /// The weight of lateness.
     Lateness("lateness", Number),
-    /// What a lease covers.
+    /// The resource that a lease covers.
     Lease("lease", Text),
-    /// The time that a lease has left.
+    /// The remaining time of a lease.
     Left("left", Interval),
-    /// Models that are loaded.
+    /// The loaded models.
     Models("models", Text),
     /// The node.
     Node("node", Text),
@@ -122,45 +122,45 @@
     Outcome("outcome", Text),
     /// The path at an endpoint.
     Path("path", Text),
-    /// Tokens that wait or are at work.
+    /// Tokens of queued and running calls.
     Pending("pending", Number),
     /// The pipeline.
     Pipeline("pipeline", Text),
     /// The pool of endpoints.
     Pool("pool", Text),
-    /// The time that was expected.
+    /// The predicted duration.
     Predicted("predicted", Interval),
-    /// The price of a busy second.
+    /// The cost of one second of busy time.
     Price("price", Number),
-    /// Calls that wait at an endpoint.
+    /// Calls in the queue of an endpoint.
     Queued("queued", Number),
-    /// Why it was refused or failed.
+    /// The reason for a refusal or failure.
     Reason("reason", Text),
-    /// Whether it was answered "not run".
+    /// Whether the request was refused with "not run".
     Refused("refused", Flag),
     /// The region.
     Region("region", Text),
     /// The time since the last report.
     Report("report", Interval),
-    /// Requests a second that are allowed.
+    /// The limit of requests per second.
     Requests("requests", Number),
     /// A revision of the configuration.
     Revision("revision", Number),
     /// The router that answered.
     Router("router", Text),
-    /// Whether it has no outcome yet.
+    /// Whether the request has no outcome yet.
     Running("running", Flag),
     /// The share under contention.
     Share("share", Number),
-    /// Calls that an endpoint runs at the same time.
+    /// The maximum number of concurrent calls at an endpoint.
     Slots("slots", Number),
     /// The latest stage.
     Stage("stage", Text),
-    /// The number of stages.
+    /// The stages of a pipeline, in order.
     Stages("stages", Text),
-    /// Where it stands, in a word.
+    /// The state, in one word.
     State("state", Text),
-    /// Tokens a second that are allowed.
+    /// The limit of tokens per second.
     Tokens("tokens", Number),
 );
 
@@ -194,33 +194,33 @@
 }
 
 subjects!(
-    /// Requests that the routers' journals hold.
+    /// Requests in the routers' journals.
     Requests("requests", [
         Id, Account, Kind, Pipeline, State, Reason, Age, Elapsed, Predicted, Deadline, Stage,
         Endpoint, Attempts, Outcome, Late, Refused, Running
     ]),
     /// Pipelines in force.
     Pipelines("pipelines", [Pipeline, Deadline, Stages, Lateness, Cost]),
-    /// Bindings of account and kind to a pipeline.
+    /// Bindings of an account and a request kind to a pipeline.
     Bindings("bindings", [Account, Kind, Pipeline]),
     /// Client accounts and their limits.
     Accounts("accounts", [Account, Requests, Tokens, Concurrency, Share, Active]),
     /// Pools of endpoints.
     Pools("pools", [Pool, Price, Path]),
-    /// Endpoints as the router sees them.
+    /// Endpoints as known to the router.
     Endpoints("endpoints", [
         Endpoint, Pool, Host, Domain, Region, Active, Queued, Slots, Pending, Report, Fresh,
         Healthy, Draining, Models
     ]),
     /// Hosts of the host list.
     Hosts("hosts", [Host, Domain, Region, State, Draining]),
-    /// Failure domains, with what lives there.
+    /// Failure domains, with their endpoint and call counts.
     Domains("domains", [Domain, Region, Draining, Count, Active]),
-    /// Processes of snipeyoke as the router sees them.
+    /// Router and agent processes as known to the router.
     Nodes("nodes", [Node, Kind, Host, Domain, Address, Revision, Report, Fresh, Draining]),
-    /// Leases as the log has them.
+    /// Leases as recorded in the log.
     Leases("leases", [Lease, Holder, Fence, Left, State]),
-    /// Changes of the configuration, accepted or lost.
+    /// Configuration changes, accepted or lost.
     Changes("changes", [Revision, Author, State, Detail]),
 );
 
@@ -237,7 +237,7 @@
         self.fields().iter().copied().find(|f| f.name() == text)
     }
 
-    /// Returns the field that `since` measures, if there is one.
+    /// Returns the field that `since` is compared with, if the subject has one.
     #[must_use]
     pub fn age_field(self) -> Option<Field> {
         let has_age = self.fields().contains(&Field::Age);
--- a/lib/src/query/history.rs
+++ b/lib/src/query/history.rs
@@ -1,4 +1,4 @@
-//! Earlier configurations, within a bound.
+//! A bounded history of configurations.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::config::Winner;
 use crate::ids::Revision;
 
-/// The changes remembered: with 380 a day, more than half a day.
+/// The maximum number of changes kept: over half a day at 380 changes a day.
 pub const CHANGES_MAX: usize = 256;
 
-/// The oldest configuration remembered, and the changes made on it since.
+/// The oldest configuration kept, and the changes made to it since.
 ///
-/// A configuration of 7,600 accounts takes megabytes, so only one is kept
-/// whole; a later one is made of it by its changes when somebody asks.
+/// A configuration of 7,600 accounts takes megabytes, so only one is stored in
+/// full; later revisions are rebuilt from it on request by applying changes.
 #[derive(Debug, Clone)]
 pub struct History {
     base: ConfigFact,
@@ -31,7 +31,7 @@
 }
 
 impl History {
-    /// Starts from a configuration, before which nothing is known.
+    /// Creates a history that begins with a configuration.
     #[must_use]
     pub const fn new(revision: Revision, config: Arc<Config>) -> Self {
         let base = ConfigFact { revision, config };
@@ -49,10 +49,10 @@
             .map_or(self.base.revision, |w| w.revision)
     }
 
-    /// Takes in an accepted change.
+    /// Adds an accepted change.
     ///
-    /// A change that does not follow the newest revision is ignored; call
-    /// [`History::new`] after a snapshot took the state over.
+    /// A change that does not follow the newest revision is ignored; start with
+    /// [`History::new`] after a snapshot replaced the state.
     pub fn on_change(&mut self, winner: Winner) {
         if winner.revision != self.newest_revision().next() {
             return;
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Returns the configuration at a revision, the newest if none is given.
+    /// Returns the configuration at a revision, by default the newest.
     ///
     /// # Errors
     ///
-    /// Returns a [`FactError`] if the revision is too old or not yet made.
+    /// Returns a [`FactError`] if the revision is too old or does not exist yet.
     pub fn config_at(&self, revision: Option<Revision>) -> Result<ConfigFact, FactError> {
         let requested = revision.unwrap_or_else(|| self.newest_revision());
         let (first, last) = (self.base.revision, self.newest_revision());
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Returns the accepted changes, the newest first.
+    /// Returns the accepted changes, newest first.
     #[must_use]
     pub fn changes(&self) -> Vec<ChangeFact> {
         let fact = |winner: &Winner| ChangeFact {
@@ -108,8 +108,8 @@
     }
 }
 
-// The fold accepted the change on this very configuration, so applying it
-// again can't fail; should it, the configuration stays as it was.
+// The fold accepted the change on the same configuration, so this can't fail.
+// If it does all the same, the configuration is returned unchanged.
 fn apply_or_keep(config: &Arc<Config>, change: &Change) -> Arc<Config> {
     change
         .apply(config)
--- a/lib/src/query/interval.rs
+++ b/lib/src/query/interval.rs
@@ -1,4 +1,4 @@
-//! Lengths of time as operators write them.
+//! Durations in the form that operators write.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Units with their microseconds, the largest first.
+/// Units with their length in microseconds, largest first.
 const UNITS: [(&str, u64); 6] = [
     ("d", 86_400_000_000),
     ("h", 3_600_000_000),
@@ -18,7 +18,7 @@
     ("us", 1),
 ];
 
-/// A text that is no length of time.
+/// The error for a text that is not a duration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("{text:?} is no length of time: write a number and its unit, us, ms, s, m, h or d")]
@@ -28,7 +28,7 @@
     text: String,
 }
 
-/// A length of time, written as a number with its unit.
+/// A duration, written as an integer with a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Serialize, Deserialize, Display)]
 #[display("{}", exact_text(*micros))]
@@ -38,19 +38,20 @@
 }
 
 impl Interval {
-    /// Returns the length as a duration.
+    /// Returns the interval as a [`Duration`].
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_micros(self.micros)
     }
 
-    /// Returns the length in milliseconds.
+    /// Returns the interval in milliseconds.
     #[must_use]
     pub fn millis(self) -> f64 {
         self.micros as f64 / 1_000.0
     }
 
-    /// Writes the length with at most three digits behind the point.
+    /// Formats the interval for display: seconds with two decimals, or whole
+    /// milliseconds or microseconds.
     #[must_use]
     pub fn rounded(self) -> String {
         let fits = |u: &&(&str, u64)| self.micros >= u.1 && (u.0 == "s" || u.1 < 1_000_000);
--- a/lib/src/query/mod.rs
+++ b/lib/src/query/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' query and command language.
 //!
-//! Routers and the command line share it: [`parse`] reads it, every statement
-//! prints back as the language, and [`evaluate`] answers questions over a
-//! [`Facts`] object.
+//! Routers and the command line share it. [`parse`] reads statements, each
+//! statement displays as query text, and [`evaluate`] runs queries over
+//! [`Facts`].
 
 mod answer;
 mod apply;
--- a/lib/src/query/parse.rs
+++ b/lib/src/query/parse.rs
@@ -1,4 +1,6 @@
-//! From text to statements.
+//! Parses text into statements.
+//!
+//! Functions are named after the grammar rules that they read.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -29,25 +31,25 @@
 use crate::ids::RequestId;
 use crate::ids::Revision;
 
-/// The longest text that is parsed, in bytes.
+/// The maximum length of a text, in bytes.
 ///
-/// A configuration of 34 pipelines written out has about 20 KB.
+/// A configuration of 34 pipelines takes about 20 KB as statements.
 pub const TEXT_MAX_BYTES: usize = 256 << 10;
 
-/// The deepest nesting of brackets and `not` that is parsed.
+/// The maximum nesting depth of brackets and `not`.
 ///
-/// The parser descends by recursion: a text of a hundred thousand brackets
-/// would overflow the stack and end the router with all that runs in it.
+/// The parser is recursive: a text of a hundred thousand brackets would overflow
+/// the stack and crash the router with all its requests in flight.
 const DEPTH_MAX: usize = 64;
 
-/// The pause of `watch` without `every`.
+/// The period of `watch` without `every`.
 const WATCH_PERIOD_DEFAULT: &str = "2s";
 
 pub(super) use grammar::Grammar;
 pub(super) use grammar::Rule;
 
 mod grammar {
-    /// The grammar that `grammar.pest` describes.
+    /// The parser generated from `grammar.pest`.
     #[derive(Debug)]
     #[derive(pest_derive::Parser)]
     #[grammar = "src/query/grammar.pest"]
@@ -56,11 +58,11 @@
 
 pub(super) type ParseResult<T> = Result<T, QueryError>;
 
-/// Parses statements that `;` separates.
+/// Parses statements separated by `;`.
 ///
 /// # Errors
 ///
-/// Returns a [`QueryError`] that points at the first word that is wrong.
+/// Returns a [`QueryError`] with the location of the first word at fault.
 pub fn parse(text: &str) -> Result<Vec<Statement>, QueryError> {
     let text = text.trim_end();
     check_size(text)?;
@@ -78,7 +80,8 @@
 ///
 /// # Errors
 ///
-/// Returns a [`QueryError`] as [`parse`] does, or if there is not exactly one.
+/// Returns a [`QueryError`] as [`parse`] does, or if the text does not hold
+/// exactly one statement.
 pub fn parse_one(text: &str) -> Result<Statement, QueryError> {
     let mut statements = parse(text)?;
     let count = statements.len();
@@ -103,7 +106,7 @@
     Ok(())
 }
 
-/// Bounds from above how deep the parser descends into a statement.
+/// Returns an upper bound of the parser's recursion depth for a statement.
 fn nesting_bound(statement: &str) -> usize {
     let mut open = 0_usize;
     let mut deepest = 0;
@@ -119,6 +122,7 @@
     deepest + words.filter(|w| w.eq_ignore_ascii_case("not")).count()
 }
 
+// Builds an error located at the first line of a text.
 fn text_error(text: &str, problem: QueryProblem) -> QueryError {
     let text = text.lines().next().unwrap_or_default().to_owned();
     let location = ErrorLocation {
@@ -133,7 +137,7 @@
     }
 }
 
-/// Builds an error that points at a pair.
+/// Builds an error located at a pair.
 pub(super) fn error_at(pair: &Pair<'_, Rule>, problem: QueryProblem) -> QueryError {
     let span = pair.as_span();
     let (line, column) = span.start_pos().line_col();
@@ -180,7 +184,7 @@
     }
 }
 
-/// Reads a word as a checked type whose error names the remedy.
+/// Parses a word as a type whose error message names the remedy.
 pub(super) fn parse_word<T>(pair: &Pair<'_, Rule>) -> ParseResult<T>
 where
     T: FromStr,
@@ -190,7 +194,7 @@
     parsed.map_err(|e: T::Err| error_at(pair, QueryProblem::Value(e.to_string())))
 }
 
-/// Reads a finite number.
+/// Parses a finite number.
 pub(super) fn parse_number(pair: &Pair<'_, Rule>) -> ParseResult<f64> {
     let parsed = pair.as_str().parse::<f64>().ok();
     parsed.filter(|n| n.is_finite()).ok_or_else(|| {
@@ -227,7 +231,7 @@
     }
 }
 
-/// Builds the error for a part that the grammar promises and that is missing.
+/// Builds the error for a missing child pair that the grammar guarantees.
 pub(super) fn missing_error(pair: &Pair<'_, Rule>) -> QueryError {
     let expected = words::describe(pair.as_rule());
     error_at(
@@ -239,7 +243,7 @@
     )
 }
 
-/// Finds the first part of a kind.
+/// Returns the first child pair of a rule.
 pub(super) fn child<'i>(pair: &Pair<'i, Rule>, rule: Rule) -> ParseResult<Pair<'i, Rule>> {
     let found = pair.clone().into_inner().find(|p| p.as_rule() == rule);
     found.ok_or_else(|| missing_error(pair))
@@ -307,7 +311,7 @@
     Ok(show)
 }
 
-// `show late` is short for `show requests where late`.
+// `show late` is an abbreviation of `show requests where late`.
 fn subject(pair: &Pair<'_, Rule>) -> ParseResult<(Show, Option<Field>)> {
     let text = pair.as_str().to_ascii_lowercase();
     if let Some(subject) = Subject::from_name(&text) {
--- a/lib/src/query/parse_edit.rs
+++ b/lib/src/query/parse_edit.rs
@@ -1,4 +1,6 @@
-//! From words to changes of the configuration.
+//! Parses configuration changes.
+//!
+//! Functions are named after the grammar rules that they read.
 
 use pest::iterators::Pair;
 
@@ -21,7 +23,7 @@
 
 type RulePair<'i> = Pair<'i, Rule>;
 
-/// Reads one change.
+/// Parses one configuration change.
 pub(super) fn edit(pair: &RulePair<'_>) -> ParseResult<Edit> {
     let Some(inner) = pair.clone().into_inner().next() else {
         return Err(missing_error(pair));
@@ -90,9 +92,9 @@
         ("deadline", has(|c| matches!(c, Clause::Deadline(_)))),
         ("stages", has(|c| matches!(c, Clause::Stages(_)))),
     ];
-    if let Some((part, _)) = required.iter().find(|p| !p.1) {
-        let part = (*part).to_owned();
-        return Err(error_at(&name, QueryProblem::Part { part }));
+    if let Some((clause, _)) = required.iter().find(|p| !p.1) {
+        let clause = (*clause).to_owned();
+        return Err(error_at(&name, QueryProblem::MissingClause { clause }));
     }
     let name = parse_word(&name)?;
     Ok(Edit::CreatePipeline { name, clauses })
--- a/lib/src/query/table.rs
+++ b/lib/src/query/table.rs
@@ -1,4 +1,4 @@
-//! Answers as rows of typed cells.
+//! Tables of typed cells, and merging those of several routers.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -9,13 +9,13 @@
 use super::field::Field;
 use super::value::Value;
 
-/// One row, its cells in the order of the table's columns.
+/// A row with its cells in the order of the table's columns.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Row(pub Vec<Value>);
 
-/// An answer to a query.
+/// The result of a query.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
@@ -23,22 +23,22 @@
     pub columns: Vec<Field>,
     /// The rows.
     pub rows: Vec<Row>,
-    /// The rows that the limit left out.
+    /// The number of rows omitted because of the limit.
     pub omitted: u64,
 }
 
-/// A table with the router that gave it.
+/// A table and the router that returned it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouterTable {
     /// The router.
     pub router: String,
-    /// Its answer.
+    /// Its table.
     pub table: Table,
 }
 
-/// Columns that each router measures by itself.
+/// Fields that each router measures independently.
 ///
-/// Rows that differ in these only are the same thing seen by two routers.
+/// Rows that differ in these fields only are views of the same item.
 const MEASURED_FIELDS: [Field; 5] = [
     Field::Report,
     Field::Active,
@@ -47,21 +47,21 @@
     Field::Left,
 ];
 
-/// How the answers of several routers belong together.
+/// How to merge the answers of several routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
-    /// Each router has rows of its own, such as its requests.
+    /// Each router has its own rows, such as its requests.
     PerRouter,
-    /// All routers tell of the same things, such as endpoints.
+    /// All routers report the same items, such as endpoints.
     Shared,
 }
 
 impl Table {
     /// Merges the answers of several routers.
     ///
-    /// Counts of routers' own rows are added up. A row that several routers give
-    /// appears once, as the one with the freshest report tells it, with the
-    /// routers that gave it; where they disagree, each view has its row.
+    /// Counts of per-router rows are added up. A row that several routers return
+    /// appears once, with the values of the router whose report is freshest and
+    /// with the names of all these routers. Differing views are separate rows.
     #[must_use]
     pub fn merge(answers: &[RouterTable], merge: Merge, limit: Option<usize>) -> Self {
         let columns = answers.first().map(|a| a.table.columns.clone());
@@ -168,7 +168,7 @@
     routers.join(",")
 }
 
-/// Orders counts by value: the most frequent first, then by the value's text.
+/// Sorts counts, the most frequent value first, then by the value's text.
 pub(super) fn sort_counts(counts: &mut [(Value, f64)]) {
     counts.sort_by(|a, b| {
         let by_text = || a.0.to_string().cmp(&b.0.to_string());
--- a/lib/src/query/value.rs
+++ b/lib/src/query/value.rs
@@ -1,4 +1,4 @@
-//! Values of an answer's cells.
+//! Values of table cells.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 #[derive(Display, From, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Value {
-    /// Nothing is known, or the field does not apply.
+    /// The value is not known, or the field does not apply.
     #[display("-")]
     Absent,
     /// Text.
     Text(String),
     /// A number.
     Number(f64),
-    /// A length of time.
+    /// A duration.
     #[display("{}", _0.rounded())]
     Interval(Interval),
     /// True or false.
@@ -31,13 +31,13 @@
 }
 
 impl Value {
-    /// Builds a text value from anything that displays.
+    /// Builds a text value from the display form.
     #[must_use]
     pub fn from_display(value: &impl ToString) -> Self {
         Self::Text(value.to_string())
     }
 
-    /// Builds a value that may be missing.
+    /// Builds a value from an option; `None` becomes [`Value::Absent`].
     #[must_use]
     pub fn from_option(value: Option<impl Into<Self>>) -> Self {
         value.map_or(Self::Absent, Into::into)
@@ -49,7 +49,8 @@
         Self::Number(value as f64)
     }
 
-    /// Compares two values of the same kind; an absent value compares to none.
+    /// Compares two values of the same kind; returns `None` for different kinds
+    /// and absent values.
     #[must_use]
     pub fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
--- a/lib/src/query/words.rs
+++ b/lib/src/query/words.rs
@@ -1,4 +1,4 @@
-//! The words of the language, for messages and completion.
+//! The words of the query language, for error messages and completion.
 
 use std::fmt::Display;
 
@@ -57,12 +57,13 @@
     "where",
 ];
 
-/// Tells whether a character may stand in a word.
+/// Returns whether a character may occur in a word.
 pub(super) fn is_word_char(char: char) -> bool {
     char.is_ascii_alphanumeric() || "-_.:/".contains(char)
 }
 
-/// Returns the first word of a text, or its first character if that is no word.
+/// Returns the first word of a text, or its first character if it does not
+/// begin with a word.
 pub(super) fn first_word(text: &str) -> &str {
     let end = text.find(|c: char| !is_word_char(c)).unwrap_or(text.len());
     if end > 0 {
@@ -72,7 +73,7 @@
     &text[..first]
 }
 
-/// Names what may stand at a place.
+/// Describes the rules allowed at a position.
 pub(super) fn describe_expected(rules: &[Rule]) -> String {
     let mut names: Vec<_> = rules.iter().map(|r| describe(*r)).collect();
     names.sort_unstable();
@@ -84,7 +85,7 @@
     format!("{} or {last}", names.join(", "))
 }
 
-/// Names one rule as an operator would write it.
+/// Describes a rule in the terms of an operator.
 pub(super) fn describe(rule: Rule) -> String {
     let text = match rule {
         Rule::close => "')'",
@@ -118,7 +119,7 @@
     format!("'{word}'")
 }
 
-/// Joins names for a message.
+/// Joins names for an error message, with `extra` as the last unless empty.
 pub(super) fn join_names(items: impl Iterator<Item = impl Display>, extra: &str) -> String {
     let mut names: Vec<_> = items.map(|i| i.to_string()).collect();
     names.extend((!extra.is_empty()).then(|| extra.to_owned()));
--- a/lib/tests/test_query.rs
+++ b/lib/tests/test_query.rs
@@ -1,4 +1,4 @@
-//! Scripted tests of the operators' language: parsing, errors and answers.
+//! Scripted tests of the operators' query language: parsing, errors and answers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -37,7 +37,7 @@
 use snipeyoke_lib::units::Cost;
 use uuid::Uuid;
 
-/// A router's facts, made by a script.
+/// Router facts set by a test script.
 struct ScriptedRouter {
     now: Time,
     journal: Journal,
@@ -135,13 +135,13 @@
 }
 
 fn choice(text: &str) -> Choice {
-    let parts: Vec<_> = text.split(',').collect();
+    let fields: Vec<_> = text.split(',').collect();
     Choice {
-        endpoint: parse_name(parts[0]),
-        predicted: parse_duration(parts[1]),
-        cost: parts
+        endpoint: parse_name(fields[0]),
+        predicted: parse_duration(fields[1]),
+        cost: fields
             .get(2)
-            .map(|c| Cost(c.parse().expect("a cost is a number"))),
+            .map(|c| Cost(c.parse().expect("costs are numbers"))),
     }
 }
 
@@ -217,11 +217,11 @@
         let mut answer = String::new();
         for statement in statements {
             let Statement::Query(query) = statement else {
-                panic!("the script asks {statement}, which is no question");
+                panic!("{statement} in the script is not a query");
             };
             match evaluate(&query, self) {
                 Ok(table) => answer.push_str(&render(&table)),
-                Err(error) => writeln!(answer, "{error}").expect("text takes it"),
+                Err(error) => writeln!(answer, "{error}").expect("writing to a string can't fail"),
             }
         }
         answer
@@ -254,7 +254,7 @@
 
 fn reason(text: &str) -> Reason {
     let json = format!("\"{text}\"");
-    serde_json::from_str(&json).expect("the script's reason exists")
+    serde_json::from_str(&json).expect("the script's reason is known")
 }
 
 fn render(table: &Table) -> String {
@@ -272,7 +272,7 @@
         text.push('\n');
     }
     if table.omitted > 0 {
-        writeln!(text, "{} omitted", table.omitted).expect("text takes it");
+        writeln!(text, "{} omitted", table.omitted).expect("writing to a string can't fail");
     }
     text
 }
@@ -288,7 +288,7 @@
         },
         "config" => {
             let config: Config = serde_json::from_str(&case.input).expect("a configuration");
-            config.check().expect("the script's configuration is right");
+            config.check().expect("the script's configuration is valid");
             script.configs.push(Arc::new(config));
             format!("revision {}\n", script.configs.len() - 1)
         }
