--- a/lib/src/query/parse.rs
+++ b/lib/src/query/parse.rs
@@ -1,6 +1,6 @@
 //! Parses text into statements.
 //!
-//! Functions are named after the grammar rules that they read.
+//! Most functions are named after the grammar rule that they read.
 
 use std::fmt::Display;
 use std::str::FromStr;
--- a/lib/src/query/parse_edit.rs
+++ b/lib/src/query/parse_edit.rs
@@ -1,6 +1,6 @@
 //! Parses configuration changes.
 //!
-//! Functions are named after the grammar rules that they read.
+//! Most functions are named after the grammar rule that they read.
 
 use pest::iterators::Pair;
 
