--- a/lib/src/query/edit.rs
+++ b/lib/src/query/edit.rs
@@ -73,7 +73,7 @@
     Stages(Vec<Stage>),
 }
 
-/// A change of the configuration.
+/// A configuration change.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 pub enum Edit {
@@ -105,7 +105,7 @@
     CreateAccount {
         /// The account.
         name: ClientAccount,
-        /// The digests of its API keys.
+        /// The digests of its bearer keys.
         keys: Vec<KeyDigest>,
         /// Its limits.
         limits: Vec<LimitEdit>,
@@ -118,9 +118,9 @@
     CreatePool {
         /// The pool.
         name: PoolName,
-        /// The cost of one second of busy time.
+        /// The cost of one busy second of an endpoint.
         price: f64,
-        /// The URL path, for a plain HTTP service.
+        /// The path to post to, for a pool of plain services.
         path: Option<String>,
     },
     /// Removes a pool.
--- a/lib/src/query/field.rs
+++ b/lib/src/query/field.rs
@@ -130,7 +130,7 @@
     Pool("pool", Text),
     /// The predicted duration.
     Predicted("predicted", Interval),
-    /// The cost of one second of busy time.
+    /// The cost of one busy second of an endpoint.
     Price("price", Number),
     /// Calls in the queue of an endpoint.
     Queued("queued", Number),
