--- a/lib/src/query/edit.rs
+++ b/lib/src/query/edit.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration as operators write them.
+//! Configuration changes in the form of the query language.
 
 use derive_more::Display;
 use derive_more::FromStr;
@@ -16,16 +16,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Display, FromStr)]
 pub enum LimitKey {
-    /// Requests a second.
+    /// Requests per second.
     #[display("requests")]
     Requests,
-    /// Tokens a second.
+    /// Tokens per second.
     #[display("tokens")]
     Tokens,
     /// Requests in flight.
     #[display("concurrency")]
     Concurrency,
-    /// The share under contention.
+    /// The account's share under contention.
     #[display("share")]
     Share,
 }
@@ -53,7 +53,7 @@
     Cost,
 }
 
-/// A part of a pipeline to set.
+/// A pipeline property to set.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 pub enum Clause {
@@ -69,39 +69,43 @@
         value: f64,
     },
     /// The stages, in order.
-    #[display("stages ({})", stages(_0))]
+    #[display("stages ({})", stage_list(_0))]
     Stages(Vec<Stage>),
 }
 
-/// A change of the configuration.
+/// A configuration change.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Display)]
 pub enum Edit {
     /// Adds a pipeline.
-    #[display("create pipeline {name} {}", words(clauses))]
+    #[display("create pipeline {name} {}", join_spaced(clauses))]
     CreatePipeline {
         /// The pipeline.
         name: PipelineName,
-        /// Its parts.
+        /// Its clauses.
         clauses: Vec<Clause>,
     },
-    /// Changes parts of a pipeline.
-    #[display("alter pipeline {name} {}", words(clauses))]
+    /// Changes some clauses of a pipeline.
+    #[display("alter pipeline {name} {}", join_spaced(clauses))]
     AlterPipeline {
         /// The pipeline.
         name: PipelineName,
-        /// The parts to set.
+        /// The clauses to set.
         clauses: Vec<Clause>,
     },
     /// Removes a pipeline.
     #[display("drop pipeline {_0}")]
     DropPipeline(PipelineName),
     /// Adds a client account.
-    #[display("create account {name} keys ({}) {}", list(keys), words(limits))]
+    #[display(
+        "create account {name} keys ({}) {}",
+        join_commas(keys),
+        join_spaced(limits)
+    )]
     CreateAccount {
         /// The account.
         name: ClientAccount,
-        /// The digests of its keys.
+        /// The digests of its bearer keys.
         keys: Vec<KeyDigest>,
         /// Its limits.
         limits: Vec<LimitEdit>,
@@ -110,13 +114,13 @@
     #[display("drop account {_0}")]
     DropAccount(ClientAccount),
     /// Adds a pool.
-    #[display("create pool {name} price {price}{}", at_path(path.as_ref()))]
+    #[display("create pool {name} price {price}{}", path_clause(path.as_ref()))]
     CreatePool {
         /// The pool.
         name: PoolName,
-        /// The cost of a busy second.
+        /// The cost of one busy second of an endpoint.
         price: f64,
-        /// The path of a plain service.
+        /// The path to post to, for a pool of plain services.
         path: Option<String>,
     },
     /// Removes a pool.
@@ -141,42 +145,42 @@
         kind: RequestKind,
     },
     /// Sets limits of an account.
-    #[display("set limit {account} {}", words(limits))]
+    #[display("set limit {account} {}", join_spaced(limits))]
     SetLimit {
         /// The account.
         account: ClientAccount,
         /// The limits to set.
         limits: Vec<LimitEdit>,
     },
-    /// Takes something out of service.
+    /// Takes the target out of service.
     #[display("drain {_0}")]
     Drain(DrainTarget),
-    /// Puts something back into service.
+    /// Puts the target back into service.
     #[display("resume {_0}")]
     Resume(DrainTarget),
 }
 
-fn words(parts: &[impl ToString]) -> String {
-    let parts: Vec<_> = parts.iter().map(ToString::to_string).collect();
-    parts.join(" ")
+fn join_spaced(items: &[impl ToString]) -> String {
+    let items: Vec<_> = items.iter().map(ToString::to_string).collect();
+    items.join(" ")
 }
 
-fn list(parts: &[impl ToString]) -> String {
-    let parts: Vec<_> = parts.iter().map(ToString::to_string).collect();
-    parts.join(", ")
+fn join_commas(items: &[impl ToString]) -> String {
+    let items: Vec<_> = items.iter().map(ToString::to_string).collect();
+    items.join(", ")
 }
 
-fn at_path(path: Option<&String>) -> String {
+fn path_clause(path: Option<&String>) -> String {
     path.map_or_else(String::new, |p| format!(" path {p}"))
 }
 
-fn stages(stages: &[Stage]) -> String {
-    let parts: Vec<_> = stages.iter().map(stage).collect();
-    parts.join(", ")
+fn stage_list(stages: &[Stage]) -> String {
+    let items: Vec<_> = stages.iter().map(stage_text).collect();
+    items.join(", ")
 }
 
-/// Writes a stage as the language has it.
-pub(super) fn stage(stage: &Stage) -> String {
+/// Formats a stage as query text.
+pub(super) fn stage_text(stage: &Stage) -> String {
     let model = stage.model.as_ref();
     let model = model.map_or_else(String::new, |m| format!(" model {m}"));
     let once = if stage.idempotent { "" } else { " once" };
--- a/lib/src/query/history.rs
+++ b/lib/src/query/history.rs
@@ -1,4 +1,4 @@
-//! Earlier configurations, within a bound.
+//! A bounded history of configurations.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::config::Winner;
 use crate::ids::Revision;
 
-/// The changes remembered: with 380 a day, more than half a day.
+/// The maximum number of changes kept: over half a day at 380 changes a day.
 pub const CHANGES_MAX: usize = 256;
 
-/// The oldest configuration remembered, and the changes made on it since.
+/// The oldest configuration kept, and the changes made to it since.
 ///
-/// A configuration of 7,600 accounts takes megabytes, so only one is kept
-/// whole; a later one is made of it by its changes when somebody asks.
+/// A configuration of 7,600 accounts takes megabytes, so only one is stored in
+/// full; later revisions are rebuilt from it on request by applying changes.
 #[derive(Debug, Clone)]
 pub struct History {
     base: ConfigFact,
@@ -31,7 +31,7 @@
 }
 
 impl History {
-    /// Starts from a configuration, before which nothing is known.
+    /// Creates a history that begins with a configuration.
     #[must_use]
     pub const fn new(revision: Revision, config: Arc<Config>) -> Self {
         let base = ConfigFact { revision, config };
@@ -43,18 +43,18 @@
 
     /// Returns the newest revision.
     #[must_use]
-    pub fn last(&self) -> Revision {
+    pub fn newest_revision(&self) -> Revision {
         self.changes
             .back()
             .map_or(self.base.revision, |w| w.revision)
     }
 
-    /// Takes in an accepted change.
+    /// Adds an accepted change.
     ///
-    /// A change that does not follow the newest revision is ignored; call
-    /// [`History::new`] after a snapshot took the state over.
+    /// A change that does not follow the newest revision is ignored; start with
+    /// [`History::new`] after a snapshot replaced the state.
     pub fn on_change(&mut self, winner: Winner) {
-        if winner.revision != self.last().next() {
+        if winner.revision != self.newest_revision().next() {
             return;
         }
         self.changes.push_back(winner);
@@ -62,7 +62,7 @@
             return;
         }
         if let Some(oldest) = self.changes.pop_front() {
-            let config = applied(&self.base.config, &oldest.change);
+            let config = apply_or_keep(&self.base.config, &oldest.change);
             self.base = ConfigFact {
                 revision: oldest.revision,
                 config,
@@ -70,28 +70,32 @@
         }
     }
 
-    /// Returns the configuration at a revision, the newest if none is given.
+    /// Returns the configuration at a revision, by default the newest.
     ///
     /// # Errors
     ///
-    /// Returns a [`FactError`] if the revision is too old or not yet made.
-    pub fn at(&self, revision: Option<Revision>) -> Result<ConfigFact, FactError> {
-        let asked = revision.unwrap_or_else(|| self.last());
-        let (first, last) = (self.base.revision, self.last());
-        if asked < first || asked > last {
-            return Err(FactError::NoRevision { asked, first, last });
+    /// Returns a [`FactError`] if the revision is too old or does not exist yet.
+    pub fn config_at(&self, revision: Option<Revision>) -> Result<ConfigFact, FactError> {
+        let requested = revision.unwrap_or_else(|| self.newest_revision());
+        let (first, last) = (self.base.revision, self.newest_revision());
+        if requested < first || requested > last {
+            return Err(FactError::NoRevision {
+                requested,
+                first,
+                last,
+            });
         }
         let mut config = Arc::clone(&self.base.config);
-        for winner in self.changes.iter().take_while(|w| w.revision <= asked) {
-            config = applied(&config, &winner.change);
+        for winner in self.changes.iter().take_while(|w| w.revision <= requested) {
+            config = apply_or_keep(&config, &winner.change);
         }
         Ok(ConfigFact {
-            revision: asked,
+            revision: requested,
             config,
         })
     }
 
-    /// Returns the accepted changes, the newest first.
+    /// Returns the accepted changes, newest first.
     #[must_use]
     pub fn changes(&self) -> Vec<ChangeFact> {
         let fact = |winner: &Winner| ChangeFact {
@@ -104,9 +108,9 @@
     }
 }
 
-// The fold accepted the change on this very configuration, so applying it
-// again can't fail; should it, the configuration stays as it was.
-fn applied(config: &Arc<Config>, change: &Change) -> Arc<Config> {
+// The fold accepted the change on the same configuration, so this can't fail.
+// If it does all the same, the configuration is returned unchanged.
+fn apply_or_keep(config: &Arc<Config>, change: &Change) -> Arc<Config> {
     change
         .apply(config)
         .map_or_else(|_refused| Arc::clone(config), Arc::new)
--- a/lib/src/query/interval.rs
+++ b/lib/src/query/interval.rs
@@ -1,4 +1,4 @@
-//! Lengths of time as operators write them.
+//! Durations in the form that operators write.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Units with their microseconds, the largest first.
+/// Units with their length in microseconds, largest first.
 const UNITS: [(&str, u64); 6] = [
     ("d", 86_400_000_000),
     ("h", 3_600_000_000),
@@ -18,7 +18,7 @@
     ("us", 1),
 ];
 
-/// A text that is no length of time.
+/// The error for a text that is not a duration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("{text:?} is no length of time: write a number and its unit, us, ms, s, m, h or d")]
@@ -28,29 +28,30 @@
     text: String,
 }
 
-/// A length of time, written as a number with its unit.
+/// A duration, written as an integer with a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 #[derive(Serialize, Deserialize, Display)]
-#[display("{}", exact(*micros))]
+#[display("{}", exact_text(*micros))]
 #[serde(transparent)]
 pub struct Interval {
     micros: u64,
 }
 
 impl Interval {
-    /// Returns the length as a duration.
+    /// Returns the interval as a [`Duration`].
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_micros(self.micros)
     }
 
-    /// Returns the length in milliseconds.
+    /// Returns the interval in milliseconds.
     #[must_use]
     pub fn millis(self) -> f64 {
         self.micros as f64 / 1_000.0
     }
 
-    /// Writes the length with at most three digits behind the point.
+    /// Formats the interval for display: seconds with two decimals, or whole
+    /// milliseconds or microseconds.
     #[must_use]
     pub fn rounded(self) -> String {
         let fits = |u: &&(&str, u64)| self.micros >= u.1 && (u.0 == "s" || u.1 < 1_000_000);
@@ -73,19 +74,19 @@
     type Err = IntervalError;
 
     fn from_str(text: &str) -> Result<Self, IntervalError> {
-        let wrong = || IntervalError {
+        let invalid = || IntervalError {
             text: text.to_owned(),
         };
-        let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
-        let (number, unit) = text.split_at(digits);
-        let found = UNITS.iter().find(|u| u.0 == unit).ok_or_else(wrong)?;
-        let number: u64 = number.parse().map_err(|_malformed| wrong())?;
-        let micros = number.checked_mul(found.1).ok_or_else(wrong)?;
+        let digits_len = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
+        let (number, unit) = text.split_at(digits_len);
+        let found = UNITS.iter().find(|u| u.0 == unit).ok_or_else(invalid)?;
+        let number: u64 = number.parse().map_err(|_malformed| invalid())?;
+        let micros = number.checked_mul(found.1).ok_or_else(invalid)?;
         Ok(Self { micros })
     }
 }
 
-fn exact(micros: u64) -> String {
+fn exact_text(micros: u64) -> String {
     let fits = |u: &&(&str, u64)| micros.is_multiple_of(u.1);
     match UNITS.iter().find(fits) {
         Some((unit, size)) if micros > 0 => format!("{}{unit}", micros / size),
--- a/lib/src/query/mod.rs
+++ b/lib/src/query/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' query and command language.
 //!
-//! Routers and the command line share it: [`parse`] reads it, every statement
-//! prints back as the language, and [`evaluate`] answers questions over a
-//! [`Facts`] object.
+//! Routers and the command line share it. [`parse`] reads statements, each
+//! statement displays as query text, and [`evaluate`] runs queries over
+//! [`Facts`].
 
 mod answer;
 mod apply;
@@ -21,10 +21,10 @@
 mod value;
 mod words;
 
+pub use answer::AnswerLine;
 pub use answer::ChangeAnswer;
-pub use answer::Line;
 pub use apply::EditError;
-pub use apply::difference;
+pub use apply::config_diff;
 pub use ast::ChangeCommand;
 pub use ast::Command;
 pub use ast::Filter;
@@ -37,7 +37,7 @@
 pub use edit::LimitEdit;
 pub use edit::LimitKey;
 pub use edit::WeightKey;
-pub use error::Place;
+pub use error::ErrorLocation;
 pub use error::QueryError;
 pub use error::QueryProblem;
 pub use evaluate::ROWS_MAX;
@@ -59,12 +59,12 @@
 pub use history::History;
 pub use interval::Interval;
 pub use interval::IntervalError;
-pub use parse::TEXT_MAX;
+pub use parse::TEXT_MAX_BYTES;
 pub use parse::parse;
 pub use parse::parse_one;
 pub use table::Merge;
+pub use table::RouterTable;
 pub use table::Row;
-pub use table::Sourced;
 pub use table::Table;
 pub use value::Value;
 pub use words::KEYWORDS;
--- a/lib/src/query/table.rs
+++ b/lib/src/query/table.rs
@@ -1,4 +1,4 @@
-//! Answers as rows of typed cells.
+//! Tables of typed cells, and merging those of several routers.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -9,13 +9,13 @@
 use super::field::Field;
 use super::value::Value;
 
-/// One row, its cells in the order of the table's columns.
+/// A row with its cells in the order of the table's columns.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Row(pub Vec<Value>);
 
-/// An answer to a query.
+/// The result of a query.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
@@ -23,23 +23,23 @@
     pub columns: Vec<Field>,
     /// The rows.
     pub rows: Vec<Row>,
-    /// The rows that the limit left out.
+    /// The number of rows omitted because of the limit.
     pub omitted: u64,
 }
 
-/// A table with the router that gave it.
+/// A table and the router that returned it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Sourced {
+pub struct RouterTable {
     /// The router.
     pub router: String,
-    /// Its answer.
+    /// Its table.
     pub table: Table,
 }
 
-/// Columns that each router measures by itself.
+/// Fields that each router measures independently.
 ///
-/// Rows that differ in these only are the same thing seen by two routers.
-const MEASURED: [Field; 5] = [
+/// Rows that differ in these fields only are views of the same item.
+const MEASURED_FIELDS: [Field; 5] = [
     Field::Report,
     Field::Active,
     Field::Queued,
@@ -47,37 +47,37 @@
     Field::Left,
 ];
 
-/// How the answers of several routers belong together.
+/// How to merge the answers of several routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
-    /// Each router has rows of its own, such as its requests.
-    Own,
-    /// All routers tell of the same things, such as endpoints.
+    /// Each router has its own rows, such as its requests.
+    PerRouter,
+    /// All routers report the same items, such as endpoints.
     Shared,
 }
 
 impl Table {
     /// Merges the answers of several routers.
     ///
-    /// Counts of routers' own rows are added up. A row that several routers give
-    /// appears once, as the one with the freshest report tells it, with the
-    /// routers that gave it; where they disagree, each view has its row.
+    /// Counts of per-router rows are added up. A row that several routers return
+    /// appears once, with the values of the router whose report is freshest and
+    /// with the names of all these routers. Differing views are separate rows.
     #[must_use]
-    pub fn merge(answers: &[Sourced], merge: Merge, limit: Option<usize>) -> Self {
+    pub fn merge(answers: &[RouterTable], merge: Merge, limit: Option<usize>) -> Self {
         let columns = answers.first().map(|a| a.table.columns.clone());
         let Some(columns) = columns else {
             return Self::default();
         };
-        if merge == Merge::Own && columns.len() == 2 && columns[1] == Field::Count {
+        if merge == Merge::PerRouter && columns.len() == 2 && columns[1] == Field::Count {
             return Self::add_counts(columns, answers);
         }
-        let mut table = Self::join(columns, answers);
+        let mut table = Self::merge_rows(columns, answers);
         let omitted = answers.iter().map(|a| a.table.omitted);
         table.omitted = match merge {
-            Merge::Own => omitted.sum(),
+            Merge::PerRouter => omitted.sum(),
             Merge::Shared => omitted.max().unwrap_or_default(),
         };
-        if merge == Merge::Own {
+        if merge == Merge::PerRouter {
             table.sort_by_age();
         }
         let limit = limit.unwrap_or(usize::MAX);
@@ -86,29 +86,29 @@
         table
     }
 
-    fn join(columns: Vec<Field>, answers: &[Sourced]) -> Self {
+    fn merge_rows(columns: Vec<Field>, answers: &[RouterTable]) -> Self {
         let mut rows: Vec<(Row, Vec<&str>)> = Vec::new();
-        let mut seen: BTreeMap<String, usize> = BTreeMap::new();
+        let mut index_by_key: BTreeMap<String, usize> = BTreeMap::new();
         for answer in answers {
             for row in &answer.table.rows {
                 let next = rows.len();
-                let index = *seen.entry(identity(&columns, row)).or_insert(next);
+                let index = *index_by_key.entry(row_key(&columns, row)).or_insert(next);
                 if index == next {
                     rows.push((row.clone(), Vec::new()));
                 }
-                let (kept, routers) = &mut rows[index];
+                let (current, routers) = &mut rows[index];
                 routers.push(&answer.router);
-                if is_fresher(&columns, row, kept) {
-                    *kept = row.clone();
+                if is_fresher(&columns, row, current) {
+                    *current = row.clone();
                 }
             }
         }
-        let named = |(mut row, routers): (Row, Vec<&str>)| {
+        let with_routers = |(mut row, routers): (Row, Vec<&str>)| {
             row.0
                 .push(Value::Text(routers_text(&routers, answers.len())));
             row
         };
-        let rows = rows.into_iter().map(named).collect();
+        let rows = rows.into_iter().map(with_routers).collect();
         let mut columns = columns;
         columns.push(Field::Router);
         Self {
@@ -127,7 +127,7 @@
             .sort_by(|a, b| order(a, b).unwrap_or(Ordering::Equal));
     }
 
-    fn add_counts(columns: Vec<Field>, answers: &[Sourced]) -> Self {
+    fn add_counts(columns: Vec<Field>, answers: &[RouterTable]) -> Self {
         let mut counts: Vec<(Value, f64)> = Vec::new();
         for row in answers.iter().flat_map(|a| &a.table.rows) {
             let [key, Value::Number(count)] = row.0.as_slice() else {
@@ -148,25 +148,27 @@
     }
 }
 
-fn identity(columns: &[Field], row: &Row) -> String {
-    let fixed = columns.iter().zip(&row.0);
-    let fixed: Vec<_> = fixed.filter(|(f, _)| !MEASURED.contains(f)).collect();
-    format!("{fixed:?}")
+fn row_key(columns: &[Field], row: &Row) -> String {
+    let cells = columns.iter().zip(&row.0);
+    let cells: Vec<_> = cells
+        .filter(|(f, _)| !MEASURED_FIELDS.contains(f))
+        .collect();
+    format!("{cells:?}")
 }
 
-fn is_fresher(columns: &[Field], row: &Row, kept: &Row) -> bool {
+fn is_fresher(columns: &[Field], row: &Row, current: &Row) -> bool {
     let report = columns.iter().position(|f| *f == Field::Report);
-    report.is_some_and(|at| row.0[at].compare(&kept.0[at]) == Some(Ordering::Less))
+    report.is_some_and(|index| row.0[index].compare(&current.0[index]) == Some(Ordering::Less))
 }
 
-fn routers_text(routers: &[&str], asked: usize) -> String {
-    if asked > 1 && routers.len() == asked {
-        return format!("all {asked}");
+fn routers_text(routers: &[&str], queried: usize) -> String {
+    if queried > 1 && routers.len() == queried {
+        return format!("all {queried}");
     }
     routers.join(",")
 }
 
-/// Orders counts by value: the most frequent first, then by the value's text.
+/// Sorts counts, the most frequent value first, then by the value's text.
 pub(super) fn sort_counts(counts: &mut [(Value, f64)]) {
     counts.sort_by(|a, b| {
         let by_text = || a.0.to_string().cmp(&b.0.to_string());
--- a/lib/src/query/words.rs
+++ b/lib/src/query/words.rs
@@ -1,4 +1,4 @@
-//! The words of the language, for messages and completion.
+//! The words of the query language, for error messages and completion.
 
 use std::fmt::Display;
 
@@ -57,14 +57,15 @@
     "where",
 ];
 
-/// Tells whether a character may stand in a word.
-pub(super) fn is_word(char: char) -> bool {
+/// Returns whether a character may occur in a word.
+pub(super) fn is_word_char(char: char) -> bool {
     char.is_ascii_alphanumeric() || "-_.:/".contains(char)
 }
 
-/// Returns the first word of a text, or its first character if that is no word.
-pub(super) fn first(text: &str) -> &str {
-    let end = text.find(|c: char| !is_word(c)).unwrap_or(text.len());
+/// Returns the first word of a text, or its first character if it does not
+/// begin with a word.
+pub(super) fn first_word(text: &str) -> &str {
+    let end = text.find(|c: char| !is_word_char(c)).unwrap_or(text.len());
     if end > 0 {
         return &text[..end];
     }
@@ -72,8 +73,8 @@
     &text[..first]
 }
 
-/// Names what may stand at a place.
-pub(super) fn expected(rules: &[Rule]) -> String {
+/// Describes the rules allowed at a position.
+pub(super) fn describe_expected(rules: &[Rule]) -> String {
     let mut names: Vec<_> = rules.iter().map(|r| describe(*r)).collect();
     names.sort_unstable();
     names.dedup();
@@ -84,7 +85,7 @@
     format!("{} or {last}", names.join(", "))
 }
 
-/// Names one rule as an operator would write it.
+/// Describes a rule in the terms of an operator.
 pub(super) fn describe(rule: Rule) -> String {
     let text = match rule {
         Rule::close => "')'",
@@ -107,20 +108,20 @@
             "a statement, which begins with show, explain, watch, create, alter, drop, bind, \
              unbind, set, drain, resume, stop, dry-run or help"
         }
-        _ => return keyword(rule),
+        _ => return describe_keyword(rule),
     };
     text.to_owned()
 }
 
-fn keyword(rule: Rule) -> String {
+fn describe_keyword(rule: Rule) -> String {
     let name = format!("{rule:?}").replace('_', "-");
     let word = name.strip_prefix("k-").unwrap_or(&name);
     format!("'{word}'")
 }
 
-/// Joins names for a message.
-pub(super) fn names(items: impl Iterator<Item = impl Display>, more: &str) -> String {
+/// Joins names for an error message, with `extra` as the last unless empty.
+pub(super) fn join_names(items: impl Iterator<Item = impl Display>, extra: &str) -> String {
     let mut names: Vec<_> = items.map(|i| i.to_string()).collect();
-    names.extend((!more.is_empty()).then(|| more.to_owned()));
+    names.extend((!extra.is_empty()).then(|| extra.to_owned()));
     names.join(", ")
 }
--- a/router/src/control/changes.rs
+++ b/router/src/control/changes.rs
@@ -14,7 +14,7 @@
 use snipeyoke_lib::query::ChangeAnswer;
 use snipeyoke_lib::query::ChangeCommand;
 use snipeyoke_lib::query::Facts;
-use snipeyoke_lib::query::difference;
+use snipeyoke_lib::query::config_diff;
 use snipeyoke_lib::record::Author;
 use snipeyoke_lib::record::Body;
 use snipeyoke_lib::record::Record;
@@ -53,14 +53,14 @@
         Ok(base_config) => base_config.config,
         Err(error) => return invalid(&error),
     };
-    let change = match command.edit.change(&base_config) {
+    let change = match command.edit.resolve(&base_config) {
         Ok(change) => change,
         Err(error) => return invalid(&error),
     };
     if command.dry_run {
         let diff = change
             .apply(&base_config)
-            .map(|next| difference(&base_config, &next));
+            .map(|next| config_diff(&base_config, &next));
         return match diff {
             Ok(diff) => ChangeAnswer::Planned { base, diff },
             Err(error) => invalid(&error),
