--- a/lib/benches/pieces.rs
+++ b/lib/benches/batching.rs
@@ -61,7 +61,7 @@
     }
 }
 
-fn crowded(c: &mut Criterion) {
+fn bench_full_queue(c: &mut Criterion) {
     let mut queue = queue();
     let mut now = Time::from_millis(1_000);
     queue.poll(now);
@@ -82,5 +82,5 @@
     });
 }
 
-criterion_group!(benches, crowded);
+criterion_group!(benches, bench_full_queue);
 criterion_main!(benches);
--- a/lib/benches/choose.rs
+++ b/lib/benches/choose.rs
@@ -29,15 +29,15 @@
 const CANDIDATES: u64 = 680;
 
 /// The choices over which allocations are counted.
-const COUNTED: u64 = 10_000;
+const COUNTED_CHOICES: u64 = 10_000;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-struct Counting;
+struct CountingAllocator;
 
 // SAFETY: every call goes to the system's allocator unchanged; the counter has
 // no part in it.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
         // SAFETY: the caller keeps the contract of `alloc`.
@@ -51,7 +51,7 @@
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn fleet(now: Time, pool: &PoolName) -> Fleet {
     let region = "r0".parse().expect("a name");
@@ -109,16 +109,16 @@
         PolicyKind::RoundRobin,
     ] {
         let mut policy = kind.build();
-        let mut once = || choose(policy.as_mut(), now, pool, black_box(&need), &mut rng);
-        black_box(once());
+        let mut choose_once = || choose(policy.as_mut(), now, pool, black_box(&need), &mut rng);
+        black_box(choose_once());
         let before = ALLOCATIONS.load(Ordering::Relaxed);
-        for _ in 0..COUNTED {
-            black_box(once());
+        for _ in 0..COUNTED_CHOICES {
+            black_box(choose_once());
         }
-        let made = ALLOCATIONS.load(Ordering::Relaxed) - before;
-        println!("{kind}: {made} allocations in {COUNTED} choices");
+        let allocations = ALLOCATIONS.load(Ordering::Relaxed) - before;
+        println!("{kind}: {allocations} allocations in {COUNTED_CHOICES} choices");
         criterion.bench_function(&format!("choose/{kind}/{CANDIDATES}"), |b| {
-            b.iter(&mut once);
+            b.iter(&mut choose_once);
         });
     }
 }
--- a/lib/examples/capacity.rs
+++ b/lib/examples/capacity.rs
@@ -68,15 +68,15 @@
 use uuid::Uuid;
 
 /// Stages of a request in the journal.
-const STAGES: u64 = 4;
+const STAGE_COUNT: u64 = 4;
 
 /// Bytes of a plain service's answer.
-const ANSWER: usize = 128;
+const ANSWER_BYTES: usize = 128;
 
 /// Turns of a measurement of time.
-const TURNS: u32 = 2_000;
+const ITERATIONS: u32 = 2_000;
 
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|p| p.parse().ok());
     pages.unwrap_or(0.0) * 4_096.0
@@ -84,7 +84,7 @@
 
 // Memory that is given back would be used again, and the next growth of the
 // resident set would come out too small.
-fn keep<T>(value: T) {
+fn leak<T>(value: T) {
     std::mem::forget(value);
 }
 
@@ -92,8 +92,8 @@
     text.parse().expect("the example's names are well-formed")
 }
 
-fn print(what: &str, size: usize, value: f64, unit: &str) {
-    println!("{what:<34} {size:>9} {value:>12.3} {unit}");
+fn print(label: &str, size: usize, value: f64, unit: &str) {
+    println!("{label:<34} {size:>9} {value:>12.3} {unit}");
 }
 
 fn micros(time: Duration) -> f64 {
@@ -115,17 +115,17 @@
 }
 
 fn journal(count: usize) {
-    let before = resident();
+    let before = resident_bytes();
     let mut journal = Journal::new(Bytes(1 << 34));
     let started = Instant::now();
     for n in 0..count as u64 {
-        note(&mut journal, n);
+        record_request(&mut journal, n);
     }
     let time = started.elapsed() / count as u32;
-    let real = (resident() - before) / count as f64;
-    print("journal: resident / request", count, real, "B");
-    let said = journal.used().0 as f64 / count as f64;
-    print("journal: accounted / request", count, said, "B");
+    let growth = (resident_bytes() - before) / count as f64;
+    print("journal: resident / request", count, growth, "B");
+    let accounted = journal.used().0 as f64 / count as f64;
+    print("journal: accounted / request", count, accounted, "B");
     print("journal: time / request", count, micros(time), "us");
     let filter = Filter::Flag(Field::Late);
     let started = Instant::now();
@@ -136,10 +136,10 @@
     black_box(late.count());
     let time = started.elapsed() / count as u32;
     print("journal: question / request", count, micros(time), "us");
-    keep(journal);
+    leak(journal);
 }
 
-fn note(journal: &mut Journal, n: u64) {
+fn record_request(journal: &mut Journal, n: u64) {
     let id = RequestId(Uuid::from_u128(u128::from(n)));
     let now = Time::from_millis(n);
     let accepted = Accepted {
@@ -156,7 +156,7 @@
         predicted: Duration::from_millis(300),
         cost: None,
     };
-    for stage in 0..STAGES {
+    for stage in 0..STAGE_COUNT {
         let decision = Decision {
             stage: name("generate"),
             attempt: AttemptId(stage),
@@ -172,13 +172,13 @@
 }
 
 fn config(count: usize) {
-    let before = resident();
+    let before = resident_bytes();
     let config = Config {
         accounts: accounts(count),
         ..Config::default()
     };
-    let real = (resident() - before) / count as f64;
-    print("config: resident / account", count, real, "B");
+    let growth = (resident_bytes() - before) / count as f64;
+    print("config: resident / account", count, growth, "B");
     let snapshot = Snapshot {
         next: Offset(1),
         revision: Revision(1),
@@ -186,8 +186,8 @@
         recent: Vec::new(),
     };
     let bytes = serde_json::to_vec(&snapshot).expect("a snapshot has a JSON form");
-    let each = bytes.len() as f64 / count as f64;
-    print("config: snapshot / account", count, each, "B");
+    let per_account = bytes.len() as f64 / count as f64;
+    print("config: snapshot / account", count, per_account, "B");
     let mut fold = Fold::new();
     fold.adopt(&snapshot);
     let record = change(1);
@@ -200,7 +200,7 @@
         "us",
     );
     print("config: record", count, record.encode().len() as f64, "B");
-    keep((fold, snapshot, bytes));
+    leak((fold, snapshot, bytes));
 }
 
 fn parts(count: usize) {
@@ -214,8 +214,8 @@
         config: Arc::new(config),
         recent: Vec::new(),
     };
-    let whole = serde_json::to_vec(&snapshot).expect("a snapshot has a JSON form");
-    print("parts: snapshot", count, whole.len() as f64, "B");
+    let encoded = serde_json::to_vec(&snapshot).expect("a snapshot has a JSON form");
+    print("parts: snapshot", count, encoded.len() as f64, "B");
     let started = Instant::now();
     let records = snapshot.records(&Author::Peer, RecordId::default);
     let records: Vec<_> = records.iter().map(Record::encode).collect();
@@ -262,7 +262,7 @@
 }
 
 fn fleet(count: usize) {
-    let before = resident();
+    let before = resident_bytes();
     let domain: FailureDomain = name("hall-a");
     let region: Region = name("bergen");
     let pool: PoolName = name("ranger-llm");
@@ -285,8 +285,8 @@
         fleet.on_load(now, &id, &report);
     }
     print("fleet: fill", count, micros(started.elapsed()), "us");
-    let real = (resident() - before) / count as f64;
-    print("fleet: resident / endpoint", count, real, "B");
+    let growth = (resident_bytes() - before) / count as f64;
+    print("fleet: resident / endpoint", count, growth, "B");
     let mut policy = PolicyKind::Predicted.build();
     let mut rng = Pcg32::new(7, 11);
     let prefix: Vec<u64> = (0..8).collect();
@@ -299,52 +299,52 @@
     };
     let pool = fleet.pool_mut(&pool).expect("the pool is filled");
     let started = Instant::now();
-    for _turn in 0..TURNS {
+    for _iteration in 0..ITERATIONS {
         black_box(policy.choose(now, pool, &need, &mut rng));
     }
-    let time = started.elapsed() / TURNS;
+    let time = started.elapsed() / ITERATIONS;
     print("fleet: one decision", count, micros(time), "us");
-    keep(fleet);
+    leak(fleet);
 }
 
 fn limiter(peers: usize, count: usize) {
-    let before = resident();
+    let before = resident_bytes();
     let now = Time::from_millis(10);
     let all = accounts(count);
     let mut limiter = Limiter::new(now, peers + 1);
     limiter.set_accounts(now, &all);
-    let mut heard = Duration::ZERO;
+    let mut report_time = Duration::ZERO;
     for seq in 1..3 {
-        heard = Duration::ZERO;
+        report_time = Duration::ZERO;
         for n in 0..peers {
-            let uses = all.keys().map(|name| AccountDemand {
+            let demands = all.keys().map(|name| AccountDemand {
                 account: name.clone(),
                 requests: seq as f64,
                 tokens: 100.0,
                 active: 1,
             });
-            let uses = uses.collect();
+            let demands = demands.collect();
             let peer: NodeId = name(&format!("router-{n:03}"));
             let started = Instant::now();
-            limiter.on_report(now, &peer, seq, uses);
-            heard += started.elapsed();
+            limiter.on_report(now, &peer, seq, demands);
+            report_time += started.elapsed();
         }
     }
     let pairs = peers * count;
-    let real = (resident() - before) / pairs as f64;
-    print("limits: resident / (peer, account)", pairs, real, "B");
-    let time = micros(heard) / pairs as f64;
+    let growth = (resident_bytes() - before) / pairs as f64;
+    print("limits: resident / (peer, account)", pairs, growth, "B");
+    let time = micros(report_time) / pairs as f64;
     print("limits: report / (peer, account)", pairs, time, "us");
     let started = Instant::now();
     black_box(limiter.tick(now));
     print("limits: tick", pairs, micros(started.elapsed()), "us");
     let time = micros(started.elapsed()) / pairs as f64;
     print("limits: tick / (peer, account)", pairs, time, "us");
-    keep((limiter, all));
+    leak((limiter, all));
 }
 
 fn once(count: usize) {
-    let before = resident();
+    let before = resident_bytes();
     let limits = TableLimits {
         keys: count,
         bytes: Bytes(1 << 34),
@@ -368,15 +368,15 @@
         black_box(gate.admit(WallTime::from_millis(issued), &key, Some(held)));
         let answer = Answer {
             status: 200,
-            body: vec![b'x'; ANSWER],
+            body: vec![b'x'; ANSWER_BYTES],
         };
         gate.end(&key, OnceEnd::Answered(answer));
     }
     let time = micros(started.elapsed()) / count as f64;
-    let real = (resident() - before) / gate.keys() as f64;
-    print("once: resident / key", gate.keys(), real, "B");
+    let growth = (resident_bytes() - before) / gate.keys() as f64;
+    print("once: resident / key", gate.keys(), growth, "B");
     print("once: time / key", gate.keys(), time, "us");
-    keep(gate);
+    leak(gate);
 }
 
 fn main() {
--- a/lib/examples/slopes.rs
+++ b/lib/examples/slopes.rs
@@ -20,25 +20,25 @@
 use snipeyoke_wire::frame::Body;
 
 /// The length prefix of a frame.
-const PREFIX: usize = 4;
+const PREFIX_BYTES: usize = 4;
 
 /// IP and TCP headers with timestamps, of the frame's packet and of a bare ack.
-const HEADERS: usize = 2 * 52;
+const HEADER_BYTES: usize = 2 * 52;
 
 /// Pools at the size to design for.
-const POOLS: usize = 17;
+const POOL_COUNT: usize = 17;
 
 /// Routers and agents, one to two as at the size to design for.
 const SIZES: [(usize, usize); 5] = [(7, 13), (27, 53), (107, 213), (214, 426), (340, 680)];
 
 /// The time given to meet and settle.
-const SETTLE: Duration = Duration::from_mins(1);
+const SETTLE_TIME: Duration = Duration::from_mins(1);
 
 /// The time measured.
-const MEASURED: Duration = Duration::from_mins(1);
+const MEASURED_TIME: Duration = Duration::from_mins(1);
 
 /// Turns of the codec's measurement.
-const TURNS: u32 = 200_000;
+const ITERATIONS: u32 = 200_000;
 
 fn heartbeat(kind: NodeKind) -> Frame {
     let load = Load {
@@ -56,7 +56,7 @@
         kv_total: 524_288,
         models: vec!["copywriting-34b@7".to_owned(), "headline-8b@12".to_owned()],
     };
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         incarnation: 1_796_000_000_000,
         seq: 7_200_000,
         config_offset: 90_000,
@@ -68,26 +68,26 @@
         load: (kind == NodeKind::Agent).then_some(load),
     };
     Frame {
-        body: Some(Body::Heartbeat(beat)),
+        body: Some(Body::Heartbeat(heartbeat)),
     }
 }
 
 fn codec_time(kind: NodeKind) -> Duration {
     let frame = heartbeat(kind);
     let started = Instant::now();
-    for _ in 0..TURNS {
+    for _ in 0..ITERATIONS {
         let bytes = std::hint::black_box(&frame).encode_to_vec();
-        let back = Frame::decode(bytes.as_slice());
-        assert!(std::hint::black_box(back).is_ok(), "a heartbeat decodes");
+        let decoded = Frame::decode(bytes.as_slice());
+        assert!(std::hint::black_box(decoded).is_ok(), "a heartbeat decodes");
     }
-    started.elapsed() / TURNS
+    started.elapsed() / ITERATIONS
 }
 
 #[derive(Default)]
 struct Row {
     nodes: usize,
     links: usize,
-    most: usize,
+    max_links: usize,
     sent: u64,
     received: u64,
 }
@@ -99,7 +99,7 @@
             .map_or(0, snipeyoke_lib::membership::View::link_count);
         self.nodes += 1;
         self.links += links;
-        self.most = self.most.max(links);
+        self.max_links = self.max_links.max(links);
         self.sent += mesh.sent.get(&at).copied().unwrap_or_default();
         self.received += received;
     }
@@ -124,46 +124,48 @@
 fn measure(routers: usize, agents: usize) {
     let names = (0..routers).map(|i| format!("r{i}"));
     let names = names.chain((0..agents).map(|i| format!("a{i}")));
-    let profiles: Vec<Profile> = names.map(|n| profile(&n, POOLS)).collect();
+    let profiles: Vec<Profile> = names.map(|n| profile(&n, POOL_COUNT)).collect();
     let mut mesh = Mesh::new(1, ViewSettings::default());
     for profile in &profiles {
         mesh.start(profile.clone(), 1);
     }
-    mesh.list(&listed(&profiles));
-    mesh.run(SETTLE);
+    mesh.send_host_list(&listed(&profiles));
+    mesh.run(SETTLE_TIME);
     mesh.sent.clear();
     let started = Instant::now();
-    mesh.run(MEASURED);
+    mesh.run(MEASURED_TIME);
     let busy = started.elapsed();
 
-    let core = 100.0 * busy.as_secs_f64() / MEASURED.as_secs_f64() / profiles.len() as f64;
+    let core_percent =
+        100.0 * busy.as_secs_f64() / MEASURED_TIME.as_secs_f64() / profiles.len() as f64;
     for kind in [NodeKind::Router, NodeKind::Agent] {
         let mut row = Row::default();
         for profile in profiles.iter().filter(|p| p.kind == kind) {
             row.add(&mesh, profile.address, received(&mesh, profile.address));
         }
-        print_row(kind, &row, profiles.len(), core);
+        print_row(kind, &row, profiles.len(), core_percent);
     }
 }
 
-fn print_row(kind: NodeKind, row: &Row, all: usize, core: f64) {
-    let seconds = MEASURED.as_secs_f64() * row.nodes as f64;
-    let out = row.sent as f64 / seconds;
-    let inn = row.received as f64 / seconds;
+fn print_row(kind: NodeKind, row: &Row, node_count: usize, core_percent: f64) {
+    let seconds = MEASURED_TIME.as_secs_f64() * row.nodes as f64;
+    let sent_rate = row.sent as f64 / seconds;
+    let received_rate = row.received as f64 / seconds;
     // A router hears agents, an agent hears routers; the few links between
     // routers are counted as if they carried the longer heartbeat.
     let (own, other) = match kind {
         NodeKind::Router => (NodeKind::Router, NodeKind::Agent),
         NodeKind::Agent => (NodeKind::Agent, NodeKind::Router),
     };
-    let size = |kind| (heartbeat(kind).encoded_len() + PREFIX) as f64;
-    let frames = out * size(own) + inn * size(other);
-    let wire = frames + (out + inn) * HEADERS as f64;
-    let codec = inn * codec_time(other).as_secs_f64() + out * codec_time(own).as_secs_f64();
+    let size = |kind| (heartbeat(kind).encoded_len() + PREFIX_BYTES) as f64;
+    let frames = sent_rate * size(own) + received_rate * size(other);
+    let wire = frames + (sent_rate + received_rate) * HEADER_BYTES as f64;
+    let codec =
+        received_rate * codec_time(other).as_secs_f64() + sent_rate * codec_time(own).as_secs_f64();
     println!(
-        "{all:>5} {kind:<7} {:>6.1} {:>5} {out:>7.1} {inn:>7.1} {:>8.2} {:>8.2} {core:>8.3} {:>8.4}",
+        "{node_count:>5} {kind:<7} {:>6.1} {:>5} {sent_rate:>7.1} {received_rate:>7.1} {:>8.2} {:>8.2} {core_percent:>8.3} {:>8.4}",
         row.links as f64 / row.nodes as f64,
-        row.most,
+        row.max_links,
         frames / 1_000.0,
         wire / 1_000.0,
         100.0 * codec,
--- a/lib/tests/pipeline_world.rs
+++ b/lib/tests/pipeline_world.rs
@@ -23,15 +23,15 @@
 use snipeyoke_lib::time::Time;
 
 /// The way from a node to an endpoint, and back.
-const WAY: Duration = Duration::from_millis(3);
+const NETWORK_DELAY: Duration = Duration::from_millis(3);
 
 /// The time of the model to its first event, prompt and all.
-const MODEL: Duration = Duration::from_millis(350);
+const MODEL_LATENCY: Duration = Duration::from_millis(350);
 
 /// How many times longer calls take than the services say.
 ///
 /// Said times are approximate, and fetching the inputs comes on top.
-const SLOWER: f64 = 1.1;
+const SLOWDOWN: f64 = 1.1;
 
 /// The resolution of simulated time.
 const TICK: Duration = Duration::from_millis(1);
@@ -47,7 +47,7 @@
 pub(crate) struct KindSpec {
     pub(crate) stages: Vec<Stage>,
     pub(crate) counts: Vec<u32>,
-    pub(crate) aim: Duration,
+    pub(crate) target: Duration,
     pub(crate) deadline: Duration,
     pub(crate) priority: u8,
     /// Requests a second, from a moment on.
@@ -57,7 +57,7 @@
 /// What became of the requests of one kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Tally {
-    pub(crate) asked: u32,
+    pub(crate) submitted: u32,
     pub(crate) on_time: u32,
     pub(crate) late: u32,
     pub(crate) refused: u32,
@@ -66,25 +66,25 @@
 struct Request {
     kind: usize,
     plan: StagePlan,
-    began: Time,
-    open: BTreeMap<(usize, JobId), usize>,
-    staged: bool,
+    started_at: Time,
+    open_jobs: BTreeMap<(usize, JobId), usize>,
+    model_called: bool,
 }
 
 struct Worker {
     free_at: Time,
-    held: BTreeMap<String, u64>,
+    results: BTreeMap<String, u64>,
 }
 
 enum Event {
     /// A call's turn at its endpoint comes.
-    Turn(usize, BatchCall),
+    CallStart(usize, BatchCall),
     /// A call's answer arrives.
-    Answer(usize, u64, CallResult),
+    CallEnd(usize, u64, CallResult),
     /// A request's first event arrives.
-    First(usize),
+    ModelResponse(usize),
     /// An endpoint drops results.
-    Drop(usize, EndpointId, Vec<String>),
+    Release(usize, EndpointId, Vec<String>),
 }
 
 /// The services, their endpoints and the requests under way.
@@ -95,11 +95,11 @@
     queues: Vec<BatchQueue>,
     workers: BTreeMap<EndpointId, Worker>,
     requests: BTreeMap<usize, Request>,
-    origins: BTreeMap<(usize, JobId), usize>,
-    makers: BTreeMap<String, (usize, EndpointId)>,
+    job_requests: BTreeMap<(usize, JobId), usize>,
+    result_endpoints: BTreeMap<String, (usize, EndpointId)>,
     events: BTreeMap<(Time, u64), Event>,
-    next: u64,
-    owed: Vec<f64>,
+    next_number: u64,
+    pending_arrivals: Vec<f64>,
     tallies: Vec<Tally>,
 }
 
@@ -115,7 +115,7 @@
             for entry in entries {
                 let worker = Worker {
                     free_at: Time::ZERO,
-                    held: BTreeMap::new(),
+                    results: BTreeMap::new(),
                 };
                 workers.insert(entry.id, worker);
             }
@@ -125,11 +125,11 @@
             queues,
             workers,
             requests: BTreeMap::new(),
-            origins: BTreeMap::new(),
-            makers: BTreeMap::new(),
+            job_requests: BTreeMap::new(),
+            result_endpoints: BTreeMap::new(),
             events: BTreeMap::new(),
-            next: 0,
-            owed: vec![0.0; kinds.len()],
+            next_number: 0,
+            pending_arrivals: vec![0.0; kinds.len()],
             tallies: vec![Tally::default(); kinds.len()],
             services,
             kinds,
@@ -137,51 +137,51 @@
     }
 
     /// Plays a day of `seconds` and the end of what is under way.
-    pub(crate) fn play(mut self, seconds: u64) -> Vec<Tally> {
+    pub(crate) fn run(mut self, seconds: u64) -> Vec<Tally> {
         let start = self.now;
         let end = start + Duration::from_secs(seconds);
         while self.now < end || !self.requests.is_empty() {
             if self.now < end {
-                self.arrive(self.now.since(start).as_millis() as u64);
+                self.submit_arrivals(self.now.since(start).as_millis() as u64);
             }
-            self.happen();
-            self.turn();
+            self.process_events();
+            self.poll_queues();
             self.now = self.now + TICK;
         }
         self.tallies
     }
 
-    fn arrive(&mut self, ms: u64) {
+    fn submit_arrivals(&mut self, ms: u64) {
         for kind in 0..self.kinds.len() {
             let rates = &self.kinds[kind].rates;
             let rate = rates.iter().rfind(|(from, _)| *from <= ms);
-            self.owed[kind] += rate.map_or(0.0, |&(_, r)| r) * TICK.as_secs_f64();
-            while self.owed[kind] >= 1.0 {
-                self.owed[kind] -= 1.0;
-                self.begin(kind);
+            self.pending_arrivals[kind] += rate.map_or(0.0, |&(_, r)| r) * TICK.as_secs_f64();
+            while self.pending_arrivals[kind] >= 1.0 {
+                self.pending_arrivals[kind] -= 1.0;
+                self.submit_request(kind);
             }
         }
     }
 
-    fn begin(&mut self, kind: usize) {
+    fn submit_request(&mut self, kind: usize) {
         let spec = &self.kinds[kind];
         let plan = StagePlan::new(&spec.stages, &spec.counts).expect("a count for each stage");
-        let number = self.next as usize;
-        self.next += 1;
-        self.tallies[kind].asked += 1;
+        let number = self.next_number as usize;
+        self.next_number += 1;
+        self.tallies[kind].submitted += 1;
         let request = Request {
             kind,
             plan,
-            began: self.now,
-            open: BTreeMap::new(),
-            staged: false,
+            started_at: self.now,
+            open_jobs: BTreeMap::new(),
+            model_called: false,
         };
         self.requests.insert(number, request);
-        self.go_on(number);
+        self.advance(number);
     }
 
     /// Submits what may begin of a request, or sends it to the model.
-    fn go_on(&mut self, number: usize) {
+    fn advance(&mut self, number: usize) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -191,18 +191,18 @@
             let found = services.iter().find(|s| s.name == name.as_str());
             found.map(|s| s.limits.clone())
         };
-        let times = StageTimes::new(&spec.stages, &spec.counts, MODEL, limits);
+        let times = StageTimes::new(&spec.stages, &spec.counts, MODEL_LATENCY, limits);
         if request.plan.is_done() {
-            if !request.staged {
-                request.staged = true;
-                self.at(self.now + MODEL, Event::First(number));
+            if !request.model_called {
+                request.model_called = true;
+                self.schedule(self.now + MODEL_LATENCY, Event::ModelResponse(number));
             }
             return;
         }
-        let goal = request.began + spec.aim;
-        let due = request.began + spec.deadline;
-        for order in request.plan.start_ready(&times) {
-            let stage = &spec.stages[order.stage];
+        let target = request.started_at + spec.target;
+        let deadline = request.started_at + spec.deadline;
+        for ready in request.plan.start_ready(&times) {
+            let stage = &spec.stages[ready.stage];
             let service = services
                 .iter()
                 .position(|s| s.name == stage.service.as_str())
@@ -210,118 +210,121 @@
             let job = Job {
                 request: number.to_string(),
                 fingerprint: None,
-                stage: order.stage,
-                items: order.items,
-                input: order.input,
+                stage: ready.stage,
+                items: ready.items,
+                input: ready.input,
                 key: number.to_string(),
                 result_bytes: stage.result_bytes,
-                target: times.target(order.stage, goal).max(self.now),
-                deadline: times.deadline(order.stage, due).max(self.now),
+                target: times.target(ready.stage, target).max(self.now),
+                deadline: times.deadline(ready.stage, deadline).max(self.now),
                 priority: spec.priority,
                 result_domain: None,
                 input_source: None,
             };
             let id = self.queues[service].submit(job);
-            self.origins.insert((service, id), number);
-            request.open.insert((service, id), order.stage);
+            self.job_requests.insert((service, id), number);
+            request.open_jobs.insert((service, id), ready.stage);
         }
     }
 
-    fn happen(&mut self) {
+    fn process_events(&mut self) {
         while let Some((&(at, key), _)) = self.events.first_key_value() {
             if at > self.now {
                 break;
             }
             let event = self.events.remove(&(at, key)).expect("the first one");
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Turn(service, call) => self.work(service, &call),
-            Event::Answer(service, call, result) => {
+            Event::CallStart(service, call) => self.run_call(service, &call),
+            Event::CallEnd(service, call, result) => {
                 self.queues[service].on_call_ended(self.now, call, result);
             }
-            Event::First(number) => self.finish(number, false),
-            Event::Drop(service, endpoint, handles) => {
+            Event::ModelResponse(number) => self.finish(number, false),
+            Event::Release(service, endpoint, handles) => {
                 let worker = self.workers.get_mut(&endpoint).expect("a known endpoint");
                 for handle in &handles {
-                    worker.held.remove(handle);
+                    worker.results.remove(handle);
                 }
                 self.queues[service].on_released(&endpoint, &handles);
             }
         }
     }
 
-    fn work(&mut self, service: usize, call: &BatchCall) {
+    fn run_call(&mut self, service: usize, call: &BatchCall) {
         let limits = &self.services[service].limits;
         let worker = self.workers.get_mut(&call.entry.id);
         let worker = worker.expect("a known endpoint");
-        let mut taken: u64 = worker.held.values().sum();
+        let mut used_bytes: u64 = worker.results.values().sum();
         let mut outcomes = Vec::new();
-        let mut done = 0;
+        let mut produced = 0;
         for item in &call.items {
             let number: usize = item.request.parse().expect("a number");
             let kind = self.requests.get(&number).map_or(0, |r| r.kind);
-            let each = self.kinds[kind].stages[item.stage].result_bytes.0;
-            if taken + each > limits.result_memory.0 {
+            let result_bytes = self.kinds[kind].stages[item.stage].result_bytes.0;
+            if used_bytes + result_bytes > limits.result_memory.0 {
                 outcomes.push(ItemOutcome::Full);
                 continue;
             }
-            taken += each;
-            done += 1;
+            used_bytes += result_bytes;
+            produced += 1;
             let handle = format!(
                 "{}/{}.{}.{}",
                 call.entry.id, item.request, item.stage, item.item
             );
-            worker.held.insert(handle.clone(), each);
-            self.makers
+            worker.results.insert(handle.clone(), result_bytes);
+            self.result_endpoints
                 .insert(handle.clone(), (service, call.entry.id.clone()));
             outcomes.push(ItemOutcome::Produced(handle));
         }
-        let took = if done > 0 {
-            (limits.call_overhead + limits.item_time * done).mul_f64(SLOWER)
+        let duration = if produced > 0 {
+            (limits.call_overhead + limits.item_time * produced).mul_f64(SLOWDOWN)
         } else {
             Duration::ZERO
         };
-        let answer = Event::Answer(service, call.id, CallResult::Answered(outcomes));
-        self.at(self.now + took + WAY, answer);
+        let answer = Event::CallEnd(service, call.id, CallResult::Answered(outcomes));
+        self.schedule(self.now + duration + NETWORK_DELAY, answer);
     }
 
-    fn turn(&mut self) {
+    fn poll_queues(&mut self) {
         for service in 0..self.queues.len() {
             for call in self.queues[service].poll(self.now) {
                 let worker = &self.workers[&call.entry.id];
-                let turn = worker.free_at.max(self.now + WAY);
-                let took = call.expected.mul_f64(SLOWER);
+                let start = worker.free_at.max(self.now + NETWORK_DELAY);
+                let duration = call.expected.mul_f64(SLOWDOWN);
                 if let Some(worker) = self.workers.get_mut(&call.entry.id) {
-                    worker.free_at = turn + took;
+                    worker.free_at = start + duration;
                 }
-                self.at(turn, Event::Turn(service, call));
+                self.schedule(start, Event::CallStart(service, call));
             }
             for (entry, handles) in self.queues[service].take_releases(self.now) {
-                self.at(self.now + WAY, Event::Drop(service, entry.id, handles));
+                self.schedule(
+                    self.now + NETWORK_DELAY,
+                    Event::Release(service, entry.id, handles),
+                );
             }
             for end in self.queues[service].take_results() {
-                let Some(number) = self.origins.remove(&(service, end.job)) else {
+                let Some(number) = self.job_requests.remove(&(service, end.job)) else {
                     continue;
                 };
                 let Some(request) = self.requests.get_mut(&number) else {
                     continue;
                 };
-                let stage = request.open.remove(&(service, end.job));
+                let stage = request.open_jobs.remove(&(service, end.job));
                 let stage = stage.expect("an open job");
-                for (piece, handle, _) in end.produced {
-                    request.plan.on_result(stage, piece, handle);
+                for (item, handle, _) in end.produced {
+                    request.plan.on_result(stage, item, handle);
                 }
                 if end.failure.is_some() {
                     self.finish(number, true);
                     continue;
                 }
                 let unneeded = request.plan.take_unneeded();
-                self.give_back(unneeded);
-                self.go_on(number);
+                self.release(unneeded);
+                self.advance(number);
             }
         }
     }
@@ -332,32 +335,32 @@
         };
         let spec = &self.kinds[request.kind];
         let tally = &mut self.tallies[request.kind];
-        let took = self.now.since(request.began);
+        let elapsed = self.now.since(request.started_at);
         if refused {
             tally.refused += 1;
-        } else if took <= spec.aim {
+        } else if elapsed <= spec.target {
             tally.on_time += 1;
         } else {
             tally.late += 1;
         }
-        for (service, id) in request.open.into_keys() {
+        for (service, id) in request.open_jobs.into_keys() {
             self.queues[service].cancel(self.now, id);
         }
         let remaining = request.plan.take_remaining();
-        self.give_back(remaining);
+        self.release(remaining);
     }
 
-    fn give_back(&mut self, handles: Vec<String>) {
+    fn release(&mut self, handles: Vec<String>) {
         for handle in handles {
-            if let Some((service, endpoint)) = self.makers.remove(&handle) {
+            if let Some((service, endpoint)) = self.result_endpoints.remove(&handle) {
                 self.queues[service].release(self.now, &endpoint, handle);
             }
         }
     }
 
-    fn at(&mut self, time: Time, event: Event) {
-        self.events.insert((time, self.next), event);
-        self.next += 1;
+    fn schedule(&mut self, time: Time, event: Event) {
+        self.events.insert((time, self.next_number), event);
+        self.next_number += 1;
     }
 }
 
--- a/lib/tests/test_boundaries.rs
+++ b/lib/tests/test_boundaries.rs
@@ -64,8 +64,8 @@
     match parse(text) {
         Ok(statements) => {
             for statement in statements {
-                let again = parse(&statement.to_string());
-                assert_eq!(again, Ok(vec![statement]));
+                let reparsed = parse(&statement.to_string());
+                assert_eq!(reparsed, Ok(vec![statement]));
             }
         }
         Err(error) => {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_language_never_fails_otherwise_than_with_a_place() {
+fn parse_errors_point_into_the_text() {
     // A text of an operator, or of one who has a key, must not end a router.
     // Each is parsed; what parses prints back as a text that parses to the same,
     // and what does not names a place within it.
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn records_of_any_bytes_leave_the_fold_whole() {
+fn malformed_records_leave_the_fold_consistent() {
     // The log's topic may hold bytes of another release or of a stranger.
     // Each is folded at the next offset: the position moves on by one, and the
     // configuration changes only if the record was accepted.
@@ -139,16 +139,16 @@
 }
 
 #[test]
-fn answers_of_any_bytes_are_read_or_refused() {
+fn malformed_answers_are_read_or_refused() {
     // A router of another release, or a stranger at its address, may answer
     // anything. What is read prints back as the same lines.
     let inputs = mutated(corpus("answers"));
     let outcome = runner().run(&inputs, |bytes| {
         let text = String::from_utf8_lossy(&bytes);
         if let Ok(lines) = AnswerLine::from_json(&text) {
-            let again = AnswerLine::from_json(&AnswerLine::to_json(&lines))
+            let reparsed = AnswerLine::from_json(&AnswerLine::to_json(&lines))
                 .expect("what was written is read");
-            assert_eq!(again, lines);
+            assert_eq!(reparsed, lines);
         }
         Ok(())
     });
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -57,7 +57,7 @@
     for profile in &profiles {
         mesh.start(profile.clone(), 1);
     }
-    mesh.list(&listed(&profiles));
+    mesh.send_host_list(&listed(&profiles));
     mesh
 }
 
@@ -92,10 +92,10 @@
         "nodes" => *mesh = self::mesh(1, number("routers") as usize, number("agents") as usize),
         "run" => mesh.run(Duration::from_millis(number("ms"))),
         "kill" => mesh.kill(at("node")),
-        "dark" => mesh.darken(at("node")),
+        "dark" => mesh.power_off(at("node")),
         "pause" => mesh.pause(at("node")),
         "resume" => mesh.resume(at("node")),
-        "cut" => mesh.cut(at("from"), at("to")),
+        "cut" => mesh.block(at("from"), at("to")),
         "heal" => mesh.heal(),
         "start" => {
             let mut profile = profile(&arg("node"), POOLS);
@@ -115,17 +115,18 @@
                 entry.leaving = true;
                 list.push(entry);
             }
-            mesh.list(&list);
+            mesh.send_host_list(&list);
         }
         "show" => return show(mesh, at("by")),
         "seen" => {
             let by = at("by");
             let mut text = String::new();
-            for seen in mesh.seen[*shown..].iter().filter(|s| s.by == by) {
-                let ms = seen.at.as_micros() / 1_000;
-                writeln!(text, "{ms} {} {}->{}", seen.node, seen.from, seen.to).expect("text");
+            for change in mesh.changes[*shown..].iter().filter(|s| s.by == by) {
+                let ms = change.at.as_micros() / 1_000;
+                writeln!(text, "{ms} {} {}->{}", change.node, change.from, change.to)
+                    .expect("text");
             }
-            *shown = mesh.seen.len();
+            *shown = mesh.changes.len();
             return text;
         }
         other => panic!("no such step: {other}"),
@@ -190,7 +191,7 @@
         let agent = |i: &usize| format!("a{i}");
         match op {
             Op::Kill(i) => self.end(&agent(i), Mesh::kill),
-            Op::Dark(i) => self.end(&agent(i), Mesh::darken),
+            Op::Dark(i) => self.end(&agent(i), Mesh::power_off),
             Op::Restart(i) => self.restart(&agent(i)),
             Op::Pause(i) => {
                 self.paused.insert(self.names[*i].clone());
@@ -202,7 +203,7 @@
             }
             Op::Cut(a, b) => self
                 .mesh
-                .cut(address(&self.names[*a]), address(&self.names[*b])),
+                .block(address(&self.names[*a]), address(&self.names[*b])),
             Op::Heal => self.mesh.heal(),
             Op::Duplicate(i) => self.duplicate(&agent(i)),
             Op::Run(ms) => self.mesh.run(Duration::from_millis(*ms)),
@@ -232,7 +233,7 @@
         self.mesh.start(duplicate, 0);
         let seeds = vec![address("r0")];
         self.mesh
-            .give(at, snipeyoke_lib::membership::Event::Seeds(seeds));
+            .deliver(at, snipeyoke_lib::membership::Event::Seeds(seeds));
     }
 
     fn check_dead(&self) {
@@ -309,11 +310,11 @@
     let mut mesh = mesh(7, 2, 4);
     mesh.run(Duration::from_secs(5));
     mesh.loss = 0.1;
-    mesh.seen.clear();
+    mesh.changes.clear();
     mesh.run(Duration::from_mins(10));
     let mut flaps: BTreeMap<(SocketAddr, NodeId), usize> = BTreeMap::new();
-    for seen in mesh.seen.iter().filter(|s| s.from == PeerState::Alive) {
-        *flaps.entry((seen.by, seen.node.clone())).or_default() += 1;
+    for change in mesh.changes.iter().filter(|s| s.from == PeerState::Alive) {
+        *flaps.entry((change.by, change.node.clone())).or_default() += 1;
     }
     let most = flaps.values().max().copied().unwrap_or_default();
     assert!(most <= 6, "one pair flapped {most} times: {flaps:?}");
@@ -410,8 +411,8 @@
     let cut: Vec<SocketAddr> = (0..6).map(|i| address(&format!("a{i}"))).collect();
     for agent in &cut {
         for router in ["r0", "r1"] {
-            mesh.cut(*agent, address(router));
-            mesh.cut(address(router), *agent);
+            mesh.block(*agent, address(router));
+            mesh.block(address(router), *agent);
         }
     }
     mesh.run(Duration::from_hours(1));
@@ -419,7 +420,7 @@
     let healed = mesh.now;
     mesh.run(Duration::from_secs(20));
     let returns: Vec<Time> = mesh
-        .seen
+        .changes
         .iter()
         .filter(|s| s.at > healed && s.to == PeerState::Alive && !cut.contains(&s.by))
         .map(|s| s.at)
--- a/lib/tests/test_once_scenarios.rs
+++ b/lib/tests/test_once_scenarios.rs
@@ -55,7 +55,7 @@
 
     fn write_history(&self, key: &str, out: &mut String) {
         let caller = self.keys[key];
-        let history = self.world.told(caller).join("; ");
+        let history = self.world.outcomes(caller).join("; ");
         let effects = self.world.effects(caller);
         writeln!(out, "{key}: {history} [effects: {effects}]").expect("text grows");
     }
@@ -108,7 +108,7 @@
                 scenario.run_line(line, &mut out);
             }
             scenario.world.finish();
-            if let Some(fault) = &scenario.world.broken {
+            if let Some(fault) = &scenario.world.violation {
                 writeln!(out, "BROKEN: {fault}").expect("text grows");
             }
             out
--- a/lib/tests/test_once_schedules.rs
+++ b/lib/tests/test_once_schedules.rs
@@ -127,6 +127,6 @@
             world.step(Step::Retry(0, Target::Owner));
         }
         world.finish();
-        assert_eq!(world.broken, None, "seed {seed}");
+        assert_eq!(world.violation, None, "seed {seed}");
     }
 }
--- a/lib/tests/test_pipeline_load.rs
+++ b/lib/tests/test_pipeline_load.rs
@@ -18,7 +18,7 @@
     endpoints: usize,
     batch: usize,
     item: u64,
-    room: u64,
+    memory: u64,
 ) -> ServiceSpec {
     let limits = BatchLimits {
         slots: 1,
@@ -26,7 +26,7 @@
         max_items: batch,
         call_overhead: MS(150),
         item_time: Duration::from_micros(item),
-        result_memory: Bytes(room),
+        result_memory: Bytes(memory),
         result_ttl: Duration::from_secs(4),
     };
     ServiceSpec {
@@ -63,7 +63,7 @@
             stage("rerank", &[2], 6_000),
         ],
         counts: vec![1, 1, 6, 16],
-        aim: MS(1_900),
+        target: MS(1_900),
         deadline: MS(15_000),
         priority: 0,
         rates,
@@ -79,7 +79,7 @@
             stage("rerank", &[1], 6_000),
         ],
         counts: vec![1, 6, 16],
-        aim: MS(2_700),
+        target: MS(2_700),
         deadline: MS(8_000),
         priority: 1,
         rates,
@@ -91,50 +91,50 @@
     KindSpec {
         stages: vec![stage("encode", &[], 3_000_000)],
         counts: vec![2],
-        aim: MS(2_600),
+        target: MS(2_600),
         deadline: MS(15_000),
         priority: 2,
         rates,
     }
 }
 
-fn share(tally: Tally) -> f64 {
-    f64::from(tally.on_time) / f64::from(tally.asked)
+fn on_time_fraction(tally: Tally) -> f64 {
+    f64::from(tally.on_time) / f64::from(tally.submitted)
 }
 
 #[test]
-fn a_day_below_capacity_is_on_time() {
+fn requests_below_capacity_are_on_time() {
     let kinds = vec![
         long(vec![(0, 35.0)]),
         draft(vec![(0, 25.0)]),
         short(vec![(0, 36.0)]),
     ];
-    let tallies = World::new(services(), kinds).play(20);
+    let tallies = World::new(services(), kinds).run(20);
     for tally in tallies {
-        assert!(share(tally) > 0.99, "{tally:?}");
+        assert!(on_time_fraction(tally) > 0.99, "{tally:?}");
     }
 }
 
 #[test]
-fn a_burst_does_not_make_everyone_late() {
+fn a_burst_leaves_most_requests_on_time() {
     // For six seconds long requests come twice as often: about a fifth more
     // than the second stage can do. Served by their goal alone all of them
     // would be just late; what can be done on time is done on time.
     let burst = vec![(0, 35.0), (4_000, 80.0), (10_000, 35.0)];
     let kinds = vec![long(burst), draft(vec![(0, 25.0)]), short(vec![(0, 36.0)])];
-    let tallies = World::new(services(), kinds).play(24);
-    assert!(share(tallies[0]) > 0.8, "{:?}", tallies[0]);
-    assert!(share(tallies[2]) > 0.95, "{:?}", tallies[2]);
+    let tallies = World::new(services(), kinds).run(24);
+    assert!(on_time_fraction(tallies[0]) > 0.8, "{:?}", tallies[0]);
+    assert!(on_time_fraction(tallies[2]) > 0.95, "{:?}", tallies[2]);
 }
 
 #[test]
-fn what_can_not_be_on_time_does_not_make_the_rest_late() {
+fn requests_bound_to_be_late_do_not_delay_the_rest() {
     // For six seconds a third more comes than the second stage can do. Each
     // job looks as if it could just be done on time, until all of them are
     // late. Left out early, a third waits and the others are served on time.
     let burst = vec![(0, 35.0), (4_000, 110.0), (10_000, 35.0)];
     let kinds = vec![long(burst), draft(vec![(0, 25.0)]), short(vec![(0, 36.0)])];
-    let tallies = World::new(services(), kinds).play(24);
-    assert!(share(tallies[0]) > 0.62, "{:?}", tallies[0]);
-    assert!(share(tallies[1]) > 0.62, "{:?}", tallies[1]);
+    let tallies = World::new(services(), kinds).run(24);
+    assert!(on_time_fraction(tallies[0]) > 0.62, "{:?}", tallies[0]);
+    assert!(on_time_fraction(tallies[1]) > 0.62, "{:?}", tallies[1]);
 }
--- a/lib/testutils/src/mesh.rs
+++ b/lib/testutils/src/mesh.rs
@@ -34,7 +34,7 @@
 
 /// A change of state as one node saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct StateChange {
     /// When it was seen.
     pub at: Time,
     /// The address of the node that saw it.
@@ -52,21 +52,21 @@
     view: View,
     profile: Profile,
     incarnation: Incarnation,
-    paused: Option<Vec<Item>>,
+    paused: Option<Vec<Scheduled>>,
     wake: Time,
 }
 
 #[derive(Debug, Clone)]
-enum Item {
+enum Scheduled {
     Wake,
     Event(Event),
     Dial { to: SocketAddr },
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Wire {
+struct Connection {
     dialer: SocketAddr,
-    other: SocketAddr,
+    acceptor: SocketAddr,
 }
 
 /// Processes by address, and the network between them.
@@ -77,16 +77,16 @@
     /// The share of frames that arrive late, as if lost and sent again.
     pub loss: f64,
     /// All changes of state, in order.
-    pub seen: Vec<Seen>,
+    pub changes: Vec<StateChange>,
     /// Heartbeats sent, by address.
     pub sent: BTreeMap<SocketAddr, u64>,
     settings: ViewSettings,
     processes: BTreeMap<SocketAddr, Process>,
-    dark: BTreeSet<SocketAddr>,
-    cuts: BTreeSet<(SocketAddr, SocketAddr)>,
-    wires: BTreeMap<LinkId, Wire>,
-    queue: BTreeMap<(Time, u64), (SocketAddr, Item)>,
-    next: u64,
+    powered_off: BTreeSet<SocketAddr>,
+    blocked: BTreeSet<(SocketAddr, SocketAddr)>,
+    connections: BTreeMap<LinkId, Connection>,
+    queue: BTreeMap<(Time, u64), (SocketAddr, Scheduled)>,
+    last_number: u64,
     random: Pcg64Mcg,
 }
 
@@ -97,15 +97,15 @@
         Self {
             now: Time::ZERO,
             loss: 0.0,
-            seen: Vec::new(),
+            changes: Vec::new(),
             sent: BTreeMap::new(),
             settings,
             processes: BTreeMap::new(),
-            dark: BTreeSet::new(),
-            cuts: BTreeSet::new(),
-            wires: BTreeMap::new(),
+            powered_off: BTreeSet::new(),
+            blocked: BTreeSet::new(),
+            connections: BTreeMap::new(),
             queue: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
         }
     }
@@ -122,23 +122,23 @@
             paused: None,
             wake: Time::NEVER,
         };
-        self.dark.remove(&address);
+        self.powered_off.remove(&address);
         self.processes.insert(address, process);
-        self.post(Duration::ZERO, address, Item::Wake);
+        self.schedule(Duration::ZERO, address, Scheduled::Wake);
     }
 
     /// Kills a process; its host refuses connections from then on.
     pub fn kill(&mut self, address: SocketAddr) {
         self.processes.remove(&address);
-        for (id, wire) in self.wires.clone() {
-            if wire.dialer == address || wire.other == address {
-                let peer = if wire.dialer == address {
-                    wire.other
+        for (id, connection) in self.connections.clone() {
+            if connection.dialer == address || connection.acceptor == address {
+                let peer = if connection.dialer == address {
+                    connection.acceptor
                 } else {
-                    wire.dialer
+                    connection.dialer
                 };
-                self.wires.remove(&id);
-                if self.open(address, peer) {
+                self.connections.remove(&id);
+                if self.is_reachable(address, peer) {
                     let event = Event::LinkDown {
                         link: id,
                         end: LinkEnd::Reset,
@@ -150,8 +150,8 @@
     }
 
     /// Takes the power from a host: nothing answers for it any more.
-    pub fn darken(&mut self, address: SocketAddr) {
-        self.dark.insert(address);
+    pub fn power_off(&mut self, address: SocketAddr) {
+        self.powered_off.insert(address);
         self.processes.remove(&address);
     }
 
@@ -165,33 +165,33 @@
     /// Lets a paused process go on; it meets all that has come meanwhile.
     pub fn resume(&mut self, address: SocketAddr) {
         let process = self.processes.get_mut(&address);
-        let kept = process.and_then(|p| p.paused.take()).unwrap_or_default();
-        for item in kept {
-            self.post(Duration::ZERO, address, item);
+        let deferred = process.and_then(|p| p.paused.take()).unwrap_or_default();
+        for item in deferred {
+            self.schedule(Duration::ZERO, address, item);
         }
-        self.post(Duration::ZERO, address, Item::Wake);
+        self.schedule(Duration::ZERO, address, Scheduled::Wake);
     }
 
     /// Loses all that goes one way.
-    pub fn cut(&mut self, from: SocketAddr, to: SocketAddr) {
-        self.cuts.insert((from, to));
+    pub fn block(&mut self, from: SocketAddr, to: SocketAddr) {
+        self.blocked.insert((from, to));
     }
 
     /// Joins all again.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked.clear();
     }
 
     /// Gives an event to a process.
-    pub fn give(&mut self, address: SocketAddr, event: Event) {
-        self.post(Duration::ZERO, address, Item::Event(event));
+    pub fn deliver(&mut self, address: SocketAddr, event: Event) {
+        self.schedule(Duration::ZERO, address, Scheduled::Event(event));
     }
 
     /// Gives all processes a host list that names those given.
-    pub fn list(&mut self, listed: &[ListedNode]) {
+    pub fn send_host_list(&mut self, listed: &[ListedNode]) {
         let addresses: Vec<SocketAddr> = self.processes.keys().copied().collect();
         for address in addresses {
-            self.give(address, Event::HostList(listed.to_vec()));
+            self.deliver(address, Event::HostList(listed.to_vec()));
         }
     }
 
@@ -223,17 +223,19 @@
             }
             let (address, item) = entry.remove();
             self.now = self.now.max(at);
-            self.take(address, item);
+            self.handle(address, item);
         }
         self.now = end;
     }
 
-    fn take(&mut self, address: SocketAddr, item: Item) {
+    fn handle(&mut self, address: SocketAddr, item: Scheduled) {
         let Some(process) = self.processes.get_mut(&address) else {
             return;
         };
-        if let (Some(kept), Item::Event(_) | Item::Dial { .. }) = (&mut process.paused, &item) {
-            kept.push(item);
+        if let (Some(deferred), Scheduled::Event(_) | Scheduled::Dial { .. }) =
+            (&mut process.paused, &item)
+        {
+            deferred.push(item);
             return;
         }
         if process.paused.is_some() {
@@ -241,30 +243,30 @@
         }
         let event = match item {
             // An old wake-up, for a time that was moved.
-            Item::Wake if process.wake > self.now && process.wake != Time::NEVER => return,
-            Item::Wake => Event::Tick,
-            Item::Event(event) => event,
-            Item::Dial { to } => return self.dial(address, to),
+            Scheduled::Wake if process.wake > self.now && process.wake != Time::NEVER => return,
+            Scheduled::Wake => Event::Tick,
+            Scheduled::Event(event) => event,
+            Scheduled::Dial { to } => return self.dial(address, to),
         };
         let actions = process.view.handle(self.now, event);
         for action in actions {
-            self.act(address, action);
+            self.apply(address, action);
         }
     }
 
-    fn act(&mut self, by: SocketAddr, action: Action) {
+    fn apply(&mut self, by: SocketAddr, action: Action) {
         match action {
             Action::Connect { address } => {
                 let delay = self.delay();
-                self.post(delay, by, Item::Dial { to: address });
+                self.schedule(delay, by, Scheduled::Dial { to: address });
             }
             Action::Disconnect { link, reason } => self.disconnect(by, link, reason),
             Action::SendHeartbeat { link, heartbeat } => {
                 *self.sent.entry(by).or_default() += 1;
-                self.carry(by, link, Event::Heartbeat { link, heartbeat });
+                self.send_on_link(by, link, Event::Heartbeat { link, heartbeat });
             }
             Action::StateChanged { node, from, to } => {
-                self.seen.push(Seen {
+                self.changes.push(StateChange {
                     at: self.now,
                     by,
                     node,
@@ -283,48 +285,50 @@
             && process.wake != at
         {
             process.wake = at;
-            self.post(at.since(now), by, Item::Wake);
+            self.schedule(at.since(now), by, Scheduled::Wake);
         }
     }
 
     fn dial(&mut self, by: SocketAddr, to: SocketAddr) {
-        let closed = !self.open(by, to) || !self.open(to, by) || self.dark.contains(&to);
+        let closed = !self.is_reachable(by, to)
+            || !self.is_reachable(to, by)
+            || self.powered_off.contains(&to);
         if closed {
             let event = Event::DialFailed {
                 address: to,
                 end: LinkEnd::Timeout,
             };
-            return self.post(DIAL_TIMEOUT, by, Item::Event(event));
+            return self.schedule(DIAL_TIMEOUT, by, Scheduled::Event(event));
         }
-        let Some(other) = self.processes.get(&to) else {
+        let Some(acceptor) = self.processes.get(&to) else {
             let event = Event::DialFailed {
                 address: to,
                 end: LinkEnd::Refused,
             };
             return self.send(by, event);
         };
-        let told = (other.profile.clone(), other.incarnation);
+        let remote = (acceptor.profile.clone(), acceptor.incarnation);
         // A paused process is connected by its kernel but says no hello.
-        if other.paused.is_some() {
+        if acceptor.paused.is_some() {
             let event = Event::DialFailed {
                 address: to,
                 end: LinkEnd::Timeout,
             };
-            return self.post(DIAL_TIMEOUT, by, Item::Event(event));
+            return self.schedule(DIAL_TIMEOUT, by, Scheduled::Event(event));
         }
-        let Some(own) = self
+        let Some(local) = self
             .processes
             .get(&by)
             .map(|p| (p.profile.clone(), p.incarnation))
         else {
             return;
         };
-        let link = LinkId(self.number());
-        self.wires.insert(
+        let link = LinkId(self.next_number());
+        self.connections.insert(
             link,
-            Wire {
+            Connection {
                 dialer: by,
-                other: to,
+                acceptor: to,
             },
         );
         let up = |(profile, incarnation): (Profile, Incarnation), dialed| Event::LinkUp {
@@ -333,18 +337,18 @@
             profile,
             incarnation,
         };
-        self.send(by, up(told, Some(to)));
-        self.send(to, up(own, None));
+        self.send(by, up(remote, Some(to)));
+        self.send(to, up(local, None));
     }
 
     fn disconnect(&mut self, by: SocketAddr, link: LinkId, reason: Refusal) {
-        let Some(wire) = self.wires.remove(&link) else {
+        let Some(connection) = self.connections.remove(&link) else {
             return;
         };
-        let peer = if wire.dialer == by {
-            wire.other
+        let peer = if connection.dialer == by {
+            connection.acceptor
         } else {
-            wire.dialer
+            connection.dialer
         };
         let event = match reason {
             Refusal::Full => Event::Full { link },
@@ -353,44 +357,44 @@
                 end: LinkEnd::Reset,
             },
         };
-        if self.open(by, peer) {
+        if self.is_reachable(by, peer) {
             self.send(peer, event);
         }
     }
 
-    fn carry(&mut self, by: SocketAddr, link: LinkId, event: Event) {
-        let Some(wire) = self.wires.get(&link) else {
+    fn send_on_link(&mut self, by: SocketAddr, link: LinkId, event: Event) {
+        let Some(connection) = self.connections.get(&link) else {
             // The other side's kernel has given the connection up.
             let event = Event::LinkDown {
                 link,
                 end: LinkEnd::Timeout,
             };
-            return self.post(USER_TIMEOUT, by, Item::Event(event));
+            return self.schedule(USER_TIMEOUT, by, Scheduled::Event(event));
         };
-        let peer = if wire.dialer == by {
-            wire.other
+        let peer = if connection.dialer == by {
+            connection.acceptor
         } else {
-            wire.dialer
+            connection.dialer
         };
-        if self.open(by, peer) && !self.dark.contains(&peer) {
+        if self.is_reachable(by, peer) && !self.powered_off.contains(&peer) {
             return self.send(peer, event);
         }
         // The bytes stay unacknowledged, until the sender's kernel gives up.
-        self.wires.remove(&link);
+        self.connections.remove(&link);
         let event = Event::LinkDown {
             link,
             end: LinkEnd::Timeout,
         };
-        self.post(USER_TIMEOUT, by, Item::Event(event));
+        self.schedule(USER_TIMEOUT, by, Scheduled::Event(event));
     }
 
-    fn open(&self, from: SocketAddr, to: SocketAddr) -> bool {
-        !self.cuts.contains(&(from, to))
+    fn is_reachable(&self, from: SocketAddr, to: SocketAddr) -> bool {
+        !self.blocked.contains(&(from, to))
     }
 
     fn send(&mut self, to: SocketAddr, event: Event) {
         let delay = self.delay();
-        self.post(delay, to, Item::Event(event));
+        self.schedule(delay, to, Scheduled::Event(event));
     }
 
     fn delay(&mut self) -> Duration {
@@ -401,14 +405,14 @@
         jitter
     }
 
-    fn post(&mut self, delay: Duration, to: SocketAddr, item: Item) {
-        let number = self.number();
+    fn schedule(&mut self, delay: Duration, to: SocketAddr, item: Scheduled) {
+        let number = self.next_number();
         self.queue.insert((self.now + delay, number), (to, item));
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 }
 
--- a/lib/testutils/src/world/agent.rs
+++ b/lib/testutils/src/world/agent.rs
@@ -22,13 +22,13 @@
 use crate::world::Safeguards;
 
 /// The term of the simulated leases.
-pub const TERM: Duration = Duration::from_secs(2);
+pub const LEASE_TERM: Duration = Duration::from_secs(2);
 
 /// The keys that a simulated agent remembers.
-pub const KEYS: usize = 3;
+pub const KEY_CAPACITY: usize = 3;
 
 /// The slots in use.
-const SLOTS: usize = 4;
+const SLOT_COUNT: usize = 4;
 
 /// One agent, over all its incarnations.
 #[derive(Debug)]
@@ -38,9 +38,9 @@
     /// Whether it lives.
     pub alive: bool,
     /// When it wakes up, if it is paused.
-    pub paused: u64,
+    pub paused_until: u64,
     /// Until when it can't reach the log.
-    pub cut: u64,
+    pub partitioned_until: u64,
     /// Whether it gives its slots up.
     pub leaving: bool,
     /// Whether a read is under way.
@@ -61,24 +61,24 @@
     /// Never: the names and the term are well-formed.
     #[must_use]
     pub fn new(index: u64, incarnation: u64, from: Offset, guards: Safeguards) -> Self {
-        let me = LeaseHolder {
+        let holder = LeaseHolder {
             node: format!("agent{index}").parse().expect("a name"),
             incarnation: Incarnation(incarnation),
         };
-        let term = LeaseTerm::try_from(TERM).expect("a term");
+        let term = LeaseTerm::try_from(LEASE_TERM).expect("a term");
         let limits = TableLimits {
-            keys: KEYS,
+            keys: KEY_CAPACITY,
             bytes: Bytes(1_000),
         };
         Self {
             incarnation,
             alive: true,
-            paused: 0,
-            cut: 0,
+            paused_until: 0,
+            partitioned_until: 0,
             leaving: false,
             reading: false,
-            share: SlotShare::from_slots(slots(), &pool(), &me),
-            holder: LeaseManager::with_guards(me, term, from, index, guards.lease),
+            share: SlotShare::from_slots(slots(), &pool(), &holder),
+            holder: LeaseManager::with_guards(holder, term, from, index, guards.lease),
             gate: OnceGate::with_guards(limits, guards.once),
             index,
         }
@@ -133,5 +133,5 @@
 
 /// Returns the slots that the simulated keys fall into: a few, for speed.
 pub fn slots() -> impl Iterator<Item = KeySlot> {
-    KeySlot::all().take(SLOTS)
+    KeySlot::all().take(SLOT_COUNT)
 }
--- a/lib/testutils/src/world/log.rs
+++ b/lib/testutils/src/world/log.rs
@@ -14,7 +14,7 @@
     /// Whether the service can't be reached by anyone.
     pub down: bool,
     /// Whether answers are lost after their effect.
-    pub mute: bool,
+    pub lose_responses: bool,
 }
 
 impl FakeLog {
--- a/lib/testutils/src/world/mod.rs
+++ b/lib/testutils/src/world/mod.rs
@@ -29,11 +29,11 @@
 
 use self::caller::Caller;
 pub use agent::Agent;
-pub use agent::KEYS;
+pub use agent::KEY_CAPACITY;
 pub use agent::pool;
 pub use agent::slots;
 pub use agent::wall;
-pub use caller::Told;
+pub use caller::CallOutcome;
 pub use log::FakeLog;
 pub use schedule::run;
 pub use schedule::schedule;
@@ -44,7 +44,7 @@
 /// The agents of a world.
 pub const AGENTS: usize = 3;
 
-const TICK: u64 = 100_000;
+const TICK_MICROS: u64 = 100_000;
 
 /// The safeguards of a world's agents.
 #[derive(Debug, Clone, Copy)]
@@ -88,11 +88,11 @@
     guards: Safeguards,
     callers: Vec<Caller>,
     events: BTreeMap<(u64, u64), Event>,
-    count: u64,
-    slow: u64,
+    event_count: u64,
+    effect_delay: u64,
     rng: Pcg64Mcg,
     /// The first invariant found broken.
-    pub broken: Option<String>,
+    pub violation: Option<String>,
 }
 
 impl World {
@@ -106,15 +106,15 @@
             guards,
             callers: Vec::new(),
             events: BTreeMap::new(),
-            count: 0,
-            slow: 0,
+            event_count: 0,
+            effect_delay: 0,
             rng: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
-            broken: None,
+            violation: None,
         };
         for index in 0..AGENTS {
             let agent = Agent::new(index as u64, 1, Offset(0), guards);
             world.agents.push(agent);
-            world.after(0, Event::Tick(index));
+            world.schedule(0, Event::Tick(index));
         }
         world
     }
@@ -129,18 +129,18 @@
                     self.retry(caller, target);
                 }
             }
-            Step::Pause(index, ms) => self.agents[index].paused = self.now + ms * 1_000,
+            Step::Pause(index, ms) => self.agents[index].paused_until = self.now + ms * 1_000,
             Step::Kill(index) => self.kill(index),
             Step::Leave(index) => {
                 self.agents[index].leaving = true;
                 self.run_until(self.now + 600_000);
                 self.kill(index);
             }
-            Step::Cut(index, ms) => self.agents[index].cut = self.now + ms * 1_000,
+            Step::Cut(index, ms) => self.agents[index].partitioned_until = self.now + ms * 1_000,
             Step::Down => self.log.down = true,
-            Step::Mute => self.log.mute = true,
-            Step::Up => (self.log.down, self.log.mute) = (false, false),
-            Step::Slow(ms) => self.slow = ms * 1_000,
+            Step::Mute => self.log.lose_responses = true,
+            Step::Up => (self.log.down, self.log.lose_responses) = (false, false),
+            Step::Slow(ms) => self.effect_delay = ms * 1_000,
             Step::Retain(ms) => self.log.retain(self.now.saturating_sub(ms * 1_000)),
         }
     }
@@ -150,23 +150,29 @@
         self.step(Step::Up);
         self.run_until(self.now + 15_000_000);
         for (index, caller) in self.callers.iter().enumerate() {
-            if let Some(fault) = caller.fault() {
-                self.broken.get_or_insert(format!("key {index}: {fault}"));
+            if let Some(fault) = caller.violation() {
+                self.violation
+                    .get_or_insert(format!("key {index}: {fault}"));
             }
         }
     }
 
     /// Returns what the callers of a key were told, try by try.
     #[must_use]
-    pub fn told(&self, caller: usize) -> Vec<String> {
-        let told = self.callers[caller].tries.iter().map(|told| match told {
-            Some(Told::Completed(answer)) => String::from_utf8_lossy(&answer.body).into_owned(),
-            Some(Told::NotRun(why)) => format!("not-run ({why})"),
-            Some(Told::Unknown) => "unknown".to_owned(),
-            Some(Told::Conflict) => "conflict".to_owned(),
-            None => "no answer".to_owned(),
-        });
-        told.collect()
+    pub fn outcomes(&self, caller: usize) -> Vec<String> {
+        let outcomes = self.callers[caller]
+            .attempts
+            .iter()
+            .map(|outcome| match outcome {
+                Some(CallOutcome::Completed(answer)) => {
+                    String::from_utf8_lossy(&answer.body).into_owned()
+                }
+                Some(CallOutcome::NotRun(why)) => format!("not-run ({why})"),
+                Some(CallOutcome::Unknown) => "unknown".to_owned(),
+                Some(CallOutcome::Conflict) => "conflict".to_owned(),
+                None => "no answer".to_owned(),
+            });
+        outcomes.collect()
     }
 
     /// Returns how often the effect of a key took place.
@@ -178,8 +184,8 @@
     /// Returns the agents that hold a lease, each by its own clock.
     #[must_use]
     pub fn holders(&self, lease: &LeaseName) -> Vec<usize> {
-        let living = (0..AGENTS).filter(|&i| self.agents[i].alive);
-        let holding = living.filter(|&i| {
+        let alive = (0..AGENTS).filter(|&i| self.agents[i].alive);
+        let holding = alive.filter(|&i| {
             let agent = &self.agents[i];
             agent.holder.held(agent.clock(self.now), lease).is_some()
         });
@@ -199,19 +205,19 @@
     }
 
     fn call(&mut self, skew: i64, target: Target) {
-        let mut key = self.issue(skew);
+        let mut key = self.issue_key(skew);
         while slots().all(|slot| slot != key.slot()) {
-            key = self.issue(skew);
+            key = self.issue_key(skew);
         }
         self.callers.push(Caller {
             key,
-            tries: Vec::new(),
+            attempts: Vec::new(),
             effects: 0,
         });
         self.retry(self.callers.len() - 1, target);
     }
 
-    fn issue(&mut self, skew: i64) -> OnceKey {
+    fn issue_key(&mut self, skew: i64) -> OnceKey {
         let issued = u128::from(wall(self.now, skew).as_millis());
         let noise = u128::from(self.rng.random::<u64>()) >> 4;
         OnceKey {
@@ -226,12 +232,12 @@
             Target::Owner => self.owner(caller).unwrap_or(0),
             Target::Agent(index) => index,
         };
-        let tries = &mut self.callers[caller].tries;
-        tries.push(None);
-        let number = tries.len() - 1;
+        let attempts = &mut self.callers[caller].attempts;
+        attempts.push(None);
+        let number = attempts.len() - 1;
         let incarnation = self.agents[index].incarnation;
         let delay = self.delay();
-        self.after(delay, Event::Call(index, incarnation, caller, number));
+        self.schedule(delay, Event::Call(index, incarnation, caller, number));
     }
 
     fn kill(&mut self, index: usize) {
@@ -244,9 +250,10 @@
         self.rng.random_range(200..60_000)
     }
 
-    fn after(&mut self, delay: u64, event: Event) {
-        self.count += 1;
-        self.events.insert((self.now + delay, self.count), event);
+    fn schedule(&mut self, delay: u64, event: Event) {
+        self.event_count += 1;
+        self.events
+            .insert((self.now + delay, self.event_count), event);
     }
 
     fn run_until(&mut self, end: u64) {
@@ -263,16 +270,16 @@
     }
 
     /// Puts an event off while its agent is paused.
-    fn asleep(&mut self, index: usize, event: &Event) -> bool {
-        let wake = self.agents[index].paused;
+    fn defer_if_paused(&mut self, index: usize, event: &Event) -> bool {
+        let wake = self.agents[index].paused_until;
         if wake <= self.now {
             return false;
         }
-        self.after(wake - self.now, event.clone());
+        self.schedule(wake - self.now, event.clone());
         true
     }
 
-    fn stale(&self, index: usize, incarnation: u64) -> bool {
+    fn is_stale(&self, index: usize, incarnation: u64) -> bool {
         self.agents[index].incarnation != incarnation
     }
 
@@ -284,7 +291,7 @@
             | Event::Call(i, ..)
             | Event::Start(i, ..)
             | Event::Ended(i, ..)
-                if self.asleep(*i, &event) =>
+                if self.defer_if_paused(*i, &event) =>
             {
                 return;
             }
@@ -296,33 +303,33 @@
                 self.append_arrives(index, inc, id, record);
             }
             Event::AppendAnswer(index, inc, id, end) => {
-                if !self.stale(index, inc) {
+                if !self.is_stale(index, inc) {
                     let now = self.agents[index].clock(self.now);
                     self.agents[index].holder.on_append_end(now, id, &end);
                 }
             }
             Event::ReadArrives(index, inc, from) => self.read_arrives(index, inc, from),
             Event::ReadAnswer(index, inc, records, first) => {
-                if !self.stale(index, inc) {
+                if !self.is_stale(index, inc) {
                     self.read_answer(index, records, first);
                 }
             }
-            Event::Call(index, inc, caller, number) => self.arrive(index, inc, caller, number),
+            Event::Call(index, inc, caller, number) => self.admit(index, inc, caller, number),
             Event::Start(index, inc, caller, number) => self.start(index, inc, caller, number),
             Event::Effect(index, inc, caller, number) => self.effect(index, inc, caller, number),
             Event::Ended(index, inc, caller, number, answer) => {
-                if !self.stale(index, inc) {
+                if !self.is_stale(index, inc) {
                     let key = self.callers[caller].key.clone();
                     let gate = &mut self.agents[index].gate;
                     gate.end(&key, OnceEnd::Answered(answer.clone()));
-                    self.tell(caller, number, Told::Completed(answer));
+                    self.record_outcome(caller, number, CallOutcome::Completed(answer));
                 }
             }
         }
     }
 
     fn tick(&mut self, index: usize) {
-        self.after(TICK, Event::Tick(index));
+        self.schedule(TICK_MICROS, Event::Tick(index));
         let id = RecordId(Uuid::from_u128(self.rng.random()));
         let now = self.now;
         let agent = &mut self.agents[index];
@@ -333,45 +340,45 @@
         let read = !std::mem::replace(&mut agent.reading, true);
         if let Some(record) = record {
             let delay = self.delay();
-            self.after(
+            self.schedule(
                 delay,
                 Event::AppendArrives(index, inc, id, Arc::new(record)),
             );
         }
         if read {
             let delay = self.delay();
-            self.after(delay, Event::ReadArrives(index, inc, from));
+            self.schedule(delay, Event::ReadArrives(index, inc, from));
         }
     }
 
     fn append_arrives(&mut self, index: usize, inc: u64, id: RecordId, record: Arc<Record>) {
-        let cut = self.agents[index].cut > self.now;
+        let partitioned = self.agents[index].partitioned_until > self.now;
         let end = if self.log.down {
             AppendEnd::NotDone { retry_after: None }
-        } else if cut {
+        } else if partitioned {
             AppendEnd::Unanswered
         } else {
             let offset = self.log.append(self.now, record);
-            if self.log.mute {
+            if self.log.lose_responses {
                 AppendEnd::Unanswered
             } else {
                 AppendEnd::Done { offset }
             }
         };
         let delay = self.delay();
-        self.after(delay, Event::AppendAnswer(index, inc, id, end));
+        self.schedule(delay, Event::AppendAnswer(index, inc, id, end));
     }
 
     fn read_arrives(&mut self, index: usize, inc: u64, from: Offset) {
-        let away = self.log.down || self.agents[index].cut > self.now;
-        let records = if away {
+        let unreachable = self.log.down || self.agents[index].partitioned_until > self.now;
+        let records = if unreachable {
             Some(Vec::new())
         } else {
             self.log.read(from)
         };
         let first = self.log.first();
         let delay = self.delay();
-        self.after(delay, Event::ReadAnswer(index, inc, records, first));
+        self.schedule(delay, Event::ReadAnswer(index, inc, records, first));
     }
 
     fn read_answer(
@@ -395,18 +402,18 @@
         self.check_leases();
     }
 
-    fn arrive(&mut self, index: usize, inc: u64, caller: usize, number: usize) {
-        if self.stale(index, inc) {
+    fn admit(&mut self, index: usize, inc: u64, caller: usize, number: usize) {
+        if self.is_stale(index, inc) {
             // The connection broke; whether it was read is not known.
-            return self.tell(caller, number, Told::Unknown);
+            return self.record_outcome(caller, number, CallOutcome::Unknown);
         }
         let key = self.callers[caller].key.clone();
         let real = self.now;
         let agent = &mut self.agents[index];
         let held = agent.held(real, &key);
         let verdict = agent.gate.admit(agent.wall(real), &key, held);
-        if agent.gate.keys() > KEYS {
-            self.broken
+        if agent.gate.keys() > KEY_CAPACITY {
+            self.violation
                 .get_or_insert("the key table outgrew its bound".to_owned());
         }
         match verdict {
@@ -414,27 +421,33 @@
                 let lease = key.slot().lease(&pool());
                 agent.holder.record_key(&lease, key.issued());
                 let delay = self.delay();
-                self.after(delay, Event::Start(index, inc, caller, number));
+                self.schedule(delay, Event::Start(index, inc, caller, number));
+            }
+            Verdict::Replay(answer) => {
+                self.record_outcome(caller, number, CallOutcome::Completed(answer));
+            }
+            Verdict::Wait | Verdict::Unknown => {
+                self.record_outcome(caller, number, CallOutcome::Unknown);
+            }
+            Verdict::Conflict => self.record_outcome(caller, number, CallOutcome::Conflict),
+            Verdict::NotRun(why) => {
+                self.record_outcome(caller, number, CallOutcome::NotRun(why.to_string()));
             }
-            Verdict::Replay(answer) => self.tell(caller, number, Told::Completed(answer)),
-            Verdict::Wait | Verdict::Unknown => self.tell(caller, number, Told::Unknown),
-            Verdict::Conflict => self.tell(caller, number, Told::Conflict),
-            Verdict::NotRun(why) => self.tell(caller, number, Told::NotRun(why.to_string())),
         }
     }
 
     fn start(&mut self, index: usize, inc: u64, caller: usize, number: usize) {
-        if self.stale(index, inc) {
-            return self.tell(caller, number, Told::Unknown);
+        if self.is_stale(index, inc) {
+            return self.record_outcome(caller, number, CallOutcome::Unknown);
         }
         let key = self.callers[caller].key.clone();
         let held = self.agents[index].held(self.now, &key);
         match self.agents[index].gate.start(&key, held) {
             Ok(()) => {
-                let delay = self.delay() + self.slow;
-                self.after(delay, Event::Effect(index, inc, caller, number));
+                let delay = self.delay() + self.effect_delay;
+                self.schedule(delay, Event::Effect(index, inc, caller, number));
             }
-            Err(why) => self.tell(caller, number, Told::NotRun(why.to_string())),
+            Err(why) => self.record_outcome(caller, number, CallOutcome::NotRun(why.to_string())),
         }
     }
 
@@ -445,11 +458,11 @@
             body: format!("done #{}", self.callers[caller].effects).into_bytes(),
         };
         let delay = self.delay();
-        self.after(delay, Event::Ended(index, inc, caller, number, answer));
+        self.schedule(delay, Event::Ended(index, inc, caller, number, answer));
     }
 
-    fn tell(&mut self, caller: usize, number: usize, told: Told) {
-        self.callers[caller].tries[number] = Some(told);
+    fn record_outcome(&mut self, caller: usize, number: usize, outcome: CallOutcome) {
+        self.callers[caller].attempts[number] = Some(outcome);
     }
 
     fn check_leases(&mut self) {
@@ -458,7 +471,7 @@
             let holders = self.holders(&lease);
             if holders.len() > 1 {
                 let fault = format!("{lease} is held by agents {holders:?} at {} us", self.now);
-                self.broken.get_or_insert(fault);
+                self.violation.get_or_insert(fault);
             }
         }
     }
--- a/lib/testutils/src/world/schedule.rs
+++ b/lib/testutils/src/world/schedule.rs
@@ -16,7 +16,7 @@
 use crate::world::Target;
 use crate::world::World;
 
-const STEPS: usize = 60;
+const STEP_LIMIT: usize = 60;
 
 fn target() -> impl Strategy<Value = Target> {
     prop_oneof![
@@ -47,7 +47,7 @@
 
 /// Returns the strategy of whole schedules.
 pub fn schedules() -> impl Strategy<Value = Vec<Step>> {
-    vec(step(), 10..STEPS)
+    vec(step(), 10..STEP_LIMIT)
 }
 
 /// Returns the schedule of a seed.
@@ -74,5 +74,5 @@
         world.step(*step);
     }
     world.finish();
-    world.broken
+    world.violation
 }
