--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -59,7 +59,8 @@
     /// An input no longer exists.
     #[display("gone")]
     Gone,
-    /// The endpoint failed to process the job.
+    /// The job failed at its endpoint or was refused: its request is quarantined, its
+    /// service is unknown, or no configuration arrived in time.
     #[display("failed")]
     Failed,
 }
--- a/lib/benches/batching.rs
+++ b/lib/benches/batching.rs
@@ -1,4 +1,4 @@
-//! The cost of a look at a crowded queue of pieces.
+//! Measures polls of a batch queue with a large backlog.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use snipeyoke_lib::time::Time;
 use snipeyoke_lib::units::Bytes;
 
-/// Jobs that wait on a heavy day, each of eight pieces.
+/// The number of jobs waiting under peak load, each of eight batch items.
 const JOBS: u64 = 60;
 
 fn queue() -> BatchQueue {
@@ -65,14 +65,14 @@
     let mut queue = queue();
     let mut now = Time::from_millis(1_000);
     queue.poll(now);
-    c.bench_function("look at a crowded queue", |b| {
+    c.bench_function("poll a crowded queue", |b| {
         b.iter(|| {
             now = now + Duration::from_micros(10);
             black_box(queue.poll(now));
             black_box(queue.wake(now));
         });
     });
-    c.bench_function("fill five calls of a crowded queue", |b| {
+    c.bench_function("fill five batches from a crowded queue", |b| {
         let full = self::queue();
         b.iter_batched(
             || full.clone(),
--- a/lib/benches/choose.rs
+++ b/lib/benches/choose.rs
@@ -1,4 +1,4 @@
-//! One choice over as many candidates as letter 1 plans for.
+//! Measures the choice of an endpoint among as many candidates as the design size has.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -25,27 +25,27 @@
 use snipeyoke_lib::routing::choose;
 use snipeyoke_lib::time::Time;
 
-/// The workers that letter 1 plans for.
+/// The number of workers at the design size.
 const CANDIDATES: u64 = 680;
 
-/// The choices over which allocations are counted.
+/// The number of choices over which allocations are counted.
 const COUNTED_CHOICES: u64 = 10_000;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
 struct CountingAllocator;
 
-// SAFETY: every call goes to the system's allocator unchanged; the counter has
-// no part in it.
+// SAFETY: every call is forwarded unchanged to the system allocator; the counter
+// does not affect the memory.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        // SAFETY: the caller keeps the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
@@ -72,8 +72,8 @@
             ..LoadReport::default()
         };
         fleet.on_load(now, &id, &report);
-        // Every engine holds the shared start of the prompts, a third of them
-        // half of it, a tenth all of it.
+        // Every engine caches the shared start of the prompts (4 of 24 blocks); three
+        // in ten cache half of the prefix and one in ten all of it.
         let blocks = match index % 10 {
             0 => 24,
             1..=3 => 12,
@@ -93,7 +93,7 @@
     let now = Time::from_millis(1_000);
     let name: PoolName = "gen".parse().expect("a name");
     let mut fleet = fleet(now, &name);
-    let pool = fleet.pool_mut(&name).expect("it was made");
+    let pool = fleet.pool_mut(&name).expect("the pool exists");
     let prefix: Vec<u64> = (0..24).collect();
     let need = Need {
         prompt: 1_600,
--- a/lib/examples/capacity.rs
+++ b/lib/examples/capacity.rs
@@ -1,8 +1,10 @@
-//! Prints slopes of a node's state and work, each at three sizes.
+//! Prints how a node's memory and CPU time grow with its state.
+//!
+//! Each part is measured at three or four sizes.
 //!
 //! `cargo run --release -p snipeyoke-lib --example capacity`. Memory is the
-//! growth of the resident set, read from `/proc/self/statm`; time is that of
-//! the code alone, without sockets.
+//! growth of the resident set, read from `/proc/self/statm`; times exclude
+//! network I/O.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -67,13 +69,13 @@
 use uuid::Builder;
 use uuid::Uuid;
 
-/// Stages of a request in the journal.
+/// The number of stages of a request in the journal.
 const STAGE_COUNT: u64 = 4;
 
-/// Bytes of a plain service's answer.
+/// The body size of a plain service's answer.
 const ANSWER_BYTES: usize = 128;
 
-/// Turns of a measurement of time.
+/// The number of iterations of a timed decision.
 const ITERATIONS: u32 = 2_000;
 
 fn resident_bytes() -> f64 {
@@ -82,8 +84,8 @@
     pages.unwrap_or(0.0) * 4_096.0
 }
 
-// Memory that is given back would be used again, and the next growth of the
-// resident set would come out too small.
+// Released memory would be reused, and the next measured growth of the resident
+// set would be too small.
 fn leak<T>(value: T) {
     std::mem::forget(value);
 }
@@ -135,7 +137,7 @@
     });
     black_box(late.count());
     let time = started.elapsed() / count as u32;
-    print("journal: question / request", count, micros(time), "us");
+    print("journal: query / request", count, micros(time), "us");
     leak(journal);
 }
 
@@ -231,7 +233,7 @@
     let largest = sizes().max().unwrap_or_default();
     assert!(largest <= PART_BYTES_MAX, "a record of {largest} bytes");
     print("parts: largest record", count, largest as f64, "B");
-    print("parts: time to make", count, micros(time), "us");
+    print("parts: time to split", count, micros(time), "us");
     let mut fold = Fold::new();
     let started = Instant::now();
     for record in &records {
@@ -240,10 +242,10 @@
     assert_eq!(
         fold.config(),
         snapshot.config,
-        "the parts make the snapshot"
+        "the parts combine into the snapshot"
     );
     let time = micros(started.elapsed());
-    print("parts: time to take", count, time, "us");
+    print("parts: time to fold", count, time, "us");
 }
 
 fn change(base: u64) -> Record {
--- a/lib/examples/slopes.rs
+++ b/lib/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! Prints what membership costs a node, against the number of nodes.
+//! Prints the cost of membership per node against the number of nodes.
 //!
-//! `cargo run --release -p snipeyoke-lib --example slopes`. The transport is in
-//! the process; heartbeats are encoded and decoded as they go on a link.
+//! `cargo run --release -p snipeyoke-lib --example slopes`. The transport is
+//! in process; the codec is timed separately, with heartbeats as sent on a link.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,25 +19,25 @@
 use snipeyoke_wire::Load;
 use snipeyoke_wire::frame::Body;
 
-/// The length prefix of a frame.
+/// The size of a frame's length prefix.
 const PREFIX_BYTES: usize = 4;
 
-/// IP and TCP headers with timestamps, of the frame's packet and of a bare ack.
+/// The IP and TCP headers, with timestamps, of a frame's packet and its bare ACK.
 const HEADER_BYTES: usize = 2 * 52;
 
-/// Pools at the size to design for.
+/// The number of pools at the design size.
 const POOL_COUNT: usize = 17;
 
-/// Routers and agents, one to two as at the size to design for.
+/// The numbers of routers and agents, at the design size's ratio of one to two.
 const SIZES: [(usize, usize); 5] = [(7, 13), (27, 53), (107, 213), (214, 426), (340, 680)];
 
-/// The time given to meet and settle.
+/// The time for nodes to connect and links to settle.
 const SETTLE_TIME: Duration = Duration::from_mins(1);
 
-/// The time measured.
+/// The simulated time that is measured.
 const MEASURED_TIME: Duration = Duration::from_mins(1);
 
-/// Turns of the codec's measurement.
+/// The number of iterations when the codec is timed.
 const ITERATIONS: u32 = 200_000;
 
 fn heartbeat(kind: NodeKind) -> Frame {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Heartbeats a second that a node gets, from its peers' intervals.
+/// Estimates the heartbeats a node received, from the number its peers sent per link.
 fn received(mesh: &Mesh, at: SocketAddr) -> u64 {
     let Some(view) = mesh.view(at) else {
         return 0;
@@ -151,8 +151,8 @@
     let seconds = MEASURED_TIME.as_secs_f64() * row.nodes as f64;
     let sent_rate = row.sent as f64 / seconds;
     let received_rate = row.received as f64 / seconds;
-    // A router hears agents, an agent hears routers; the few links between
-    // routers are counted as if they carried the longer heartbeat.
+    // Routers receive from agents and agents from routers; the few links between
+    // routers are counted as if they carried the longer agent heartbeat.
     let (own, other) = match kind {
         NodeKind::Router => (NodeKind::Router, NodeKind::Agent),
         NodeKind::Agent => (NodeKind::Agent, NodeKind::Router),
--- a/lib/tests/pipeline_world.rs
+++ b/lib/tests/pipeline_world.rs
@@ -1,8 +1,8 @@
-//! Stage services in a row under an open load, in simulated time.
+//! Simulates a pipeline of stage services under an open load.
 //!
-//! Requests of several kinds pass the queues of all services, as one node that
-//! owns them would drive them. Endpoints work on one call after the other and
-//! keep results in bounded memory until the next stage has read them.
+//! Requests of several kinds pass the queues of all services as if one node
+//! owned every service. An endpoint processes one call at a time and stores
+//! results in bounded memory until the next stage has read them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,15 +22,15 @@
 use snipeyoke_lib::serving::directory::Entry;
 use snipeyoke_lib::time::Time;
 
-/// The way from a node to an endpoint, and back.
+/// The one-way delay between a node and an endpoint.
 const NETWORK_DELAY: Duration = Duration::from_millis(3);
 
-/// The time of the model to its first event, prompt and all.
+/// The model's time to the first event, prompt processing included.
 const MODEL_LATENCY: Duration = Duration::from_millis(350);
 
-/// How many times longer calls take than the services say.
+/// The ratio of a call's duration to the duration that its service declares.
 ///
-/// Said times are approximate, and fetching the inputs comes on top.
+/// Declared times are approximate and exclude fetching the inputs.
 const SLOWDOWN: f64 = 1.1;
 
 /// The resolution of simulated time.
@@ -50,11 +50,11 @@
     pub(crate) target: Duration,
     pub(crate) deadline: Duration,
     pub(crate) priority: u8,
-    /// Requests a second, from a moment on.
+    /// Requests per second from a point in time on, in milliseconds.
     pub(crate) rates: Vec<(u64, f64)>,
 }
 
-/// What became of the requests of one kind.
+/// The numbers of requests of one kind by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Tally {
     pub(crate) submitted: u32,
@@ -77,17 +77,17 @@
 }
 
 enum Event {
-    /// A call's turn at its endpoint comes.
+    /// An endpoint starts a call.
     CallStart(usize, BatchCall),
-    /// A call's answer arrives.
+    /// The response to a call arrives.
     CallEnd(usize, u64, CallResult),
-    /// A request's first event arrives.
+    /// The model's first event for a request arrives.
     ModelResponse(usize),
-    /// An endpoint drops results.
+    /// An endpoint releases results.
     Release(usize, EndpointId, Vec<String>),
 }
 
-/// The services, their endpoints and the requests under way.
+/// The services, their endpoints and the requests in flight.
 pub(crate) struct World {
     now: Time,
     services: Vec<ServiceSpec>,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Plays a day of `seconds` and the end of what is under way.
+    /// Submits requests for `seconds` and runs until none is in flight.
     pub(crate) fn run(mut self, seconds: u64) -> Vec<Tally> {
         let start = self.now;
         let end = start + Duration::from_secs(seconds);
@@ -180,7 +180,7 @@
         self.advance(number);
     }
 
-    /// Submits what may begin of a request, or sends it to the model.
+    /// Submits a request's stages that are ready, or calls the model after the last.
     fn advance(&mut self, number: usize) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Runs every test of the library.
+//! Runs all integration tests of the library in one binary.
 
 mod chain_world;
 mod pipeline_world;
--- a/lib/tests/test_boundaries.rs
+++ b/lib/tests/test_boundaries.rs
@@ -1,7 +1,7 @@
-//! Bytes from outside: the language, answers and the log's records.
+//! Fuzzes the parsers of external input: queries, answers and log records.
 //!
-//! Each starts from a committed corpus, whose inputs are cut, joined and
-//! changed at random with a fixed seed, and from wholly random text.
+//! Inputs are lines of a committed corpus that are truncated, joined and mutated
+//! with a fixed seed; queries are also generated as random text.
 
 use std::fs;
 use std::path::Path;
@@ -20,7 +20,7 @@
 use snipeyoke_lib::query::parse;
 use snipeyoke_lib::record::Record;
 
-/// The inputs tried at each boundary, beside the corpus itself.
+/// The number of generated inputs per parser, in addition to the corpus.
 const CASES: u32 = 4_000;
 
 fn runner() -> TestRunner {
@@ -39,7 +39,7 @@
     text.lines().map(|l| l.as_bytes().to_vec()).collect()
 }
 
-/// A corpus line with some bytes replaced, then cut and joined with another.
+/// Returns corpus lines with some bytes replaced, optionally truncated and joined with another.
 fn mutated(seeds: Vec<Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let edits = vec((any::<usize>(), any::<u8>()), 0..6);
     let first = select(seeds.clone());
@@ -69,7 +69,7 @@
             }
         }
         Err(error) => {
-            // The pointer must lie in the text: an operator looks there.
+            // The reported location must lie in the text, as operators rely on it.
             let location = &error.location;
             assert!(location.line >= 1 && location.column >= 1, "{error}");
             assert!(
@@ -82,9 +82,9 @@
 
 #[test]
 fn parse_errors_point_into_the_text() {
-    // A text of an operator, or of one who has a key, must not end a router.
-    // Each is parsed; what parses prints back as a text that parses to the same,
-    // and what does not names a place within it.
+    // A query from an operator or any holder of a key must not crash a router.
+    // Valid queries survive a round trip through their printed form; errors of
+    // invalid ones point into the text.
     let seeds = corpus("language");
     for seed in &seeds {
         check_language(std::str::from_utf8(seed).expect("the corpus is text"));
@@ -94,19 +94,18 @@
         check_language(&String::from_utf8_lossy(&bytes));
         Ok(())
     });
-    outcome.expect("every text is parsed or refused with a place");
+    outcome.expect("every text is parsed or rejected with a location");
     let outcome = runner().run(&"\\PC{0,80}", |text| {
         check_language(&text);
         Ok(())
     });
-    outcome.expect("every text is parsed or refused with a place");
+    outcome.expect("every text is parsed or rejected with a location");
 }
 
 #[test]
 fn deep_nesting_is_refused() {
-    // The parser descends by recursion: the router's thread would overflow its
-    // stack and take every request with it. A bound on open brackets and on
-    // 'not' comes first.
+    // The parser is recursive: without a limit on open brackets and `not`, deep
+    // nesting overflows the stack, which ends the router and all its requests.
     for word in ["(", "not ", "NOT\n", "not(", "not#\n"] {
         let text = format!("show requests where {}late", word.repeat(50_000));
         parse(&text).expect_err("the nesting is too deep");
@@ -115,9 +114,9 @@
 
 #[test]
 fn malformed_records_leave_the_fold_consistent() {
-    // The log's topic may hold bytes of another release or of a stranger.
-    // Each is folded at the next offset: the position moves on by one, and the
-    // configuration changes only if the record was accepted.
+    // The log's topic may hold records of another release or an unknown writer.
+    // Each is folded at the next offset; the configuration may change only if the
+    // record is accepted, and must stay valid.
     let seeds = corpus("records");
     let inputs = vec(mutated(seeds.clone()), 1..8);
     let outcome = runner().run(&inputs, |records| {
@@ -140,17 +139,17 @@
 
 #[test]
 fn malformed_answers_are_read_or_refused() {
-    // A router of another release, or a stranger at its address, may answer
-    // anything. What is read prints back as the same lines.
+    // A router of another release, or another server at its address, may send any
+    // answer. Lines that are read survive a round trip through JSON.
     let inputs = mutated(corpus("answers"));
     let outcome = runner().run(&inputs, |bytes| {
         let text = String::from_utf8_lossy(&bytes);
         if let Ok(lines) = AnswerLine::from_json(&text) {
             let reparsed = AnswerLine::from_json(&AnswerLine::to_json(&lines))
-                .expect("what was written is read");
+                .expect("serialized answers are readable");
             assert_eq!(reparsed, lines);
         }
         Ok(())
     });
-    outcome.expect("every answer is read or refused");
+    outcome.expect("every answer is read or rejected");
 }
--- a/lib/tests/test_pipeline_load.rs
+++ b/lib/tests/test_pipeline_load.rs
@@ -1,4 +1,4 @@
-//! Stage services under loads that fill their calls or their memory.
+//! Tests stage services under loads that fill their batches or result memory.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Three services whose memory holds about three full calls.
+/// Returns three services whose result memory holds about three full batches.
 fn services() -> Vec<ServiceSpec> {
     vec![
         service("encode", 8, 8, 12_000, 44_000_000),
@@ -53,7 +53,7 @@
     ]
 }
 
-/// A long request: large results for the model beside a chain of three stages.
+/// Returns a long request: large results for the model beside a chain of three stages.
 fn long(rates: Vec<(u64, f64)>) -> KindSpec {
     KindSpec {
         stages: vec![
@@ -70,7 +70,7 @@
     }
 }
 
-/// A draft: the chain alone.
+/// Returns a draft request: the chain alone.
 fn draft(rates: Vec<(u64, f64)>) -> KindSpec {
     KindSpec {
         stages: vec![
@@ -86,7 +86,7 @@
     }
 }
 
-/// A short request: large results for the model and nothing else.
+/// Returns a short request: only large results for the model.
 fn short(rates: Vec<(u64, f64)>) -> KindSpec {
     KindSpec {
         stages: vec![stage("encode", &[], 3_000_000)],
@@ -117,9 +117,9 @@
 
 #[test]
 fn a_burst_leaves_most_requests_on_time() {
-    // For six seconds long requests come twice as often: about a fifth more
-    // than the second stage can do. Served by their goal alone all of them
-    // would be just late; what can be done on time is done on time.
+    // Long requests arrive twice as often for six seconds, about a fifth above
+    // the second stage's capacity. Served by target time alone, all of them would
+    // be slightly late; the queue must serve those that can still be on time.
     let burst = vec![(0, 35.0), (4_000, 80.0), (10_000, 35.0)];
     let kinds = vec![long(burst), draft(vec![(0, 25.0)]), short(vec![(0, 36.0)])];
     let tallies = World::new(services(), kinds).run(24);
@@ -129,9 +129,9 @@
 
 #[test]
 fn requests_bound_to_be_late_do_not_delay_the_rest() {
-    // For six seconds a third more comes than the second stage can do. Each
-    // job looks as if it could just be done on time, until all of them are
-    // late. Left out early, a third waits and the others are served on time.
+    // The load exceeds the second stage's capacity by a third for six seconds.
+    // Each job seems just feasible until all are late; if a third is passed over
+    // early, the others are served on time.
     let burst = vec![(0, 35.0), (4_000, 110.0), (10_000, 35.0)];
     let kinds = vec![long(burst), draft(vec![(0, 25.0)]), short(vec![(0, 36.0)])];
     let tallies = World::new(services(), kinds).run(24);
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the tests of snipeyoke.
+//! Simulations shared by the tests of snipeyoke.
 
 pub mod mesh;
 pub mod world;
--- a/lib/testutils/src/mesh.rs
+++ b/lib/testutils/src/mesh.rs
@@ -1,4 +1,4 @@
-//! Many membership views in one process, joined by a transport that fails on command.
+//! Simulates many membership views over a network with injected faults.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,24 +26,25 @@
 use snipeyoke_lib::membership::ViewSettings;
 use snipeyoke_lib::time::Time;
 
-/// How long a dial into nothing waits.
+/// The time-out of a dial to an unreachable address.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long sent bytes may go unacknowledged, as the runtime sets it.
+/// How long sent bytes may remain unacknowledged; the runtime sets the same
+/// `TCP_USER_TIMEOUT`.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A change of state as one node saw it.
+/// A change of a node's state, as another node detected it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateChange {
-    /// When it was seen.
+    /// When the change was detected.
     pub at: Time,
-    /// The address of the node that saw it.
+    /// The address of the node that detected it.
     pub by: SocketAddr,
-    /// The node it concerns.
+    /// The node whose state changed.
     pub node: NodeId,
     /// The state before.
     pub from: PeerState,
-    /// The state then.
+    /// The state after.
     pub to: PeerState,
 }
 
@@ -69,14 +70,14 @@
     acceptor: SocketAddr,
 }
 
-/// Processes by address, and the network between them.
+/// The simulated processes, by address, and the network between them.
 #[derive(Debug)]
 pub struct Mesh {
-    /// The time in the mesh.
+    /// The simulated time.
     pub now: Time,
-    /// The share of frames that arrive late, as if lost and sent again.
+    /// The fraction of frames that arrive late, as if lost and retransmitted.
     pub loss: f64,
-    /// All changes of state, in order.
+    /// All detected state changes, in order.
     pub changes: Vec<StateChange>,
     /// Heartbeats sent, by address.
     pub sent: BTreeMap<SocketAddr, u64>,
@@ -91,7 +92,7 @@
 }
 
 impl Mesh {
-    /// Builds an empty mesh.
+    /// Creates a mesh without processes.
     #[must_use]
     pub fn new(seed: u64, settings: ViewSettings) -> Self {
         Self {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Starts a process, at the address in its profile.
+    /// Starts a process at the address in its profile.
     pub fn start(&mut self, profile: Profile, incarnation: u64) {
         let incarnation = Incarnation(incarnation);
         let address = profile.address;
@@ -127,7 +128,7 @@
         self.schedule(Duration::ZERO, address, Scheduled::Wake);
     }
 
-    /// Kills a process; its host refuses connections from then on.
+    /// Kills a process; its host then refuses connections.
     pub fn kill(&mut self, address: SocketAddr) {
         self.processes.remove(&address);
         for (id, connection) in self.connections.clone() {
@@ -149,20 +150,20 @@
         }
     }
 
-    /// Takes the power from a host: nothing answers for it any more.
+    /// Powers off a host: dials to it time out and open links are not reset.
     pub fn power_off(&mut self, address: SocketAddr) {
         self.powered_off.insert(address);
         self.processes.remove(&address);
     }
 
-    /// Stops a process without ending it.
+    /// Pauses a process without killing it.
     pub fn pause(&mut self, address: SocketAddr) {
         if let Some(process) = self.processes.get_mut(&address) {
             process.paused.get_or_insert_default();
         }
     }
 
-    /// Lets a paused process go on; it meets all that has come meanwhile.
+    /// Resumes a paused process, which then handles the events deferred meanwhile.
     pub fn resume(&mut self, address: SocketAddr) {
         let process = self.processes.get_mut(&address);
         let deferred = process.and_then(|p| p.paused.take()).unwrap_or_default();
@@ -172,22 +173,22 @@
         self.schedule(Duration::ZERO, address, Scheduled::Wake);
     }
 
-    /// Loses all that goes one way.
+    /// Drops all traffic in one direction.
     pub fn block(&mut self, from: SocketAddr, to: SocketAddr) {
         self.blocked.insert((from, to));
     }
 
-    /// Joins all again.
+    /// Removes all blocks.
     pub fn heal(&mut self) {
         self.blocked.clear();
     }
 
-    /// Gives an event to a process.
+    /// Delivers an event to a process.
     pub fn deliver(&mut self, address: SocketAddr, event: Event) {
         self.schedule(Duration::ZERO, address, Scheduled::Event(event));
     }
 
-    /// Gives all processes a host list that names those given.
+    /// Sends all processes a host list with the given nodes.
     pub fn send_host_list(&mut self, listed: &[ListedNode]) {
         let addresses: Vec<SocketAddr> = self.processes.keys().copied().collect();
         for address in addresses {
@@ -206,14 +207,14 @@
         self.processes.keys().copied()
     }
 
-    /// Returns what a process knows of a node.
+    /// Returns the state of a node in the view of a process.
     #[must_use]
     pub fn state(&self, by: SocketAddr, node: &NodeId) -> PeerState {
         let member = self.view(by).and_then(|v| v.members().get(node));
         member.map_or(PeerState::Unheard, Member::state)
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time and handles the events that fall due.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(entry) = self.queue.first_entry() {
@@ -242,7 +243,7 @@
             return;
         }
         let event = match item {
-            // An old wake-up, for a time that was moved.
+            // A stale timer: the wake time was moved later.
             Scheduled::Wake if process.wake > self.now && process.wake != Time::NEVER => return,
             Scheduled::Wake => Event::Tick,
             Scheduled::Event(event) => event,
@@ -308,7 +309,8 @@
             return self.send(by, event);
         };
         let remote = (acceptor.profile.clone(), acceptor.incarnation);
-        // A paused process is connected by its kernel but says no hello.
+        // The kernel of a paused process accepts the connection, but the process
+        // sends no handshake.
         if acceptor.paused.is_some() {
             let event = Event::DialFailed {
                 address: to,
@@ -364,7 +366,7 @@
 
     fn send_on_link(&mut self, by: SocketAddr, link: LinkId, event: Event) {
         let Some(connection) = self.connections.get(&link) else {
-            // The other side's kernel has given the connection up.
+            // The kernel at the peer has already dropped the connection.
             let event = Event::LinkDown {
                 link,
                 end: LinkEnd::Timeout,
@@ -379,7 +381,7 @@
         if self.is_reachable(by, peer) && !self.powered_off.contains(&peer) {
             return self.send(peer, event);
         }
-        // The bytes stay unacknowledged, until the sender's kernel gives up.
+        // The bytes stay unacknowledged until the sender's kernel times out.
         self.connections.remove(&link);
         let event = Event::LinkDown {
             link,
@@ -416,9 +418,10 @@
     }
 }
 
-/// Builds the profile of a node: `r3` is a router, `a12` an agent.
+/// Creates the profile of a node: `r3` is a router, `a12` an agent.
 ///
-/// Pools, failure domains and regions go round: 17, 12 and 3 of them.
+/// Nodes are spread over `pools` pools (17 at the design size), 12 failure
+/// domains and 3 regions.
 ///
 /// # Panics
 ///
@@ -451,7 +454,7 @@
     }
 }
 
-/// Returns a host list that names the profiles as live.
+/// Returns a host list in which none of the nodes is leaving.
 #[must_use]
 pub fn listed(profiles: &[Profile]) -> Vec<ListedNode> {
     let live = |p: &Profile| ListedNode {
--- a/lib/testutils/src/world/agent.rs
+++ b/lib/testutils/src/world/agent.rs
@@ -1,4 +1,4 @@
-//! One agent of the simulated pool.
+//! An agent of the simulated pool.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,37 +24,37 @@
 /// The term of the simulated leases.
 pub const LEASE_TERM: Duration = Duration::from_secs(2);
 
-/// The keys that a simulated agent remembers.
+/// The capacity of a simulated agent's key table.
 pub const KEY_CAPACITY: usize = 3;
 
-/// The slots in use.
+/// The number of key slots in use.
 const SLOT_COUNT: usize = 4;
 
 /// One agent, over all its incarnations.
 #[derive(Debug)]
 pub struct Agent {
-    /// The incarnation that lives, or lived last.
+    /// The current or last incarnation.
     pub incarnation: u64,
-    /// Whether it lives.
+    /// Whether the agent is running.
     pub alive: bool,
-    /// When it wakes up, if it is paused.
+    /// When a pause ends, in microseconds of real time.
     pub paused_until: u64,
-    /// Until when it can't reach the log.
+    /// When a partition from the log ends, in microseconds of real time.
     pub partitioned_until: u64,
-    /// Whether it gives its slots up.
+    /// Whether the agent is releasing its slots.
     pub leaving: bool,
-    /// Whether a read is under way.
+    /// Whether a read of the log is in flight.
     pub reading: bool,
-    /// Its leases.
+    /// The manager of its leases.
     pub holder: LeaseManager,
-    /// Its gate.
+    /// The gate that admits its calls.
     pub gate: OnceGate,
     share: SlotShare,
     index: u64,
 }
 
 impl Agent {
-    /// Starts an incarnation.
+    /// Creates an incarnation that reads the log from an offset.
     ///
     /// # Panics
     ///
@@ -84,26 +84,26 @@
         }
     }
 
-    /// Reads the agent's monotonic clock; rates differ by 6 in 1000 at most.
+    /// Returns the agent's monotonic clock; rates differ by at most 6 in 1000.
     #[must_use]
     pub const fn clock(&self, real: u64) -> Time {
         Time::from_micros(real + real * (self.index % 3) * 3 / 1_000 + self.index * 1_000_000)
     }
 
-    /// Reads the agent's time of day, up to 0.9 s off.
+    /// Returns the agent's wall-clock time, which is off by up to 0.9 s.
     #[must_use]
     pub const fn wall(&self, real: u64) -> WallTime {
         wall(real, (self.index % 3).cast_signed() * 900 - 900)
     }
 
-    /// Returns the lease of a key's slot, if it is held.
+    /// Returns the lease of the key's slot if the agent holds it.
     #[must_use]
     pub fn held(&self, real: u64, key: &OnceKey) -> Option<HeldLease> {
         self.holder
             .held(self.clock(real), &key.slot().lease(&pool()))
     }
 
-    /// Updates the wanted leases.
+    /// Updates the leases that the agent claims.
     pub fn plan(&mut self, real: u64) {
         let wanted = if self.leaving {
             BTreeSet::new()
@@ -124,14 +124,14 @@
     "desk".parse().expect("a name")
 }
 
-/// Returns the time of day at a point in real time, with a skew.
+/// Returns the wall-clock time at a point in real time, with a skew.
 #[must_use]
 pub const fn wall(real: u64, skew_ms: i64) -> WallTime {
     const EPOCH_MS: u64 = 1_764_700_000_000;
     WallTime::from_millis((EPOCH_MS + real / 1_000).saturating_add_signed(skew_ms))
 }
 
-/// Returns the slots that the simulated keys fall into: a few, for speed.
+/// Returns the slots that simulated keys map to, few of them for speed.
 pub fn slots() -> impl Iterator<Item = KeySlot> {
     KeySlot::all().take(SLOT_COUNT)
 }
--- a/lib/testutils/src/world/caller.rs
+++ b/lib/testutils/src/world/caller.rs
@@ -1,22 +1,22 @@
-//! The callers' side of a simulated deployment.
+//! The callers of a simulated deployment.
 
 use snipeyoke_lib::once::Answer;
 use snipeyoke_lib::once::OnceKey;
 
-/// What a caller was told about one try.
+/// The outcome of an attempt as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The answer.
+    /// The call completed with this answer.
     Completed(Answer),
-    /// Not run, and why.
+    /// The call was not run, for this reason.
     NotRun(String),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
-    /// The key was used with another body.
+    /// The key was already used with another body.
     Conflict,
 }
 
-/// One key, with what its caller was told and what took effect.
+/// An idempotency key with the outcomes of its attempts and its effects.
 #[derive(Debug, Clone)]
 pub(super) struct Caller {
     pub(super) key: OnceKey,
@@ -25,18 +25,18 @@
 }
 
 impl Caller {
-    /// Returns the promise that was broken to this caller, if one was.
+    /// Returns the guarantee that was violated for this caller, if any.
     pub(super) fn violation(&self) -> Option<String> {
         if self.effects > 1 {
             return Some(format!("{} effects", self.effects));
         }
         let refused = |t: &Option<CallOutcome>| matches!(t, Some(CallOutcome::NotRun(_)));
         if self.effects > 0 && self.attempts.iter().all(refused) {
-            return Some("ran, and every try was told that it did not".to_owned());
+            return Some("ran, and every attempt was reported as not run".to_owned());
         }
         let completed = |t: &Option<CallOutcome>| matches!(t, Some(CallOutcome::Completed(_)));
         if self.effects == 0 && self.attempts.iter().any(completed) {
-            return Some("answered without an effect".to_owned());
+            return Some("completed without an effect".to_owned());
         }
         None
     }
--- a/lib/testutils/src/world/log.rs
+++ b/lib/testutils/src/world/log.rs
@@ -1,4 +1,4 @@
-//! A log service with faults on command.
+//! A log service with injected faults.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 pub struct FakeLog {
     first: u64,
     records: VecDeque<(u64, Arc<Record>)>,
-    /// Whether the service can't be reached by anyone.
+    /// Whether the service is unreachable for all agents.
     pub down: bool,
-    /// Whether answers are lost after their effect.
+    /// Whether appends take effect but their responses are lost.
     pub lose_responses: bool,
 }
 
@@ -24,7 +24,7 @@
         Offset(self.end().0 - 1)
     }
 
-    /// Returns the lowest offset that is left.
+    /// Returns the lowest retained offset.
     #[must_use]
     pub const fn first(&self) -> Offset {
         Offset(self.first)
@@ -36,7 +36,8 @@
         Offset(self.first + self.records.len() as u64)
     }
 
-    /// Returns the records from an offset on, or `None` if retention took it.
+    /// Returns the records from an offset on, or `None` if retention removed the
+    /// offset.
     #[must_use]
     pub fn read(&self, from: Offset) -> Option<Vec<(Offset, Arc<Record>)>> {
         let skip = usize::try_from(from.0.checked_sub(self.first)?).ok()?;
@@ -44,7 +45,7 @@
         Some((from.0..).map(Offset).zip(wanted).collect())
     }
 
-    /// Drops the records that were appended before a point in real time.
+    /// Removes the records that were appended before a point in real time.
     pub fn retain(&mut self, since: u64) {
         while self.records.front().is_some_and(|(at, _)| *at < since) {
             self.records.pop_front();
--- a/lib/testutils/src/world/mod.rs
+++ b/lib/testutils/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! Agents of one pool, their log, callers and an endpoint that counts effects.
+//! Simulates a pool's agents, their log, callers and an endpoint that counts effects.
 //!
-//! Real time, clocks that drift, messages that take their time, and faults at
-//! any moment. Everything follows from the steps and the seed.
+//! Clocks drift, messages are delayed and faults occur at any time. A run is
+//! deterministic: it depends on the steps and the seed alone.
 
 mod agent;
 mod caller;
@@ -41,22 +41,23 @@
 pub use step::Step;
 pub use step::Target;
 
-/// The agents of a world.
+/// The number of agents.
 pub const AGENTS: usize = 3;
 
+/// The interval between an agent's polls of its lease manager.
 const TICK_MICROS: u64 = 100_000;
 
-/// The safeguards of a world's agents.
+/// The safeguards of the agents; tests turn them off one by one.
 #[derive(Debug, Clone, Copy)]
 pub struct Safeguards {
-    /// Those of the lease holders.
+    /// The safeguards of the lease managers.
     pub lease: LeaseGuards,
-    /// Those of the gates.
+    /// The safeguards of the gates.
     pub once: OnceGuards,
 }
 
 impl Safeguards {
-    /// All safeguards on.
+    /// All safeguards enabled.
     pub const ON: Self = Self {
         lease: LeaseGuards::ON,
         once: OnceGuards::ON,
@@ -91,12 +92,12 @@
     event_count: u64,
     effect_delay: u64,
     rng: Pcg64Mcg,
-    /// The first invariant found broken.
+    /// The first violated invariant.
     pub violation: Option<String>,
 }
 
 impl World {
-    /// Starts agents on an empty log.
+    /// Creates a world whose agents start on an empty log.
     #[must_use]
     pub fn new(seed: u64, guards: Safeguards) -> Self {
         let mut world = Self {
@@ -119,7 +120,7 @@
         world
     }
 
-    /// Carries a step out.
+    /// Executes a step.
     pub fn step(&mut self, step: Step) {
         match step {
             Step::Wait(ms) => self.run_until(self.now + ms * 1_000),
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Lets everything under way come to an end and checks the callers' side.
+    /// Waits for calls in flight to end and checks the guarantees to callers.
     pub fn finish(&mut self) {
         self.step(Step::Up);
         self.run_until(self.now + 15_000_000);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Returns what the callers of a key were told, try by try.
+    /// Returns the reported outcome of each attempt with a caller's key.
     #[must_use]
     pub fn outcomes(&self, caller: usize) -> Vec<String> {
         let outcomes = self.callers[caller]
@@ -175,13 +176,13 @@
         outcomes.collect()
     }
 
-    /// Returns how often the effect of a key took place.
+    /// Returns how many times a caller's call took effect.
     #[must_use]
     pub fn effects(&self, caller: usize) -> u32 {
         self.callers[caller].effects
     }
 
-    /// Returns the agents that hold a lease, each by its own clock.
+    /// Returns the agents that hold a lease according to their own clocks.
     #[must_use]
     pub fn holders(&self, lease: &LeaseName) -> Vec<usize> {
         let alive = (0..AGENTS).filter(|&i| self.agents[i].alive);
@@ -192,14 +193,14 @@
         holding.collect()
     }
 
-    /// Returns the agent that holds the slot of a key, if one does.
+    /// Returns the agent that owns the slot of a caller's key, if any.
     #[must_use]
     pub fn owner(&self, caller: usize) -> Option<usize> {
         let slot = self.callers[caller].key.slot().lease(&pool());
         self.holders(&slot).first().copied()
     }
 
-    /// Changes the body that a caller sends with its key from now on.
+    /// Changes the body that a caller sends with its key in later attempts.
     pub fn change_body(&mut self, caller: usize) {
         self.callers[caller].key.digest[0] += 1;
     }
@@ -269,7 +270,7 @@
         self.check_leases();
     }
 
-    /// Puts an event off while its agent is paused.
+    /// Defers an event to the end of its agent's pause and returns whether it did.
     fn defer_if_paused(&mut self, index: usize, event: &Event) -> bool {
         let wake = self.agents[index].paused_until;
         if wake <= self.now {
@@ -404,7 +405,7 @@
 
     fn admit(&mut self, index: usize, inc: u64, caller: usize, number: usize) {
         if self.is_stale(index, inc) {
-            // The connection broke; whether it was read is not known.
+            // The connection was lost; whether the agent read the request is unknown.
             return self.record_outcome(caller, number, CallOutcome::Unknown);
         }
         let key = self.callers[caller].key.clone();
@@ -414,7 +415,7 @@
         let verdict = agent.gate.admit(agent.wall(real), &key, held);
         if agent.gate.keys() > KEY_CAPACITY {
             self.violation
-                .get_or_insert("the key table outgrew its bound".to_owned());
+                .get_or_insert("the key table exceeds its capacity".to_owned());
         }
         match verdict {
             Verdict::Run => {
--- a/lib/testutils/src/world/schedule.rs
+++ b/lib/testutils/src/world/schedule.rs
@@ -16,6 +16,7 @@
 use crate::world::Target;
 use crate::world::World;
 
+/// The exclusive upper bound of a schedule's length.
 const STEP_LIMIT: usize = 60;
 
 fn target() -> impl Strategy<Value = Target> {
@@ -45,12 +46,12 @@
     ]
 }
 
-/// Returns the strategy of whole schedules.
+/// Returns the strategy that generates schedules.
 pub fn schedules() -> impl Strategy<Value = Vec<Step>> {
     vec(step(), 10..STEP_LIMIT)
 }
 
-/// Returns the schedule of a seed.
+/// Returns the schedule that a seed generates.
 ///
 /// # Panics
 ///
@@ -65,7 +66,8 @@
     tree.expect("nothing is rejected").current()
 }
 
-/// Runs a schedule, after time for the first claims, and returns what broke.
+/// Runs a schedule after the first leases are claimed and returns the violated
+/// invariant, if any.
 #[must_use]
 pub fn run(steps: &[Step], seed: u64, guards: Safeguards) -> Option<String> {
     let mut world = World::new(seed, guards);
--- a/lib/testutils/src/world/step.rs
+++ b/lib/testutils/src/world/step.rs
@@ -1,39 +1,41 @@
-//! What happens to a simulated deployment.
+//! The steps of a schedule.
 
-/// Where a call goes.
+/// The agent that a call is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// To the agent that holds the key's slot, or the first one.
+    /// The owner of the key's slot, or the first agent if there is none.
     Owner,
-    /// To an agent, whatever it holds.
+    /// The agent with this index, whichever slots it owns.
     Agent(usize),
 }
 
-/// One thing that happens to a world.
+/// A call, a fault or a wait in a simulated deployment.
+///
+/// Durations are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes.
+    /// Advances the time.
     Wait(u64),
-    /// A caller issues a key with its clock off by milliseconds, and calls.
+    /// Issues a key with the given skew of the caller's clock and sends a call.
     Call(i64, Target),
-    /// The caller of the key issued so many keys ago calls again.
+    /// Retries the call of the key that was issued this many keys ago.
     Retry(usize, Target),
-    /// An agent stands still for milliseconds.
+    /// Pauses an agent.
     Pause(usize, u64),
-    /// An agent dies and a new incarnation starts.
+    /// Kills an agent and starts a new incarnation.
     Kill(usize),
-    /// An agent gives its slots up in good order and starts anew.
+    /// Lets an agent release its slots, then restarts it.
     Leave(usize),
-    /// An agent is cut off from the log for milliseconds.
+    /// Partitions an agent from the log.
     Cut(usize, u64),
-    /// The log goes away.
+    /// Makes the log unreachable.
     Down,
-    /// The log takes effect but its answers are lost.
+    /// Lets appends take effect while their responses are lost.
     Mute,
-    /// The log is well again.
+    /// Restores the log.
     Up,
-    /// Effects take so many milliseconds to reach the endpoint from now on.
+    /// Sets the extra delay until a call takes effect at the endpoint.
     Slow(u64),
-    /// Retention takes the records older than milliseconds, always more than a term.
+    /// Removes the log's records above an age, which always exceeds a lease term.
     Retain(u64),
 }
